--- a/bench/kept_bench.cpp
+++ b/bench/dead_letter_bench.cpp
@@ -1,15 +1,15 @@
 // Measures kept messages: what they cost live traffic, and how the store does with a million of them.
-//   kept_bench take off|on|stalled|synced SECONDS [RATE]    live messages (400 a second): time to the 202, calls
-//   kept_bench store COUNT                    fills a store, then lists with filters; memory by phase
+//   kept_bench take off|on|stalled|synced SECONDS [RATE]    live messages (400 a second): time to the 202,
+//   calls kept_bench store COUNT                    fills a store, then lists with filters; memory by phase
 //   kept_bench resend RATE|0 SECONDS          live traffic beside resends of 20,000 kept messages
 #include <sqlite3.h>
 
 #include <fstream>
 #include <iostream>
 
-#include "../tests/node/world.h"
-#include "kept/files.h"
-#include "lab/report/histogram.h"
+#include "../tests/app/world.h"
+#include "dead_letter/rule_files.h"
+#include "loadtest/report/histogram.h"
 
 namespace sagetally {
 namespace {
@@ -253,7 +253,8 @@
   } else if (what == "resend" && argc == 4) {
     sagetally::Resend(std::atof(argv[2]), std::atof(argv[3]));
   } else {
-    std::cerr << "usage: kept_bench take off|on|stalled|synced SECONDS [RATE] | store COUNT | resend RATE SECONDS\n";
+    std::cerr << "usage: kept_bench take off|on|stalled|synced SECONDS [RATE] | store COUNT | resend RATE "
+                 "SECONDS\n";
     return 2;
   }
 }
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -8,10 +8,10 @@
 #include <fstream>
 #include <iostream>
 
-#include "../tests/node/world.h"
-#include "lab/report/histogram.h"
-#include "store/fs/real.h"
-#include "store/journal.h"
+#include "../tests/app/world.h"
+#include "journal/file_system/posix_file_system.h"
+#include "journal/segment_journal.h"
+#include "loadtest/report/histogram.h"
 
 namespace sagetally {
 namespace {
--- a/bench/lab_limits.sh
+++ b/bench/loadtest_limits.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
 # The generator's own limits and the dispatcher's, on cores of their own. Arguments: the build's folder (Release, with
-# sagetally-lab) and what to measure: generator | limit FRONT BYTES [SECONDS] | profile FRONT BYTES RATE, with FRONT one
+# sagetally-loadtest) and what to measure: generator | limit FRONT BYTES [SECONDS] | profile FRONT BYTES RATE, with FRONT one
 # of platform, binary, structured, batched.
 set -euo pipefail
 build=$(realpath "$1")
@@ -9,7 +9,7 @@
 pids=()
 trap 'for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done; wait 2>/dev/null; rm -rf "$work"' EXIT
 cd "$work"
-lab=$build/sagetally-lab
+lab=$build/sagetally-loadtest
 wait_for() { for _ in $(seq 500); do grep -q "$1" "$2" && return; sleep 0.02; done; cat "$2"; exit 1; }
 
 if [ "$what" = generator ]; then
--- a/include/sagetally/sender.h
+++ b/include/sagetally/dispatch_policy.h
@@ -1,5 +1,5 @@
 // The interface of sagetally: settings, events, actions and the Sender that turns the ones into the others.
-// Values only; every decision is in src/brain/decide.cpp.
+// Values only; every decision is in src/policy/dispatch_policy.cpp.
 //
 // Contract. One Sender serves one delivery node; it is used by one thread at a time and shares nothing with
 // other instances. The host calls Step whenever events have come in or a Wake it was asked for is due, hands
@@ -9,8 +9,8 @@
 // A host that breaks the contract gets defined behaviour: an outcome for an unknown message or attempt, an
 // id taken twice while held, a probe never asked for and a withdrawal of an unknown message are ignored; a
 // clock that goes back stands still; a class or kind out of range throws std::invalid_argument.
-#ifndef SAGETALLY_SENDER_H_
-#define SAGETALLY_SENDER_H_
+#ifndef SAGETALLY_DISPATCH_POLICY_H_
+#define SAGETALLY_DISPATCH_POLICY_H_
 
 #include <chrono>
 #include <cstdint>
@@ -229,4 +229,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SENDER_H_
+#endif  // SAGETALLY_DISPATCH_POLICY_H_
--- a/src/operate/calls.cpp
+++ b/src/admin/admin_request.cpp
@@ -1,4 +1,4 @@
-#include "operate/calls.h"
+#include "admin/admin_request.h"
 
 #include <utility>
 
--- a/src/operate/calls.h
+++ b/src/admin/admin_request.h
@@ -1,6 +1,6 @@
 // The calls of the operators' door, as one line each. No I/O.
-#ifndef SAGETALLY_SRC_OPERATE_CALLS_H_
-#define SAGETALLY_SRC_OPERATE_CALLS_H_
+#ifndef SAGETALLY_SRC_ADMIN_ADMIN_REQUEST_H_
+#define SAGETALLY_SRC_ADMIN_ADMIN_REQUEST_H_
 
 #include <cstddef>
 #include <functional>
@@ -29,4 +29,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_OPERATE_CALLS_H_
+#endif  // SAGETALLY_SRC_ADMIN_ADMIN_REQUEST_H_
--- a/src/operate/figures.cpp
+++ b/src/admin/metrics.cpp
@@ -1,4 +1,4 @@
-#include "operate/figures.h"
+#include "admin/metrics.h"
 
 #include <fmt/format.h>
 
--- a/src/operate/figures.h
+++ b/src/admin/metrics.h
@@ -1,7 +1,7 @@
 // The figures that operators read. One place counts, fed by the chain through the port Tally; each process
 // starts at 0. No I/O.
-#ifndef SAGETALLY_SRC_OPERATE_FIGURES_H_
-#define SAGETALLY_SRC_OPERATE_FIGURES_H_
+#ifndef SAGETALLY_SRC_ADMIN_METRICS_H_
+#define SAGETALLY_SRC_ADMIN_METRICS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -47,4 +47,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_OPERATE_FIGURES_H_
+#endif  // SAGETALLY_SRC_ADMIN_METRICS_H_
--- a/src/operate/readiness.cpp
+++ b/src/admin/readiness.cpp
@@ -1,4 +1,4 @@
-#include "operate/readiness.h"
+#include "admin/readiness.h"
 
 namespace sagetally {
 
--- a/src/operate/readiness.h
+++ b/src/admin/readiness.h
@@ -1,13 +1,13 @@
 // Whether this process is ready to serve, and why not: one state machine that /healthz, the operators' door,
 // SIGTERM and the upgrade ask. No I/O; times come from the caller.
-#ifndef SAGETALLY_SRC_OPERATE_READINESS_H_
-#define SAGETALLY_SRC_OPERATE_READINESS_H_
+#ifndef SAGETALLY_SRC_ADMIN_READINESS_H_
+#define SAGETALLY_SRC_ADMIN_READINESS_H_
 
 #include <cstddef>
 #include <functional>
 #include <string>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
@@ -49,4 +49,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_OPERATE_READINESS_H_
+#endif  // SAGETALLY_SRC_ADMIN_READINESS_H_
--- a/src/app/kept_node.cpp
+++ b/src/app/dead_letter_service.cpp
@@ -1,11 +1,11 @@
-#include "app/kept_node.h"
+#include "app/dead_letter_service.h"
 
 #include <sys/stat.h>
 
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "kept/files.h"
+#include "dead_letter/rule_files.h"
 
 namespace sagetally {
 
--- a/src/app/kept_node.h
+++ b/src/app/dead_letter_service.h
@@ -1,20 +1,20 @@
 // Kept messages within a dispatcher: the keeper, the store's threads, the control socket.
-#ifndef SAGETALLY_SRC_APP_KEPT_NODE_H_
-#define SAGETALLY_SRC_APP_KEPT_NODE_H_
+#ifndef SAGETALLY_SRC_APP_DEAD_LETTER_SERVICE_H_
+#define SAGETALLY_SRC_APP_DEAD_LETTER_SERVICE_H_
 
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "clock/clock.h"
 #include "config/config.h"
-#include "config/deploy.h"
-#include "kept/keeper.h"
-#include "kept/operations.h"
-#include "net/bell.h"
-#include "net/control.h"
-#include "net/loop.h"
-#include "stages/chain.h"
+#include "config/node_file.h"
+#include "dead_letter/dead_letter_manager.h"
+#include "dead_letter/operator_requests.h"
+#include "net/control_server.h"
+#include "net/event_loop.h"
+#include "net/wakeup_descriptor.h"
+#include "pipeline/message_pipeline.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -56,4 +56,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_APP_KEPT_NODE_H_
+#endif  // SAGETALLY_SRC_APP_DEAD_LETTER_SERVICE_H_
--- a/src/app/dispatcher.cpp
+++ b/src/app/dispatcher.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "handover/rehearsal.h"
-#include "registry/planners.h"
+#include "handover/state_replay.h"
+#include "service_registry/planner_selection.h"
 
 namespace sagetally {
 namespace {
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -3,10 +3,10 @@
 #include <set>
 #include <utility>
 
-#include "front/answer.h"
-#include "front/cloudevents/front.h"
-#include "front/platform/platform.h"
-#include "registry/planners.h"
+#include "frontend/cloudevents/cloudevents_frontend.h"
+#include "frontend/http_response.h"
+#include "frontend/platform/platform_frontend.h"
+#include "service_registry/planner_selection.h"
 
 namespace sagetally {
 namespace {
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/deploy.h"
-#include "front/cloudevents/event.h"
-#include "net/http_calls.h"
-#include "net/server.h"
-#include "registry/eureka.h"
+#include "config/node_file.h"
+#include "frontend/cloudevents/cloud_event.h"
+#include "net/http_client.h"
+#include "net/http_server.h"
+#include "service_registry/eureka_client.h"
 
 namespace sagetally {
 
--- a/src/app/handover_node.cpp
+++ b/src/app/handover_session.cpp
@@ -1,4 +1,4 @@
-#include "app/handover_node.h"
+#include "app/handover_session.h"
 
 #include <sys/file.h>
 
@@ -7,8 +7,8 @@
 #include <thread>
 #include <utility>
 
-#include "store/bytes.h"
-#include "store/fs/real.h"
+#include "base/byte_codec.h"
+#include "journal/file_system/posix_file_system.h"
 
 namespace sagetally {
 namespace {
--- a/src/app/handover_node.h
+++ b/src/app/handover_session.h
@@ -1,7 +1,7 @@
 // The two ends of a handover: `Predecessor` stands in the new process for the old one, `Successor` in the old
 // process for the new one. docs/design/operations.md tells the order of the packets.
-#ifndef SAGETALLY_SRC_APP_HANDOVER_NODE_H_
-#define SAGETALLY_SRC_APP_HANDOVER_NODE_H_
+#ifndef SAGETALLY_SRC_APP_HANDOVER_SESSION_H_
+#define SAGETALLY_SRC_APP_HANDOVER_SESSION_H_
 
 #include <functional>
 #include <memory>
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "config/config.h"
-#include "handover/state.h"
-#include "log/log.h"
-#include "net/channel.h"
-#include "net/loop.h"
-#include "net/server.h"
+#include "handover/handover_state.h"
+#include "logging/logger.h"
+#include "net/event_loop.h"
+#include "net/handover_channel.h"
+#include "net/http_server.h"
 
 namespace sagetally {
 
@@ -101,4 +101,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_APP_HANDOVER_NODE_H_
+#endif  // SAGETALLY_SRC_APP_HANDOVER_SESSION_H_
--- a/src/app/journal_node.cpp
+++ b/src/app/journal_service.cpp
@@ -1,4 +1,4 @@
-#include "app/journal_node.h"
+#include "app/journal_service.h"
 
 #include <algorithm>
 #include <condition_variable>
--- a/src/app/journal_node.h
+++ b/src/app/journal_service.h
@@ -1,19 +1,19 @@
 // The journal within a dispatcher: its timer, its thread for syncing, and the wall clock carried on over a
 // restart.
-#ifndef SAGETALLY_SRC_APP_JOURNAL_NODE_H_
-#define SAGETALLY_SRC_APP_JOURNAL_NODE_H_
+#ifndef SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
+#define SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "clock/clock.h"
 #include "config/config.h"
-#include "config/deploy.h"
-#include "net/bell.h"
-#include "net/loop.h"
-#include "store/fs/real.h"
-#include "store/journal.h"
+#include "config/node_file.h"
+#include "journal/file_system/posix_file_system.h"
+#include "journal/segment_journal.h"
+#include "net/event_loop.h"
+#include "net/wakeup_descriptor.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -53,4 +53,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_APP_JOURNAL_NODE_H_
+#endif  // SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
--- a/src/store/bytes.h
+++ b/src/base/byte_codec.h
@@ -1,6 +1,6 @@
 // Numbers and texts as records hold them: little-endian, texts behind a length of four bytes.
-#ifndef SAGETALLY_SRC_STORE_BYTES_H_
-#define SAGETALLY_SRC_STORE_BYTES_H_
+#ifndef SAGETALLY_SRC_BASE_BYTE_CODEC_H_
+#define SAGETALLY_SRC_BASE_BYTE_CODEC_H_
 
 #include <bit>
 #include <boost/crc.hpp>
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "clock/clock.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -79,4 +79,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_BYTES_H_
+#endif  // SAGETALLY_SRC_BASE_BYTE_CODEC_H_
--- a/src/store/fd.h
+++ b/src/base/file_descriptor.h
@@ -1,6 +1,6 @@
 // An owned file descriptor.
-#ifndef SAGETALLY_SRC_STORE_FD_H_
-#define SAGETALLY_SRC_STORE_FD_H_
+#ifndef SAGETALLY_SRC_BASE_FILE_DESCRIPTOR_H_
+#define SAGETALLY_SRC_BASE_FILE_DESCRIPTOR_H_
 
 #include <unistd.h>
 
@@ -31,4 +31,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_FD_H_
+#endif  // SAGETALLY_SRC_BASE_FILE_DESCRIPTOR_H_
--- a/src/cli/operate.cpp
+++ b/src/cli/admin_commands.cpp
@@ -1,4 +1,4 @@
-#include "cli/operate.h"
+#include "cli/admin_commands.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -9,8 +9,8 @@
 #include <cstring>
 #include <stdexcept>
 
+#include "base/file_descriptor.h"
 #include "config/config.h"
-#include "store/fd.h"
 
 namespace sagetally {
 namespace {
--- a/src/cli/operate.h
+++ b/src/cli/admin_commands.h
@@ -1,6 +1,6 @@
 // `sagetally status|metrics|pause|resume`: one call at a running process's operators' door.
-#ifndef SAGETALLY_SRC_CLI_OPERATE_H_
-#define SAGETALLY_SRC_CLI_OPERATE_H_
+#ifndef SAGETALLY_SRC_CLI_ADMIN_COMMANDS_H_
+#define SAGETALLY_SRC_CLI_ADMIN_COMMANDS_H_
 
 #include <ostream>
 #include <string>
@@ -12,4 +12,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CLI_OPERATE_H_
+#endif  // SAGETALLY_SRC_CLI_ADMIN_COMMANDS_H_
--- a/src/cli/kept.cpp
+++ b/src/cli/dead_letter_commands.cpp
@@ -1,4 +1,4 @@
-#include "cli/kept.h"
+#include "cli/dead_letter_commands.h"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -13,11 +13,11 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
+#include "base/file_descriptor.h"
 #include "cli/table.h"
-#include "clock/clock.h"
-#include "kept/files.h"
-#include "kept/operations.h"
-#include "store/fd.h"
+#include "dead_letter/operator_requests.h"
+#include "dead_letter/rule_files.h"
+#include "time/clock.h"
 
 namespace sagetally {
 namespace {
--- a/src/cli/kept.h
+++ b/src/cli/dead_letter_commands.h
@@ -1,6 +1,6 @@
 // `sagetally kept ...`: asks the running node by its control socket, or reads the file of a stopped one.
-#ifndef SAGETALLY_SRC_CLI_KEPT_H_
-#define SAGETALLY_SRC_CLI_KEPT_H_
+#ifndef SAGETALLY_SRC_CLI_DEAD_LETTER_COMMANDS_H_
+#define SAGETALLY_SRC_CLI_DEAD_LETTER_COMMANDS_H_
 
 #include <ostream>
 
@@ -13,4 +13,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CLI_KEPT_H_
+#endif  // SAGETALLY_SRC_CLI_DEAD_LETTER_COMMANDS_H_
--- a/src/cli/journal.cpp
+++ b/src/cli/journal_commands.cpp
@@ -1,4 +1,4 @@
-#include "cli/journal.h"
+#include "cli/journal_commands.h"
 
 #include <fmt/format.h>
 
@@ -6,8 +6,8 @@
 #include <stdexcept>
 
 #include "cli/table.h"
-#include "store/fs/real.h"
-#include "store/snapshot.h"
+#include "journal/file_system/posix_file_system.h"
+#include "journal/snapshot.h"
 
 namespace sagetally {
 namespace {
--- a/src/cli/journal.h
+++ b/src/cli/journal_commands.h
@@ -1,6 +1,6 @@
 // `sagetally journal ...`: the journal of a running or a stopped node.
-#ifndef SAGETALLY_SRC_CLI_JOURNAL_H_
-#define SAGETALLY_SRC_CLI_JOURNAL_H_
+#ifndef SAGETALLY_SRC_CLI_JOURNAL_COMMANDS_H_
+#define SAGETALLY_SRC_CLI_JOURNAL_COMMANDS_H_
 
 #include <ostream>
 
@@ -13,4 +13,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CLI_JOURNAL_H_
+#endif  // SAGETALLY_SRC_CLI_JOURNAL_COMMANDS_H_
--- a/src/cli/options.h
+++ b/src/cli/options.h
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "config/config.h"
-#include "config/deploy.h"
-#include "log/log.h"
+#include "config/node_file.h"
+#include "logging/logger.h"
 
 namespace sagetally {
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "core/types.h"
+#include "core/message.h"
 
 namespace sagetally {
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <type_traits>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally::json {
 
--- a/src/config/deploy.cpp
+++ b/src/config/node_file.cpp
@@ -1,4 +1,4 @@
-#include "config/deploy.h"
+#include "config/node_file.h"
 
 #include <fstream>
 #include <nlohmann/json.hpp>
--- a/src/config/deploy.h
+++ b/src/config/node_file.h
@@ -1,8 +1,8 @@
 // The operator's optional file, deploy/node.json, for what stands beside the platform: the CloudEvents front,
 // the role of this process, the registry it uses and the messages it keeps. Without the file there is none of
 // these. Its form is deploy/schema/node.schema.json, which is compiled in.
-#ifndef SAGETALLY_SRC_CONFIG_DEPLOY_H_
-#define SAGETALLY_SRC_CONFIG_DEPLOY_H_
+#ifndef SAGETALLY_SRC_CONFIG_NODE_FILE_H_
+#define SAGETALLY_SRC_CONFIG_NODE_FILE_H_
 
 #include <map>
 #include <optional>
@@ -71,4 +71,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CONFIG_DEPLOY_H_
+#endif  // SAGETALLY_SRC_CONFIG_NODE_FILE_H_
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "config/json.h"
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
--- a/src/core/types.h
+++ b/src/core/message.h
@@ -1,6 +1,6 @@
 // What the core deals in: requests, attempts and outcomes. No wire and no I/O.
-#ifndef SAGETALLY_SRC_CORE_TYPES_H_
-#define SAGETALLY_SRC_CORE_TYPES_H_
+#ifndef SAGETALLY_SRC_CORE_MESSAGE_H_
+#define SAGETALLY_SRC_CORE_MESSAGE_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "clock/clock.h"
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -120,4 +120,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CORE_TYPES_H_
+#endif  // SAGETALLY_SRC_CORE_MESSAGE_H_
--- a/src/core/ledger.cpp
+++ b/src/core/message_table.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger.h"
+#include "core/message_table.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/ledger.h
+++ b/src/core/message_table.h
@@ -1,6 +1,6 @@
 // Who owes what: every message held, and those ended whose end is still owed to somebody or remembered.
-#ifndef SAGETALLY_SRC_CORE_LEDGER_H_
-#define SAGETALLY_SRC_CORE_LEDGER_H_
+#ifndef SAGETALLY_SRC_CORE_MESSAGE_TABLE_H_
+#define SAGETALLY_SRC_CORE_MESSAGE_TABLE_H_
 
 #include <algorithm>
 #include <deque>
@@ -9,7 +9,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/types.h"
+#include "core/message.h"
 
 namespace sagetally {
 
@@ -53,4 +53,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CORE_LEDGER_H_
+#endif  // SAGETALLY_SRC_CORE_MESSAGE_TABLE_H_
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -5,7 +5,7 @@
 #include <span>
 #include <string>
 
-#include "core/types.h"
+#include "core/message.h"
 
 namespace sagetally {
 
--- a/src/kept/kept.cpp
+++ b/src/dead_letter/dead_letter.cpp
@@ -1,4 +1,4 @@
-#include "kept/kept.h"
+#include "dead_letter/dead_letter.h"
 
 #include <algorithm>
 #include <array>
--- a/src/kept/kept.h
+++ b/src/dead_letter/dead_letter.h
@@ -1,13 +1,13 @@
 // A kept message: what is known of one that ended undelivered, or is being sent again. Values only.
-#ifndef SAGETALLY_SRC_KEPT_KEPT_H_
-#define SAGETALLY_SRC_KEPT_KEPT_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_H_
+#define SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "core/types.h"
+#include "core/message.h"
 
 namespace sagetally::kept {
 
@@ -82,4 +82,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_KEPT_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_H_
--- a/src/kept/keeper.cpp
+++ b/src/dead_letter/dead_letter_manager.cpp
@@ -1,4 +1,4 @@
-#include "kept/keeper.h"
+#include "dead_letter/dead_letter_manager.h"
 
 #include <xxhash.h>
 
--- a/src/kept/keeper.h
+++ b/src/dead_letter/dead_letter_manager.h
@@ -1,7 +1,7 @@
 // The keeper: takes ended messages over into the store, lets rules send them again beside live traffic, and
 // takes the results back. It lives on the loop; the store works elsewhere.
-#ifndef SAGETALLY_SRC_KEPT_KEEPER_H_
-#define SAGETALLY_SRC_KEPT_KEEPER_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_MANAGER_H_
+#define SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_MANAGER_H_
 
 #include <deque>
 #include <functional>
@@ -12,11 +12,11 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
-#include "kept/planner.h"
-#include "kept/storage/worker.h"
-#include "log/log.h"
+#include "dead_letter/redrive_planner.h"
+#include "dead_letter/storage/worker.h"
+#include "logging/logger.h"
 
 namespace sagetally::kept {
 
@@ -134,4 +134,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_KEEPER_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_MANAGER_H_
--- a/src/kept/operations.cpp
+++ b/src/dead_letter/operator_requests.cpp
@@ -1,4 +1,4 @@
-#include "kept/operations.h"
+#include "dead_letter/operator_requests.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/kept/operations.h
+++ b/src/dead_letter/operator_requests.h
@@ -1,7 +1,7 @@
 // What operators ask of the store, as JSON in and out: the same answers by a running node's control socket
 // and on the file of one that is stopped. The protocol is docs/kept.md, "The control socket".
-#ifndef SAGETALLY_SRC_KEPT_OPERATIONS_H_
-#define SAGETALLY_SRC_KEPT_OPERATIONS_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_OPERATOR_REQUESTS_H_
+#define SAGETALLY_SRC_DEAD_LETTER_OPERATOR_REQUESTS_H_
 
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "kept/storage/database.h"
+#include "dead_letter/storage/database.h"
 
 namespace sagetally::kept {
 
@@ -47,4 +47,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_OPERATIONS_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_OPERATOR_REQUESTS_H_
--- a/src/kept/grammar.cpp
+++ b/src/dead_letter/redrive_grammar.cpp
@@ -3,7 +3,7 @@
 #include <boost/spirit/home/x3.hpp>
 #include <boost/spirit/home/x3/support/utility/annotate_on_success.hpp>
 
-#include "kept/rules.h"
+#include "dead_letter/redrive_rules.h"
 
 // What an expectation names when it fails: the part that was tried first, not the type that wraps it.
 namespace boost::spirit::x3 {
--- a/src/kept/planner.cpp
+++ b/src/dead_letter/redrive_planner.cpp
@@ -1,4 +1,4 @@
-#include "kept/planner.h"
+#include "dead_letter/redrive_planner.h"
 
 #include <algorithm>
 #include <boost/random/uniform_real_distribution.hpp>
--- a/src/kept/planner.h
+++ b/src/dead_letter/redrive_planner.h
@@ -1,7 +1,7 @@
 // The resend planner: which kept messages are due under the rules, and when a resend may enter beside live
 // traffic. No I/O; all times by the wall clock of the process, which never goes back within it.
-#ifndef SAGETALLY_SRC_KEPT_PLANNER_H_
-#define SAGETALLY_SRC_KEPT_PLANNER_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_REDRIVE_PLANNER_H_
+#define SAGETALLY_SRC_DEAD_LETTER_REDRIVE_PLANNER_H_
 
 #include <boost/random/mersenne_twister.hpp>
 #include <map>
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "kept/judge.h"
-#include "kept/rules.h"
+#include "dead_letter/redrive_policy.h"
+#include "dead_letter/redrive_rules.h"
 
 namespace sagetally::kept {
 
@@ -105,4 +105,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_PLANNER_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_REDRIVE_PLANNER_H_
--- a/src/kept/judge.cpp
+++ b/src/dead_letter/redrive_policy.cpp
@@ -1,4 +1,4 @@
-#include "kept/judge.h"
+#include "dead_letter/redrive_policy.h"
 
 #include <algorithm>
 #include <array>
--- a/src/kept/judge.h
+++ b/src/dead_letter/redrive_policy.h
@@ -1,12 +1,12 @@
 // The resend judge: whether a kept message may be sent again at all. No rule and no operator overrides it.
-#ifndef SAGETALLY_SRC_KEPT_JUDGE_H_
-#define SAGETALLY_SRC_KEPT_JUDGE_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_REDRIVE_POLICY_H_
+#define SAGETALLY_SRC_DEAD_LETTER_REDRIVE_POLICY_H_
 
 #include <optional>
 #include <string_view>
 
-#include "clock/clock.h"
-#include "kept/kept.h"
+#include "dead_letter/dead_letter.h"
+#include "time/clock.h"
 
 namespace sagetally::kept {
 
@@ -53,4 +53,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_JUDGE_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_REDRIVE_POLICY_H_
--- a/src/kept/rules.cpp
+++ b/src/dead_letter/redrive_rules.cpp
@@ -1,4 +1,4 @@
-#include "kept/rules.h"
+#include "dead_letter/redrive_rules.h"
 
 #include <algorithm>
 #include <array>
--- a/src/kept/rules.h
+++ b/src/dead_letter/redrive_rules.h
@@ -7,8 +7,8 @@
 //   rule rest: when true then hold;
 //
 // The first rule that matches decides.
-#ifndef SAGETALLY_SRC_KEPT_RULES_H_
-#define SAGETALLY_SRC_KEPT_RULES_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_REDRIVE_RULES_H_
+#define SAGETALLY_SRC_DEAD_LETTER_REDRIVE_RULES_H_
 
 #include <optional>
 #include <stdexcept>
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-#include "kept/kept.h"
+#include "dead_letter/dead_letter.h"
 
 namespace sagetally::kept {
 
@@ -144,4 +144,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_RULES_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_REDRIVE_RULES_H_
--- a/src/kept/files.cpp
+++ b/src/dead_letter/rule_files.cpp
@@ -1,4 +1,4 @@
-#include "kept/files.h"
+#include "dead_letter/rule_files.h"
 
 #include <algorithm>
 #include <fstream>
--- a/src/kept/files.h
+++ b/src/dead_letter/rule_files.h
@@ -1,12 +1,12 @@
 // Where the store and its control socket are, and how rule files are read.
-#ifndef SAGETALLY_SRC_KEPT_FILES_H_
-#define SAGETALLY_SRC_KEPT_FILES_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_RULE_FILES_H_
+#define SAGETALLY_SRC_DEAD_LETTER_RULE_FILES_H_
 
 #include <string>
 
 #include "config/config.h"
-#include "config/deploy.h"
-#include "kept/keeper.h"
+#include "config/node_file.h"
+#include "dead_letter/dead_letter_manager.h"
 
 namespace sagetally::kept {
 
@@ -24,4 +24,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_FILES_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_RULE_FILES_H_
--- a/src/kept/storage/database.cpp
+++ b/src/dead_letter/storage/database.cpp
@@ -1,4 +1,4 @@
-#include "kept/storage/database.h"
+#include "dead_letter/storage/database.h"
 
 #include <fcntl.h>
 #include <sqlite3.h>
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "kept/storage/schema.h"
+#include "dead_letter/storage/schema.h"
 
 namespace sagetally::kept {
 namespace {
--- a/src/kept/storage/database.h
+++ b/src/dead_letter/storage/database.h
@@ -1,6 +1,6 @@
 // The store of kept messages: one SQLite file in WAL mode. Used by one thread at a time.
-#ifndef SAGETALLY_SRC_KEPT_STORAGE_DATABASE_H_
-#define SAGETALLY_SRC_KEPT_STORAGE_DATABASE_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_DATABASE_H_
+#define SAGETALLY_SRC_DEAD_LETTER_STORAGE_DATABASE_H_
 
 #include <functional>
 #include <map>
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "kept/planner.h"
+#include "dead_letter/redrive_planner.h"
 
 struct sqlite3;
 struct sqlite3_stmt;
@@ -150,4 +150,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_STORAGE_DATABASE_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_STORAGE_DATABASE_H_
--- a/src/kept/storage/schema.h
+++ b/src/dead_letter/storage/schema.h
@@ -1,6 +1,6 @@
 // The schema of the store, as steps from each version to the next. A step, once released, never changes.
-#ifndef SAGETALLY_SRC_KEPT_STORAGE_SCHEMA_H_
-#define SAGETALLY_SRC_KEPT_STORAGE_SCHEMA_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_SCHEMA_H_
+#define SAGETALLY_SRC_DEAD_LETTER_STORAGE_SCHEMA_H_
 
 #include <array>
 
@@ -62,4 +62,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_STORAGE_SCHEMA_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_STORAGE_SCHEMA_H_
--- a/src/kept/storage/worker.cpp
+++ b/src/dead_letter/storage/worker.cpp
@@ -1,4 +1,4 @@
-#include "kept/storage/worker.h"
+#include "dead_letter/storage/worker.h"
 
 #include <unistd.h>
 
--- a/src/kept/storage/worker.h
+++ b/src/dead_letter/storage/worker.h
@@ -1,14 +1,14 @@
 // Work on the store, off the event loop's thread: a bounded queue of jobs, whose results come back to the
 // loop.
-#ifndef SAGETALLY_SRC_KEPT_STORAGE_WORKER_H_
-#define SAGETALLY_SRC_KEPT_STORAGE_WORKER_H_
+#ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_WORKER_H_
+#define SAGETALLY_SRC_DEAD_LETTER_STORAGE_WORKER_H_
 
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
 
-#include "kept/storage/database.h"
+#include "dead_letter/storage/database.h"
 
 namespace sagetally::kept {
 
@@ -73,4 +73,4 @@
 
 }  // namespace sagetally::kept
 
-#endif  // SAGETALLY_SRC_KEPT_STORAGE_WORKER_H_
+#endif  // SAGETALLY_SRC_DEAD_LETTER_STORAGE_WORKER_H_
--- a/src/front/cloudevents/event.cpp
+++ b/src/frontend/cloudevents/cloud_event.cpp
@@ -1,4 +1,4 @@
-#include "front/cloudevents/event.h"
+#include "frontend/cloudevents/cloud_event.h"
 
 #include <event2/util.h>
 
--- a/src/front/cloudevents/event.h
+++ b/src/frontend/cloudevents/cloud_event.h
@@ -1,6 +1,6 @@
 // CloudEvents 1.0 and their HTTP binding: reading the three modes, and the headers of the binary one.
-#ifndef SAGETALLY_SRC_FRONT_CLOUDEVENTS_EVENT_H_
-#define SAGETALLY_SRC_FRONT_CLOUDEVENTS_EVENT_H_
+#ifndef SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUD_EVENT_H_
+#define SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUD_EVENT_H_
 
 #include <map>
 #include <string>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "core/types.h"
+#include "core/message.h"
 
 namespace sagetally {
 
@@ -42,4 +42,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_FRONT_CLOUDEVENTS_EVENT_H_
+#endif  // SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUD_EVENT_H_
--- a/src/front/cloudevents/front.cpp
+++ b/src/frontend/cloudevents/cloudevents_frontend.cpp
@@ -1,7 +1,7 @@
-#include "front/cloudevents/front.h"
+#include "frontend/cloudevents/cloudevents_frontend.h"
 
 #include "config/json.h"
-#include "front/answer.h"
+#include "frontend/http_response.h"
 
 namespace sagetally {
 
--- a/src/front/cloudevents/front.h
+++ b/src/frontend/cloudevents/cloudevents_frontend.h
@@ -1,15 +1,15 @@
 // CloudEvents over HTTP as core requests.
-#ifndef SAGETALLY_SRC_FRONT_CLOUDEVENTS_FRONT_H_
-#define SAGETALLY_SRC_FRONT_CLOUDEVENTS_FRONT_H_
+#ifndef SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
+#define SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
 
 #include <memory>
 #include <string>
 
-#include "core/types.h"
-#include "front/cloudevents/event.h"
-#include "net/server.h"
-#include "operate/readiness.h"
-#include "stages/intake.h"
+#include "admin/readiness.h"
+#include "core/message.h"
+#include "frontend/cloudevents/cloud_event.h"
+#include "net/http_server.h"
+#include "pipeline/request_validator.h"
 
 namespace sagetally {
 
@@ -31,4 +31,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_FRONT_CLOUDEVENTS_FRONT_H_
+#endif  // SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
--- a/src/front/answer.cpp
+++ b/src/frontend/http_response.cpp
@@ -1,4 +1,4 @@
-#include "front/answer.h"
+#include "frontend/http_response.h"
 
 #include <utility>
 #include <vector>
--- a/src/front/answer.h
+++ b/src/frontend/http_response.h
@@ -1,13 +1,13 @@
 // What both fronts say to clients in the same words.
-#ifndef SAGETALLY_SRC_FRONT_ANSWER_H_
-#define SAGETALLY_SRC_FRONT_ANSWER_H_
+#ifndef SAGETALLY_SRC_FRONTEND_HTTP_RESPONSE_H_
+#define SAGETALLY_SRC_FRONTEND_HTTP_RESPONSE_H_
 
 #include <memory>
 #include <string>
 
-#include "core/types.h"
-#include "net/server.h"
-#include "stages/admit.h"
+#include "core/message.h"
+#include "net/http_server.h"
+#include "pipeline/admission_controller.h"
 
 namespace sagetally {
 
@@ -21,4 +21,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_FRONT_ANSWER_H_
+#endif  // SAGETALLY_SRC_FRONTEND_HTTP_RESPONSE_H_
--- a/src/front/platform/platform.cpp
+++ b/src/frontend/platform/platform_frontend.cpp
@@ -1,10 +1,10 @@
-#include "front/platform/platform.h"
+#include "frontend/platform/platform_frontend.h"
 
 #include <algorithm>
 #include <charconv>
 #include <utility>
 
-#include "front/answer.h"
+#include "frontend/http_response.h"
 
 namespace sagetally {
 
--- a/src/front/platform/platform.h
+++ b/src/frontend/platform/platform_frontend.h
@@ -1,16 +1,16 @@
 // The platform's protocol as core requests: one message per HTTP request.
-#ifndef SAGETALLY_SRC_FRONT_PLATFORM_PLATFORM_H_
-#define SAGETALLY_SRC_FRONT_PLATFORM_PLATFORM_H_
+#ifndef SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
+#define SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 
+#include "admin/readiness.h"
 #include "config/settings.h"
-#include "core/types.h"
-#include "net/server.h"
-#include "operate/readiness.h"
-#include "stages/intake.h"
+#include "core/message.h"
+#include "net/http_server.h"
+#include "pipeline/request_validator.h"
 
 namespace sagetally {
 
@@ -35,4 +35,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_FRONT_PLATFORM_PLATFORM_H_
+#endif  // SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
--- a/src/handover/state.cpp
+++ b/src/handover/handover_state.cpp
@@ -1,8 +1,8 @@
-#include "handover/state.h"
+#include "handover/handover_state.h"
 
 #include <utility>
 
-#include "store/bytes.h"
+#include "base/byte_codec.h"
 
 namespace sagetally {
 namespace {
--- a/src/handover/state.h
+++ b/src/handover/handover_state.h
@@ -1,7 +1,7 @@
 // What one process tells the next when it hands over, beside descriptors and the journal: facts, in a form
 // that does not depend on what the decision module of either keeps. No I/O.
-#ifndef SAGETALLY_SRC_HANDOVER_STATE_H_
-#define SAGETALLY_SRC_HANDOVER_STATE_H_
+#ifndef SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
+#define SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
 
 #include <cstdint>
 #include <deque>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/types.h"
+#include "core/message.h"
 
 namespace sagetally {
 
@@ -68,4 +68,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_HANDOVER_STATE_H_
+#endif  // SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
--- a/src/handover/rehearsal.cpp
+++ b/src/handover/state_replay.cpp
@@ -1,11 +1,11 @@
-#include "handover/rehearsal.h"
+#include "handover/state_replay.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 #include <utility>
 
-#include "stages/route.h"
+#include "pipeline/router.h"
 
 namespace sagetally {
 namespace {
--- a/src/handover/rehearsal.h
+++ b/src/handover/state_replay.h
@@ -1,14 +1,14 @@
 // Tells a new decision module what the attempts of late have taught the one of the process before. No I/O.
-#ifndef SAGETALLY_SRC_HANDOVER_REHEARSAL_H_
-#define SAGETALLY_SRC_HANDOVER_REHEARSAL_H_
+#ifndef SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
+#define SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "core/ledger.h"
-#include "handover/state.h"
-#include "sagetally/sender.h"
+#include "core/message_table.h"
+#include "handover/handover_state.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
@@ -22,4 +22,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_HANDOVER_REHEARSAL_H_
+#endif  // SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
--- a/src/store/fs/faulty.cpp
+++ b/src/journal/file_system/fault_injecting_file_system.cpp
@@ -1,4 +1,4 @@
-#include "store/fs/faulty.h"
+#include "journal/file_system/fault_injecting_file_system.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/store/fs/faulty.h
+++ b/src/journal/file_system/fault_injecting_file_system.h
@@ -1,7 +1,7 @@
 // A disk in memory that fails on demand: for the crash tests and for models. Calls are numbered from 1; a
 // plan says what becomes of one, or draws faults by a seed. One seed, one run.
-#ifndef SAGETALLY_SRC_STORE_FS_FAULTY_H_
-#define SAGETALLY_SRC_STORE_FS_FAULTY_H_
+#ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
+#define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "store/fs/file_system.h"
+#include "journal/file_system/file_system.h"
 
 namespace sagetally {
 
@@ -81,4 +81,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_FS_FAULTY_H_
+#endif  // SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
--- a/src/store/fs/file_system.cpp
+++ b/src/journal/file_system/file_system.cpp
@@ -1,4 +1,4 @@
-#include "store/fs/file_system.h"
+#include "journal/file_system/file_system.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/store/fs/file_system.h
+++ b/src/journal/file_system/file_system.h
@@ -1,7 +1,7 @@
 // What the journal needs of a disk. Two stand behind it: the system's own, and one in memory that fails on
 // demand. Errors are errno's numbers, 0 for none.
-#ifndef SAGETALLY_SRC_STORE_FS_FILE_SYSTEM_H_
-#define SAGETALLY_SRC_STORE_FS_FILE_SYSTEM_H_
+#ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FILE_SYSTEM_H_
+#define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FILE_SYSTEM_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -56,4 +56,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_FS_FILE_SYSTEM_H_
+#endif  // SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FILE_SYSTEM_H_
--- a/src/store/fs/real.cpp
+++ b/src/journal/file_system/posix_file_system.cpp
@@ -1,4 +1,4 @@
-#include "store/fs/real.h"
+#include "journal/file_system/posix_file_system.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <utility>
 
-#include "store/fd.h"
+#include "base/file_descriptor.h"
 
 namespace sagetally {
 namespace {
--- a/src/store/fs/real.h
+++ b/src/journal/file_system/posix_file_system.h
@@ -1,11 +1,11 @@
 // The system's own files.
-#ifndef SAGETALLY_SRC_STORE_FS_REAL_H_
-#define SAGETALLY_SRC_STORE_FS_REAL_H_
+#ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
+#define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
 
 #include <utility>
 
-#include "store/fd.h"
-#include "store/fs/file_system.h"
+#include "base/file_descriptor.h"
+#include "journal/file_system/file_system.h"
 
 namespace sagetally {
 
@@ -27,4 +27,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_FS_REAL_H_
+#endif  // SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
--- a/src/store/legacy.cpp
+++ b/src/journal/format1_reader.cpp
@@ -1,4 +1,4 @@
-#include "store/legacy.h"
+#include "journal/format1_reader.h"
 
 #include <zlib.h>
 
@@ -7,8 +7,8 @@
 #include <utility>
 #include <vector>
 
-#include "store/bytes.h"
-#include "store/records.h"
+#include "base/byte_codec.h"
+#include "journal/records.h"
 
 namespace sagetally {
 namespace {
--- a/src/store/legacy.h
+++ b/src/journal/format1_reader.h
@@ -1,12 +1,12 @@
 // Format 1: one file of records, as journals were before segments. Read only, to be taken over.
-#ifndef SAGETALLY_SRC_STORE_LEGACY_H_
-#define SAGETALLY_SRC_STORE_LEGACY_H_
+#ifndef SAGETALLY_SRC_JOURNAL_FORMAT1_READER_H_
+#define SAGETALLY_SRC_JOURNAL_FORMAT1_READER_H_
 
 #include <cstdint>
 #include <string>
 
-#include "core/ledger.h"
-#include "store/fs/file_system.h"
+#include "core/message_table.h"
+#include "journal/file_system/file_system.h"
 
 namespace sagetally {
 
@@ -20,4 +20,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_LEGACY_H_
+#endif  // SAGETALLY_SRC_JOURNAL_FORMAT1_READER_H_
--- a/src/store/manifest.cpp
+++ b/src/journal/manifest.cpp
@@ -1,12 +1,12 @@
-#include "store/manifest.h"
+#include "journal/manifest.h"
 
 #include <fmt/format.h>
 
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "store/bytes.h"
-#include "store/segment.h"
+#include "base/byte_codec.h"
+#include "journal/segment.h"
 
 namespace sagetally {
 namespace {
--- a/src/store/manifest.h
+++ b/src/journal/manifest.h
@@ -1,14 +1,14 @@
 // Which segments a journal has, whose it is and in which epoch. One JSON file that a rename switches.
-#ifndef SAGETALLY_SRC_STORE_MANIFEST_H_
-#define SAGETALLY_SRC_STORE_MANIFEST_H_
+#ifndef SAGETALLY_SRC_JOURNAL_MANIFEST_H_
+#define SAGETALLY_SRC_JOURNAL_MANIFEST_H_
 
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "clock/clock.h"
-#include "store/fs/file_system.h"
+#include "journal/file_system/file_system.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -38,4 +38,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_MANIFEST_H_
+#endif  // SAGETALLY_SRC_JOURNAL_MANIFEST_H_
--- a/src/store/records.cpp
+++ b/src/journal/records.cpp
@@ -1,9 +1,9 @@
-#include "store/records.h"
+#include "journal/records.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "store/bytes.h"
+#include "base/byte_codec.h"
 
 namespace sagetally {
 namespace {
--- a/src/store/records.h
+++ b/src/journal/records.h
@@ -1,7 +1,7 @@
 // What the journal's records say of messages, and how a log of them is applied to a ledger. docs/format.md is
 // the page of the form.
-#ifndef SAGETALLY_SRC_STORE_RECORDS_H_
-#define SAGETALLY_SRC_STORE_RECORDS_H_
+#ifndef SAGETALLY_SRC_JOURNAL_RECORDS_H_
+#define SAGETALLY_SRC_JOURNAL_RECORDS_H_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/ledger.h"
+#include "core/message_table.h"
 
 namespace sagetally {
 
@@ -83,4 +83,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_RECORDS_H_
+#endif  // SAGETALLY_SRC_JOURNAL_RECORDS_H_
--- a/src/store/replay.cpp
+++ b/src/journal/replay.cpp
@@ -1,4 +1,4 @@
-#include "store/replay.h"
+#include "journal/replay.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/store/replay.h
+++ b/src/journal/replay.h
@@ -1,15 +1,15 @@
 // Reads a journal's folder, segment by segment, without changing anything in it.
-#ifndef SAGETALLY_SRC_STORE_REPLAY_H_
-#define SAGETALLY_SRC_STORE_REPLAY_H_
+#ifndef SAGETALLY_SRC_JOURNAL_REPLAY_H_
+#define SAGETALLY_SRC_JOURNAL_REPLAY_H_
 
 #include <cstdint>
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "store/manifest.h"
-#include "store/records.h"
-#include "store/segment.h"
+#include "journal/manifest.h"
+#include "journal/records.h"
+#include "journal/segment.h"
 
 namespace sagetally {
 
@@ -52,4 +52,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_REPLAY_H_
+#endif  // SAGETALLY_SRC_JOURNAL_REPLAY_H_
--- a/src/store/segment.cpp
+++ b/src/journal/segment.cpp
@@ -1,11 +1,11 @@
-#include "store/segment.h"
+#include "journal/segment.h"
 
 #include <fmt/format.h>
 
 #include <charconv>
 #include <stdexcept>
 
-#include "store/bytes.h"
+#include "base/byte_codec.h"
 
 namespace sagetally {
 namespace {
--- a/src/store/segment.h
+++ b/src/journal/segment.h
@@ -1,6 +1,6 @@
 // One file of the journal: a header, then framed records. docs/format.md.
-#ifndef SAGETALLY_SRC_STORE_SEGMENT_H_
-#define SAGETALLY_SRC_STORE_SEGMENT_H_
+#ifndef SAGETALLY_SRC_JOURNAL_SEGMENT_H_
+#define SAGETALLY_SRC_JOURNAL_SEGMENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -50,4 +50,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_SEGMENT_H_
+#endif  // SAGETALLY_SRC_JOURNAL_SEGMENT_H_
--- a/src/store/journal.cpp
+++ b/src/journal/segment_journal.cpp
@@ -1,4 +1,4 @@
-#include "store/journal.h"
+#include "journal/segment_journal.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "store/legacy.h"
+#include "journal/format1_reader.h"
 
 namespace sagetally {
 namespace {
--- a/src/store/journal.h
+++ b/src/journal/segment_journal.h
@@ -1,8 +1,8 @@
 // The journal: segments of records under a manifest, compacted in small steps while traffic flows. What was
 // taken on always finds room for its attempts, outcomes and end; what would not is refused.
 // docs/design/journal.md.
-#ifndef SAGETALLY_SRC_STORE_JOURNAL_H_
-#define SAGETALLY_SRC_STORE_JOURNAL_H_
+#ifndef SAGETALLY_SRC_JOURNAL_SEGMENT_JOURNAL_H_
+#define SAGETALLY_SRC_JOURNAL_SEGMENT_JOURNAL_H_
 
 #include <cstdint>
 #include <deque>
@@ -15,13 +15,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "clock/clock.h"
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
-#include "log/log.h"
-#include "store/fs/file_system.h"
-#include "store/manifest.h"
-#include "store/replay.h"
+#include "journal/file_system/file_system.h"
+#include "journal/manifest.h"
+#include "journal/replay.h"
+#include "logging/logger.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -196,4 +196,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_JOURNAL_H_
+#endif  // SAGETALLY_SRC_JOURNAL_SEGMENT_JOURNAL_H_
--- a/src/store/snapshot.cpp
+++ b/src/journal/snapshot.cpp
@@ -1,4 +1,4 @@
-#include "store/snapshot.h"
+#include "journal/snapshot.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/store/snapshot.h
+++ b/src/journal/snapshot.h
@@ -1,12 +1,12 @@
 // Journals as a whole: read beside the process that writes one, copied as it stood at a moment, put back.
-#ifndef SAGETALLY_SRC_STORE_SNAPSHOT_H_
-#define SAGETALLY_SRC_STORE_SNAPSHOT_H_
+#ifndef SAGETALLY_SRC_JOURNAL_SNAPSHOT_H_
+#define SAGETALLY_SRC_JOURNAL_SNAPSHOT_H_
 
 #include <cstdint>
 #include <string>
 
-#include "core/ledger.h"
-#include "store/replay.h"
+#include "core/message_table.h"
+#include "journal/replay.h"
 
 namespace sagetally {
 
@@ -35,4 +35,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STORE_SNAPSHOT_H_
+#endif  // SAGETALLY_SRC_JOURNAL_SNAPSHOT_H_
--- a/src/lab/cli.cpp
+++ b/src/loadtest/cli.cpp
@@ -1,4 +1,4 @@
-#include "lab/cli.h"
+#include "loadtest/cli.h"
 
 #include <fmt/format.h>
 
@@ -8,14 +8,14 @@
 #include <iostream>
 
 #include "cli/flags.h"
-#include "lab/interrupt.h"
-#include "lab/load/import.h"
-#include "lab/load/limit.h"
-#include "lab/load/trace.h"
-#include "lab/report/html.h"
-#include "lab/standin/standins.h"
-#include "lab/try/try.h"
-#include "log/log.h"
+#include "loadtest/demo/demo.h"
+#include "loadtest/interrupt.h"
+#include "loadtest/load/import.h"
+#include "loadtest/load/limit.h"
+#include "loadtest/load/trace.h"
+#include "loadtest/report/html.h"
+#include "loadtest/stub/stub_set.h"
+#include "logging/logger.h"
 
 namespace sagetally::lab {
 namespace {
@@ -248,8 +248,8 @@
 }  // namespace
 
 int RunLab(int argc, const char* const* argv) {
-  CLI::App app{"sagetally-lab: load, stand-ins, traces and reports round sagetally"};
-  app.set_version_flag("--version", std::string("sagetally-lab ") + SAGETALLY_VERSION);
+  CLI::App app{"sagetally-loadtest: load, stand-ins, traces and reports round sagetally"};
+  app.set_version_flag("--version", std::string("sagetally-loadtest ") + SAGETALLY_VERSION);
   app.require_subcommand(1);
   const auto option = [](CLI::App* sub, const std::string& names, auto& to, const std::string& text) {
     const std::string flag = names.substr(0, names.find(','));
@@ -259,7 +259,7 @@
         ->capture_default_str();
   };
   const auto with_version = [](CLI::App* sub) {
-    sub->set_version_flag("--version", std::string("sagetally-lab ") + SAGETALLY_VERSION);
+    sub->set_version_flag("--version", std::string("sagetally-loadtest ") + SAGETALLY_VERSION);
     return sub;
   };
 
--- a/src/lab/cli.h
+++ b/src/loadtest/cli.h
@@ -1,6 +1,6 @@
-// The command line of sagetally-lab, on CLI11.
-#ifndef SAGETALLY_SRC_LAB_CLI_H_
-#define SAGETALLY_SRC_LAB_CLI_H_
+// The command line of sagetally-loadtest, on CLI11.
+#ifndef SAGETALLY_SRC_LOADTEST_CLI_H_
+#define SAGETALLY_SRC_LOADTEST_CLI_H_
 
 namespace sagetally::lab {
 
@@ -10,4 +10,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_CLI_H_
+#endif  // SAGETALLY_SRC_LOADTEST_CLI_H_
--- a/src/lab/clock.h
+++ b/src/loadtest/clock.h
@@ -1,6 +1,6 @@
 // The time of runs and sightings: microseconds of the machine's monotonic clock, which its processes share.
-#ifndef SAGETALLY_SRC_LAB_CLOCK_H_
-#define SAGETALLY_SRC_LAB_CLOCK_H_
+#ifndef SAGETALLY_SRC_LOADTEST_CLOCK_H_
+#define SAGETALLY_SRC_LOADTEST_CLOCK_H_
 
 #include <chrono>
 #include <cstdint>
@@ -14,4 +14,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_CLOCK_H_
+#endif  // SAGETALLY_SRC_LOADTEST_CLOCK_H_
--- a/src/lab/try/child.cpp
+++ b/src/loadtest/demo/child.cpp
@@ -1,4 +1,4 @@
-#include "lab/try/child.h"
+#include "loadtest/demo/child.h"
 
 #include <fcntl.h>
 #include <sys/wait.h>
--- a/src/lab/try/child.h
+++ b/src/loadtest/demo/child.h
@@ -1,6 +1,6 @@
 // A child process: started without a shell, ended and waited for at the latest when its object goes.
-#ifndef SAGETALLY_SRC_LAB_TRY_CHILD_H_
-#define SAGETALLY_SRC_LAB_TRY_CHILD_H_
+#ifndef SAGETALLY_SRC_LOADTEST_DEMO_CHILD_H_
+#define SAGETALLY_SRC_LOADTEST_DEMO_CHILD_H_
 
 #include <sys/types.h>
 
@@ -38,4 +38,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_TRY_CHILD_H_
+#endif  // SAGETALLY_SRC_LOADTEST_DEMO_CHILD_H_
--- a/src/lab/try/try.cpp
+++ b/src/loadtest/demo/demo.cpp
@@ -1,4 +1,4 @@
-#include "lab/try/try.h"
+#include "loadtest/demo/demo.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -11,10 +11,10 @@
 #include <stdexcept>
 #include <thread>
 
-#include "lab/clock.h"
-#include "lab/report/html.h"
-#include "lab/standin/thread.h"
-#include "lab/try/child.h"
+#include "loadtest/clock.h"
+#include "loadtest/demo/child.h"
+#include "loadtest/report/html.h"
+#include "loadtest/stub/thread.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/try/try.h
+++ b/src/loadtest/demo/demo.h
@@ -1,12 +1,12 @@
-// `sagetally-lab try`: everything that is needed to see sagetally work, on loopback, in one command.
-#ifndef SAGETALLY_SRC_LAB_TRY_TRY_H_
-#define SAGETALLY_SRC_LAB_TRY_TRY_H_
+// `sagetally-loadtest try`: everything that is needed to see sagetally work, on loopback, in one command.
+#ifndef SAGETALLY_SRC_LOADTEST_DEMO_DEMO_H_
+#define SAGETALLY_SRC_LOADTEST_DEMO_DEMO_H_
 
 #include <functional>
 #include <iosfwd>
 #include <string>
 
-#include "lab/report/result.h"
+#include "loadtest/report/result.h"
 
 namespace sagetally::lab {
 
@@ -26,4 +26,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_TRY_TRY_H_
+#endif  // SAGETALLY_SRC_LOADTEST_DEMO_DEMO_H_
--- a/src/lab/interrupt.h
+++ b/src/loadtest/interrupt.h
@@ -1,6 +1,6 @@
 // Ctrl-C and SIGTERM as a question: they are blocked, and asked for where a run can be broken off in order.
-#ifndef SAGETALLY_SRC_LAB_INTERRUPT_H_
-#define SAGETALLY_SRC_LAB_INTERRUPT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
+#define SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
 
 #include <csignal>
 #include <ctime>
@@ -30,4 +30,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_INTERRUPT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
--- a/src/lab/load/client.cpp
+++ b/src/loadtest/load/client.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/client.h"
+#include "loadtest/load/client.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -15,7 +15,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "store/fd.h"
+#include "base/file_descriptor.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/load/client.h
+++ b/src/loadtest/load/client.h
@@ -1,6 +1,6 @@
 // Connections of the load generator's clients, for one thread: one request at a time on each, kept open.
-#ifndef SAGETALLY_SRC_LAB_LOAD_CLIENT_H_
-#define SAGETALLY_SRC_LAB_LOAD_CLIENT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_CLIENT_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally::lab {
 
@@ -56,4 +56,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_CLIENT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_CLIENT_H_
--- a/src/lab/load/distribution.cpp
+++ b/src/loadtest/load/distribution.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/distribution.h"
+#include "loadtest/load/distribution.h"
 
 #include <boost/random/exponential_distribution.hpp>
 #include <boost/random/gamma_distribution.hpp>
--- a/src/lab/load/distribution.h
+++ b/src/loadtest/load/distribution.h
@@ -1,7 +1,7 @@
 // Distributions of positive numbers: spacings, service times, body sizes. Drawn with Boost.Random, described
 // by Boost.Math.
-#ifndef SAGETALLY_SRC_LAB_LOAD_DISTRIBUTION_H_
-#define SAGETALLY_SRC_LAB_LOAD_DISTRIBUTION_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_DISTRIBUTION_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_DISTRIBUTION_H_
 
 #include <boost/math/distributions/exponential.hpp>
 #include <boost/math/distributions/gamma.hpp>
@@ -12,7 +12,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <variant>
 
-#include "lab/random.h"
+#include "loadtest/random.h"
 
 namespace sagetally::lab {
 
@@ -48,4 +48,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_DISTRIBUTION_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_DISTRIBUTION_H_
--- a/src/lab/load/import.cpp
+++ b/src/loadtest/load/import.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/import.h"
+#include "loadtest/load/import.h"
 
 #include <fmt/format.h>
 
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "lab/load/import_grammar.h"
+#include "loadtest/load/import_grammar.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/load/import.h
+++ b/src/loadtest/load/import.h
@@ -1,13 +1,13 @@
 // Recorded traces of other programs become plans: CSV, JSON lines, and access logs in the combined form.
-#ifndef SAGETALLY_SRC_LAB_LOAD_IMPORT_H_
-#define SAGETALLY_SRC_LAB_LOAD_IMPORT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_H_
 
 #include <iosfwd>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "lab/load/plan.h"
+#include "loadtest/load/plan.h"
 
 namespace sagetally::lab {
 
@@ -54,4 +54,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_IMPORT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_H_
--- a/src/lab/load/import_grammar.cpp
+++ b/src/loadtest/load/import_grammar.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/import_grammar.h"
+#include "loadtest/load/import_grammar.h"
 
 #include <boost/fusion/include/adapt_struct.hpp>
 #include <boost/fusion/include/vector.hpp>
--- a/src/lab/load/import_grammar.h
+++ b/src/loadtest/load/import_grammar.h
@@ -1,6 +1,6 @@
 // The grammars of foreign traces, line by line.
-#ifndef SAGETALLY_SRC_LAB_LOAD_IMPORT_GRAMMAR_H_
-#define SAGETALLY_SRC_LAB_LOAD_IMPORT_GRAMMAR_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_GRAMMAR_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_GRAMMAR_H_
 
 #include <stdexcept>
 #include <string>
@@ -27,4 +27,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_IMPORT_GRAMMAR_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_GRAMMAR_H_
--- a/src/lab/load/limit.cpp
+++ b/src/loadtest/load/limit.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/limit.h"
+#include "loadtest/load/limit.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/load/limit.h
+++ b/src/loadtest/load/limit.h
@@ -1,6 +1,6 @@
 // Searches for the highest rate that a target holds.
-#ifndef SAGETALLY_SRC_LAB_LOAD_LIMIT_H_
-#define SAGETALLY_SRC_LAB_LOAD_LIMIT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_LIMIT_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_LIMIT_H_
 
 #include <functional>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_LIMIT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_LIMIT_H_
--- a/src/lab/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/plan.h"
+#include "loadtest/load/plan.h"
 
 #include <fmt/format.h>
 
--- a/src/lab/load/plan.h
+++ b/src/loadtest/load/plan.h
@@ -1,6 +1,6 @@
 // What a run means to send: each message with its intended time, drawn from a scenario and a seed alone.
-#ifndef SAGETALLY_SRC_LAB_LOAD_PLAN_H_
-#define SAGETALLY_SRC_LAB_LOAD_PLAN_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
 
 #include <boost/random/discrete_distribution.hpp>
 #include <cstdint>
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/load/rate.h"
-#include "lab/load/scenario.h"
+#include "loadtest/load/rate.h"
+#include "loadtest/load/scenario.h"
 
 namespace sagetally::lab {
 
@@ -67,4 +67,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_PLAN_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
--- a/src/lab/load/rate.cpp
+++ b/src/loadtest/load/rate.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/rate.h"
+#include "loadtest/load/rate.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/load/rate.h
+++ b/src/loadtest/load/rate.h
@@ -1,13 +1,13 @@
 // How many messages a second are offered, over time: pieces of straight lines, which is all that the arrivals
 // need to know of constant, stepped, ramped, daily and bursty rates.
-#ifndef SAGETALLY_SRC_LAB_LOAD_RATE_H_
-#define SAGETALLY_SRC_LAB_LOAD_RATE_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_RATE_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_RATE_H_
 
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
 #include <vector>
 
-#include "lab/load/distribution.h"
+#include "loadtest/load/distribution.h"
 
 namespace sagetally::lab {
 
@@ -60,4 +60,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_RATE_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_RATE_H_
--- a/src/lab/load/run.cpp
+++ b/src/loadtest/load/run.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/run.h"
+#include "loadtest/load/run.h"
 
 #include <sys/resource.h>
 
@@ -7,8 +7,8 @@
 #include <stdexcept>
 #include <thread>
 
-#include "lab/clock.h"
-#include "lab/load/trace.h"
+#include "loadtest/clock.h"
+#include "loadtest/load/trace.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/load/run.h
+++ b/src/loadtest/load/run.h
@@ -1,6 +1,6 @@
 // A whole run: the plan drawn on one thread, sent by others, everything recorded.
-#ifndef SAGETALLY_SRC_LAB_LOAD_RUN_H_
-#define SAGETALLY_SRC_LAB_LOAD_RUN_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
 
 #include <atomic>
 #include <functional>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/load/sender.h"
+#include "loadtest/load/sender.h"
 
 namespace sagetally::lab {
 
@@ -39,4 +39,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_RUN_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
--- a/src/lab/load/scenario.cpp
+++ b/src/loadtest/load/scenario.cpp
@@ -1,10 +1,10 @@
-#include "lab/load/scenario.h"
+#include "loadtest/load/scenario.h"
 
 #include <fstream>
 #include <stdexcept>
 
-#include "lab/load/distribution.h"
-#include "lab/schemas.h"
+#include "loadtest/load/distribution.h"
+#include "loadtest/schemas.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/load/scenario.h
+++ b/src/loadtest/load/scenario.h
@@ -1,7 +1,7 @@
 // A scenario: what is offered, to whom, and how the clients behave. Its form is
 // deploy/schema/scenario.schema.json.
-#ifndef SAGETALLY_SRC_LAB_LOAD_SCENARIO_H_
-#define SAGETALLY_SRC_LAB_LOAD_SCENARIO_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_SCENARIO_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_SCENARIO_H_
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -82,4 +82,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_SCENARIO_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_SCENARIO_H_
--- a/src/lab/load/self_watch.cpp
+++ b/src/loadtest/load/self_watch.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/self_watch.h"
+#include "loadtest/load/self_watch.h"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -7,8 +7,8 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "lab/clock.h"
-#include "lab/report/histogram.h"
+#include "loadtest/clock.h"
+#include "loadtest/report/histogram.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/load/self_watch.h
+++ b/src/loadtest/load/self_watch.h
@@ -1,12 +1,12 @@
 // Watches the generator itself: a thread's CPU time, how long it waited for a core, and jumps of the clock.
-#ifndef SAGETALLY_SRC_LAB_LOAD_SELF_WATCH_H_
-#define SAGETALLY_SRC_LAB_LOAD_SELF_WATCH_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_SELF_WATCH_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_SELF_WATCH_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "lab/load/scenario.h"
+#include "loadtest/load/scenario.h"
 
 namespace sagetally::lab {
 
@@ -37,4 +37,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_SELF_WATCH_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_SELF_WATCH_H_
--- a/src/lab/load/sender.cpp
+++ b/src/loadtest/load/sender.cpp
@@ -1,8 +1,8 @@
-#include "lab/load/sender.h"
+#include "loadtest/load/sender.h"
 
 #include <algorithm>
 
-#include "lab/clock.h"
+#include "loadtest/clock.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/load/sender.h
+++ b/src/loadtest/load/sender.h
@@ -1,7 +1,7 @@
 // One sending thread: sends each planned message at its intended time whatever became of those before it, and
 // hands messages in again as the protocol's clients do.
-#ifndef SAGETALLY_SRC_LAB_LOAD_SENDER_H_
-#define SAGETALLY_SRC_LAB_LOAD_SENDER_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
 
 #include <atomic>
 #include <boost/lockfree/spsc_queue.hpp>
@@ -10,10 +10,10 @@
 #include <queue>
 #include <vector>
 
-#include "lab/load/client.h"
-#include "lab/load/self_watch.h"
-#include "lab/load/wire.h"
-#include "lab/report/record.h"
+#include "loadtest/load/client.h"
+#include "loadtest/load/self_watch.h"
+#include "loadtest/load/wire.h"
+#include "loadtest/report/record.h"
 
 namespace sagetally::lab {
 
@@ -84,4 +84,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_SENDER_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
--- a/src/lab/load/trace.cpp
+++ b/src/loadtest/load/trace.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/trace.h"
+#include "loadtest/load/trace.h"
 
 #include <fmt/format.h>
 
@@ -48,7 +48,7 @@
   if (!head.is_object() || head.value("trace", "") != "sagetally" || head.value("version", 0) != 1) {
     throw std::runtime_error(path +
                              ":1: expected the head of a trace; import foreign ones with "
-                             "`sagetally-lab trace import`");
+                             "`sagetally-loadtest trace import`");
   }
 }
 
--- a/src/lab/load/trace.h
+++ b/src/loadtest/load/trace.h
@@ -1,14 +1,14 @@
 // Traces: plans on file. One JSON value a line; the first names the form, the classes and the seed, each
 // other one message.
-#ifndef SAGETALLY_SRC_LAB_LOAD_TRACE_H_
-#define SAGETALLY_SRC_LAB_LOAD_TRACE_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
 
 #include <fstream>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "lab/load/plan.h"
+#include "loadtest/load/plan.h"
 
 namespace sagetally::lab {
 
@@ -43,4 +43,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_TRACE_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
--- a/src/lab/load/wire.cpp
+++ b/src/loadtest/load/wire.cpp
@@ -1,4 +1,4 @@
-#include "lab/load/wire.h"
+#include "loadtest/load/wire.h"
 
 #include <fmt/format.h>
 
--- a/src/lab/load/wire.h
+++ b/src/loadtest/load/wire.h
@@ -1,11 +1,11 @@
 // Requests as bytes, for both fronts.
-#ifndef SAGETALLY_SRC_LAB_LOAD_WIRE_H_
-#define SAGETALLY_SRC_LAB_LOAD_WIRE_H_
+#ifndef SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
+#define SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
 
 #include <span>
 #include <string>
 
-#include "lab/load/plan.h"
+#include "loadtest/load/plan.h"
 
 namespace sagetally::lab {
 
@@ -25,4 +25,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_LOAD_WIRE_H_
+#endif  // SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
--- a/src/lab/random.h
+++ b/src/loadtest/random.h
@@ -1,7 +1,7 @@
 // Seeded random numbers: one stream for each purpose, so that one draw more in one place moves nothing
 // elsewhere.
-#ifndef SAGETALLY_SRC_LAB_RANDOM_H_
-#define SAGETALLY_SRC_LAB_RANDOM_H_
+#ifndef SAGETALLY_SRC_LOADTEST_RANDOM_H_
+#define SAGETALLY_SRC_LOADTEST_RANDOM_H_
 
 #include <xxhash.h>
 
@@ -20,4 +20,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_RANDOM_H_
+#endif  // SAGETALLY_SRC_LOADTEST_RANDOM_H_
--- a/src/lab/report/account.cpp
+++ b/src/loadtest/report/account.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/account.h"
+#include "loadtest/report/account.h"
 
 #include <algorithm>
 #include <string>
--- a/src/lab/report/account.h
+++ b/src/loadtest/report/account.h
@@ -1,6 +1,6 @@
 // Accounts for each message of a run exactly once, and derives all figures of the run from that.
-#ifndef SAGETALLY_SRC_LAB_REPORT_ACCOUNT_H_
-#define SAGETALLY_SRC_LAB_REPORT_ACCOUNT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_ACCOUNT_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_ACCOUNT_H_
 
 #include <array>
 #include <map>
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/load/scenario.h"
-#include "lab/report/histogram.h"
-#include "lab/report/record.h"
-#include "lab/standin/timeline.h"
+#include "loadtest/load/scenario.h"
+#include "loadtest/report/histogram.h"
+#include "loadtest/report/record.h"
+#include "loadtest/stub/timeline.h"
 
 namespace sagetally::lab {
 
@@ -75,4 +75,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_ACCOUNT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_ACCOUNT_H_
--- a/src/lab/report/histogram.cpp
+++ b/src/loadtest/report/histogram.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/histogram.h"
+#include "loadtest/report/histogram.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/report/histogram.h
+++ b/src/loadtest/report/histogram.h
@@ -1,7 +1,7 @@
 // Latencies on a log axis (Boost.Histogram): merged across threads, runs and files, with quantiles that are
 // wrong by under half a per cent from 10 us to 10 min.
-#ifndef SAGETALLY_SRC_LAB_REPORT_HISTOGRAM_H_
-#define SAGETALLY_SRC_LAB_REPORT_HISTOGRAM_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_HISTOGRAM_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_HISTOGRAM_H_
 
 #include <boost/histogram/axis/regular.hpp>
 #include <boost/histogram/histogram.hpp>
@@ -47,4 +47,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_HISTOGRAM_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_HISTOGRAM_H_
--- a/src/lab/report/html.cpp
+++ b/src/loadtest/report/html.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/html.h"
+#include "loadtest/report/html.h"
 
 #include <fmt/format.h>
 
@@ -9,8 +9,8 @@
 #include <stdexcept>
 
 #include "cli/table.h"
-#include "lab/report/plots.h"
-#include "lab/report/statistics.h"
+#include "loadtest/report/plots.h"
+#include "loadtest/report/statistics.h"
 
 namespace sagetally::lab {
 namespace {
@@ -110,10 +110,10 @@
   }
   std::ofstream page(folder + "/report.html", std::ios::trunc);
   page << "<!DOCTYPE html><html lang=\"en\"><head><meta "
-          "charset=\"utf-8\"><title>sagetally-lab</title><style>body{"
+          "charset=\"utf-8\"><title>sagetally-loadtest</title><style>body{"
           "font-family:sans-serif;max-width:960px;margin:2em "
           "auto}pre{background:#f6f6f6;padding:1em;overflow:auto}td,th{"
-          "padding:.2em 1em;text-align:left}</style></head><body><h1>sagetally-lab</h1>"
+          "padding:.2em 1em;text-align:left}</style></head><body><h1>sagetally-loadtest</h1>"
        << body << "</body></html>\n";
   page.close();
   std::ofstream json(folder + "/report.json", std::ios::trunc);
--- a/src/lab/report/html.h
+++ b/src/loadtest/report/html.h
@@ -1,13 +1,13 @@
 // One self-contained page for one run or several, and the comparison of two sets of runs.
-#ifndef SAGETALLY_SRC_LAB_REPORT_HTML_H_
-#define SAGETALLY_SRC_LAB_REPORT_HTML_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_HTML_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_HTML_H_
 
 #include <iosfwd>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-#include "lab/report/result.h"
+#include "loadtest/report/result.h"
 
 namespace sagetally::lab {
 
@@ -20,4 +20,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_HTML_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_HTML_H_
--- a/src/lab/report/plots.cpp
+++ b/src/loadtest/report/plots.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/plots.h"
+#include "loadtest/report/plots.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <ostream>
 #include <stdexcept>
 
-#include "lab/try/child.h"
+#include "loadtest/demo/child.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/report/plots.h
+++ b/src/loadtest/report/plots.h
@@ -1,11 +1,11 @@
 // Plots by gnuplot, as SVG and PNG.
-#ifndef SAGETALLY_SRC_LAB_REPORT_PLOTS_H_
-#define SAGETALLY_SRC_LAB_REPORT_PLOTS_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
 
 #include <string>
 #include <vector>
 
-#include "lab/report/result.h"
+#include "loadtest/report/result.h"
 
 namespace sagetally::lab {
 
@@ -20,4 +20,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_PLOTS_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
--- a/src/lab/report/record.cpp
+++ b/src/loadtest/report/record.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/record.h"
+#include "loadtest/report/record.h"
 
 #include <fmt/format.h>
 
--- a/src/lab/report/record.h
+++ b/src/loadtest/report/record.h
@@ -1,15 +1,15 @@
 // What happened to the messages of a run, as senders and stand-ins saw it. Times are microseconds of the
 // machine's monotonic clock, which its processes share.
-#ifndef SAGETALLY_SRC_LAB_REPORT_RECORD_H_
-#define SAGETALLY_SRC_LAB_REPORT_RECORD_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_RECORD_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_RECORD_H_
 
 #include <cstdint>
 #include <iosfwd>
 #include <string>
 #include <vector>
 
-#include "lab/load/plan.h"
-#include "lab/standin/timeline.h"
+#include "loadtest/load/plan.h"
+#include "loadtest/stub/timeline.h"
 
 namespace sagetally::lab {
 
@@ -51,4 +51,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_RECORD_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_RECORD_H_
--- a/src/lab/report/result.cpp
+++ b/src/loadtest/report/result.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/result.h"
+#include "loadtest/report/result.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 
 #include "cli/table.h"
 #include "config/schema.h"
-#include "lab/schemas.h"
+#include "loadtest/schemas.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/report/result.h
+++ b/src/loadtest/report/result.h
@@ -1,15 +1,15 @@
 // A run's result as a file: everything that reports and comparisons need. Its form is
 // deploy/schema/result.schema.json.
-#ifndef SAGETALLY_SRC_LAB_REPORT_RESULT_H_
-#define SAGETALLY_SRC_LAB_REPORT_RESULT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_RESULT_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_RESULT_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-#include "lab/load/run.h"
-#include "lab/report/account.h"
-#include "lab/standin/timeline.h"
+#include "loadtest/load/run.h"
+#include "loadtest/report/account.h"
+#include "loadtest/stub/timeline.h"
 
 namespace sagetally::lab {
 
@@ -39,4 +39,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_RESULT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_RESULT_H_
--- a/src/lab/report/statistics.cpp
+++ b/src/loadtest/report/statistics.cpp
@@ -1,4 +1,4 @@
-#include "lab/report/statistics.h"
+#include "loadtest/report/statistics.h"
 
 #include <algorithm>
 #include <boost/accumulators/accumulators.hpp>
--- a/src/lab/report/statistics.h
+++ b/src/loadtest/report/statistics.h
@@ -1,6 +1,6 @@
 // Confidence intervals over repeated runs (Student's t and Welch's, by Boost.Math).
-#ifndef SAGETALLY_SRC_LAB_REPORT_STATISTICS_H_
-#define SAGETALLY_SRC_LAB_REPORT_STATISTICS_H_
+#ifndef SAGETALLY_SRC_LOADTEST_REPORT_STATISTICS_H_
+#define SAGETALLY_SRC_LOADTEST_REPORT_STATISTICS_H_
 
 #include <optional>
 #include <span>
@@ -20,4 +20,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_REPORT_STATISTICS_H_
+#endif  // SAGETALLY_SRC_LOADTEST_REPORT_STATISTICS_H_
--- a/src/lab/schemas.h
+++ b/src/loadtest/schemas.h
@@ -1,6 +1,6 @@
 // The schemas under deploy/schema/, compiled in.
-#ifndef SAGETALLY_SRC_LAB_SCHEMAS_H_
-#define SAGETALLY_SRC_LAB_SCHEMAS_H_
+#ifndef SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
+#define SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
 
 #include <string_view>
 
@@ -10,4 +10,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_SCHEMAS_H_
+#endif  // SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
--- a/src/lab/standin/agent.cpp
+++ b/src/loadtest/stub/agent.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/agent.h"
+#include "loadtest/stub/agent.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/lab/standin/agent.h
+++ b/src/loadtest/stub/agent.h
@@ -1,6 +1,6 @@
 // The platform's agent: the list of endpoints, its watch, and notices.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_AGENT_H_
-#define SAGETALLY_SRC_LAB_STANDIN_AGENT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_AGENT_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_AGENT_H_
 
 #include <deque>
 #include <functional>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/standin/listener.h"
+#include "loadtest/stub/listener.h"
 
 namespace sagetally::lab {
 
@@ -72,4 +72,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_AGENT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_AGENT_H_
--- a/src/lab/standin/checker.cpp
+++ b/src/loadtest/stub/checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/checker.h"
+#include "loadtest/stub/checker.h"
 
 #include <fmt/format.h>
 
--- a/src/lab/standin/checker.h
+++ b/src/loadtest/stub/checker.h
@@ -1,7 +1,7 @@
 // The protocol's rules for calls, judged from what stand-ins see. It does no I/O and knows no clock: each
 // event brings its time.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_CHECKER_H_
-#define SAGETALLY_SRC_LAB_STANDIN_CHECKER_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_CHECKER_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_CHECKER_H_
 
 #include <cstdint>
 #include <map>
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/load/plan.h"
-#include "lab/report/account.h"
+#include "loadtest/load/plan.h"
+#include "loadtest/report/account.h"
 
 namespace sagetally::lab {
 
@@ -86,4 +86,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_CHECKER_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_CHECKER_H_
--- a/src/lab/standin/front.cpp
+++ b/src/loadtest/stub/frontend.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/front.h"
+#include "loadtest/stub/frontend.h"
 
 #include <fmt/format.h>
 
--- a/src/lab/standin/front.h
+++ b/src/loadtest/stub/frontend.h
@@ -1,15 +1,15 @@
 // A stand-in for a whole dispatcher, as the load generator's target: takes every message, unless its timeline
 // says otherwise. What it takes counts as delivered.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_FRONT_H_
-#define SAGETALLY_SRC_LAB_STANDIN_FRONT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "lab/load/distribution.h"
-#include "lab/standin/listener.h"
-#include "lab/standin/listener_script.h"
+#include "loadtest/load/distribution.h"
+#include "loadtest/stub/listener.h"
+#include "loadtest/stub/listener_script.h"
 
 namespace sagetally::lab {
 
@@ -33,4 +33,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_FRONT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
--- a/src/lab/standin/listener.cpp
+++ b/src/loadtest/stub/listener.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/listener.h"
+#include "loadtest/stub/listener.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/src/lab/standin/listener.h
+++ b/src/loadtest/stub/listener.h
@@ -1,7 +1,7 @@
 // An HTTP/1.1 listener for stand-ins: hands over each request, and lets its answer be late, spoilt, cut off
 // or reset. Made for provoking failures, not for speed or for hostile clients.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_LISTENER_H_
-#define SAGETALLY_SRC_LAB_STANDIN_LISTENER_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_LISTENER_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_LISTENER_H_
 
 #include <event2/listener.h>
 
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally::lab {
 
@@ -84,4 +84,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_LISTENER_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_LISTENER_H_
--- a/src/lab/standin/listener_script.cpp
+++ b/src/loadtest/stub/listener_script.cpp
@@ -1,9 +1,9 @@
-#include "lab/standin/listener_script.h"
+#include "loadtest/stub/listener_script.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "lab/clock.h"
+#include "loadtest/clock.h"
 
 namespace sagetally::lab {
 
--- a/src/lab/standin/listener_script.h
+++ b/src/loadtest/stub/listener_script.h
@@ -1,11 +1,11 @@
 // Pauses and shuts a stand-in's listener as the timeline says, waking up for each change.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_LISTENER_SCRIPT_H_
-#define SAGETALLY_SRC_LAB_STANDIN_LISTENER_SCRIPT_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_LISTENER_SCRIPT_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_LISTENER_SCRIPT_H_
 
 #include <string>
 
-#include "lab/standin/listener.h"
-#include "lab/standin/timeline.h"
+#include "loadtest/stub/listener.h"
+#include "loadtest/stub/timeline.h"
 
 namespace sagetally::lab {
 
@@ -30,4 +30,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_LISTENER_SCRIPT_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_LISTENER_SCRIPT_H_
--- a/src/lab/standin/partner.cpp
+++ b/src/loadtest/stub/partner.cpp
@@ -1,9 +1,9 @@
-#include "lab/standin/partner.h"
+#include "loadtest/stub/partner.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "lab/clock.h"
+#include "loadtest/clock.h"
 
 namespace sagetally::lab {
 
--- a/src/lab/standin/partner.h
+++ b/src/loadtest/stub/partner.h
@@ -1,7 +1,7 @@
 // A partner's endpoint: works on calls with a capacity, a queue and limits, remembers keys, goes wrong by
 // script, and tells a checker of all it sees.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_PARTNER_H_
-#define SAGETALLY_SRC_LAB_STANDIN_PARTNER_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_PARTNER_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_PARTNER_H_
 
 #include <chrono>
 #include <deque>
@@ -10,11 +10,11 @@
 #include <memory>
 #include <string>
 
-#include "lab/load/distribution.h"
-#include "lab/standin/checker.h"
-#include "lab/standin/listener.h"
-#include "lab/standin/listener_script.h"
-#include "lab/standin/timeline.h"
+#include "loadtest/load/distribution.h"
+#include "loadtest/stub/checker.h"
+#include "loadtest/stub/listener.h"
+#include "loadtest/stub/listener_script.h"
+#include "loadtest/stub/timeline.h"
 
 namespace sagetally::lab {
 
@@ -99,4 +99,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_PARTNER_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_PARTNER_H_
--- a/src/lab/standin/registry.cpp
+++ b/src/loadtest/stub/registry.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/registry.h"
+#include "loadtest/stub/registry.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/lab/standin/registry.h
+++ b/src/loadtest/stub/registry.h
@@ -1,14 +1,14 @@
 // Eureka's registry, as far as its clients here use it: applications by POST, PUT and DELETE, whole lists and
 // deltas by GET (github.com/Netflix/eureka/wiki/Eureka-REST-operations).
-#ifndef SAGETALLY_SRC_LAB_STANDIN_REGISTRY_H_
-#define SAGETALLY_SRC_LAB_STANDIN_REGISTRY_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_REGISTRY_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_REGISTRY_H_
 
 #include <map>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "lab/standin/listener.h"
+#include "loadtest/stub/listener.h"
 
 namespace sagetally::lab {
 
@@ -38,4 +38,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_REGISTRY_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_REGISTRY_H_
--- a/src/lab/standin/sink.cpp
+++ b/src/loadtest/stub/sink.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/sink.h"
+#include "loadtest/stub/sink.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/lab/standin/sink.h
+++ b/src/loadtest/stub/sink.h
@@ -1,12 +1,12 @@
 // A sink of CloudEvents: the results that a node tells of its messages.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_SINK_H_
-#define SAGETALLY_SRC_LAB_STANDIN_SINK_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_SINK_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_SINK_H_
 
 #include <deque>
 #include <functional>
 #include <string>
 
-#include "lab/standin/listener.h"
+#include "loadtest/stub/listener.h"
 
 namespace sagetally::lab {
 
@@ -26,4 +26,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_SINK_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_SINK_H_
--- a/src/lab/standin/standins.cpp
+++ b/src/loadtest/stub/stub_set.cpp
@@ -1,10 +1,10 @@
-#include "lab/standin/standins.h"
+#include "loadtest/stub/stub_set.h"
 
 #include <fmt/format.h>
 
-#include "lab/clock.h"
-#include "lab/load/scenario.h"
-#include "lab/schemas.h"
+#include "loadtest/clock.h"
+#include "loadtest/load/scenario.h"
+#include "loadtest/schemas.h"
 
 namespace sagetally::lab {
 namespace {
--- a/src/lab/standin/standins.h
+++ b/src/loadtest/stub/stub_set.h
@@ -1,7 +1,7 @@
 // A set of stand-ins on one loop, described by one file: partners, an agent, a registry, a sink; one checker
 // and one timeline for all of them. Its form is deploy/schema/standin.schema.json.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_STANDINS_H_
-#define SAGETALLY_SRC_LAB_STANDIN_STANDINS_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_STUB_SET_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_STUB_SET_H_
 
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "config/schema.h"
-#include "lab/report/record.h"
-#include "lab/standin/agent.h"
-#include "lab/standin/front.h"
-#include "lab/standin/partner.h"
-#include "lab/standin/registry.h"
-#include "lab/standin/sink.h"
+#include "loadtest/report/record.h"
+#include "loadtest/stub/agent.h"
+#include "loadtest/stub/frontend.h"
+#include "loadtest/stub/partner.h"
+#include "loadtest/stub/registry.h"
+#include "loadtest/stub/sink.h"
 
 namespace sagetally::lab {
 
@@ -67,4 +67,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_STANDINS_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_STUB_SET_H_
--- a/src/lab/standin/thread.cpp
+++ b/src/loadtest/stub/thread.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/thread.h"
+#include "loadtest/stub/thread.h"
 
 #include <chrono>
 #include <stdexcept>
--- a/src/lab/standin/thread.h
+++ b/src/loadtest/stub/thread.h
@@ -1,6 +1,6 @@
 // Stand-ins on a thread and loop of their own, beside a run in the same process.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_THREAD_H_
-#define SAGETALLY_SRC_LAB_STANDIN_THREAD_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_THREAD_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_THREAD_H_
 
 #include <atomic>
 #include <memory>
@@ -8,7 +8,7 @@
 #include <thread>
 #include <vector>
 
-#include "lab/standin/standins.h"
+#include "loadtest/stub/stub_set.h"
 
 namespace sagetally::lab {
 
@@ -44,4 +44,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_THREAD_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_THREAD_H_
--- a/src/lab/standin/timeline.cpp
+++ b/src/loadtest/stub/timeline.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin/timeline.h"
+#include "loadtest/stub/timeline.h"
 
 #include <boost/random/uniform_01.hpp>
 #include <nlohmann/json.hpp>
--- a/src/lab/standin/timeline.h
+++ b/src/loadtest/stub/timeline.h
@@ -1,6 +1,6 @@
 // What goes wrong at stand-ins, and when: a script, read from JSON. No I/O.
-#ifndef SAGETALLY_SRC_LAB_STANDIN_TIMELINE_H_
-#define SAGETALLY_SRC_LAB_STANDIN_TIMELINE_H_
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_TIMELINE_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_TIMELINE_H_
 
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/random.h"
+#include "loadtest/random.h"
 
 namespace sagetally::lab {
 
@@ -60,4 +60,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_SRC_LAB_STANDIN_TIMELINE_H_
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_TIMELINE_H_
--- a/src/log/log.cpp
+++ b/src/logging/logger.cpp
@@ -1,4 +1,4 @@
-#include "log/log.h"
+#include "logging/logger.h"
 
 #include <spdlog/pattern_formatter.h>
 #include <spdlog/sinks/stdout_sinks.h>
--- a/src/log/log.h
+++ b/src/logging/logger.h
@@ -1,6 +1,6 @@
 // The structured log: one line an event, with the event's name and its fields, as text or as JSON lines.
-#ifndef SAGETALLY_SRC_LOG_LOG_H_
-#define SAGETALLY_SRC_LOG_LOG_H_
+#ifndef SAGETALLY_SRC_LOGGING_LOGGER_H_
+#define SAGETALLY_SRC_LOGGING_LOGGER_H_
 
 #include <spdlog/logger.h>
 
@@ -74,4 +74,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_LOG_LOG_H_
+#endif  // SAGETALLY_SRC_LOGGING_LOGGER_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,11 +7,11 @@
 
 #include "app/dispatcher.h"
 #include "app/forwarder.h"
-#include "cli/journal.h"
-#include "cli/kept.h"
-#include "cli/operate.h"
+#include "cli/admin_commands.h"
+#include "cli/dead_letter_commands.h"
+#include "cli/journal_commands.h"
 #include "cli/options.h"
-#include "kept/files.h"
+#include "dead_letter/rule_files.h"
 
 namespace sagetally {
 namespace {
--- a/src/net/door.cpp
+++ b/src/net/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "net/door.h"
+#include "net/admin_server.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/src/net/door.h
+++ b/src/net/admin_server.h
@@ -1,16 +1,16 @@
 // The operators' door: a listener for calls of one line each, apart from the clients' connections. It is
 // answered before all else that the loop has to do.
-#ifndef SAGETALLY_SRC_NET_DOOR_H_
-#define SAGETALLY_SRC_NET_DOOR_H_
+#ifndef SAGETALLY_SRC_NET_ADMIN_SERVER_H_
+#define SAGETALLY_SRC_NET_ADMIN_SERVER_H_
 
 #include <cstdint>
 #include <list>
 #include <memory>
 
+#include "admin/admin_request.h"
+#include "base/file_descriptor.h"
 #include "config/config.h"
-#include "net/loop.h"
-#include "operate/calls.h"
-#include "store/fd.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -46,4 +46,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_DOOR_H_
+#endif  // SAGETALLY_SRC_NET_ADMIN_SERVER_H_
--- a/src/net/control.cpp
+++ b/src/net/control_server.cpp
@@ -1,4 +1,4 @@
-#include "net/control.h"
+#include "net/control_server.h"
 
 #include <event2/buffer.h>
 #include <sys/socket.h>
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "store/fd.h"
+#include "base/file_descriptor.h"
 
 namespace sagetally {
 namespace {
--- a/src/net/control.h
+++ b/src/net/control_server.h
@@ -1,6 +1,6 @@
 // A listener on a Unix socket for operators on the same machine: one request a line, one answer a line.
-#ifndef SAGETALLY_SRC_NET_CONTROL_H_
-#define SAGETALLY_SRC_NET_CONTROL_H_
+#ifndef SAGETALLY_SRC_NET_CONTROL_SERVER_H_
+#define SAGETALLY_SRC_NET_CONTROL_SERVER_H_
 
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -43,4 +43,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_CONTROL_H_
+#endif  // SAGETALLY_SRC_NET_CONTROL_SERVER_H_
--- a/src/net/watch.cpp
+++ b/src/net/endpoint_list_watcher.cpp
@@ -1,4 +1,4 @@
-#include "net/watch.h"
+#include "net/endpoint_list_watcher.h"
 
 #include <event2/buffer.h>
 
--- a/src/net/watch.h
+++ b/src/net/endpoint_list_watcher.h
@@ -1,17 +1,17 @@
 // The watch on discovery's list of endpoints: always on, resumed after the last version heard. Whatever
 // becomes of a call, what discovery has and could be asked for is heard before it binds: a change counts as
 // told 6 s later, and a drain then leaves a grace of its own.
-#ifndef SAGETALLY_SRC_NET_WATCH_H_
-#define SAGETALLY_SRC_NET_WATCH_H_
+#ifndef SAGETALLY_SRC_NET_ENDPOINT_LIST_WATCHER_H_
+#define SAGETALLY_SRC_NET_ENDPOINT_LIST_WATCHER_H_
 
 #include <functional>
 #include <string>
 
-#include "clock/back_off.h"
 #include "config/config.h"
 #include "config/json_stream.h"
-#include "log/log.h"
-#include "net/loop.h"
+#include "logging/logger.h"
+#include "net/event_loop.h"
+#include "time/backoff.h"
 
 namespace sagetally {
 
@@ -52,4 +52,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_WATCH_H_
+#endif  // SAGETALLY_SRC_NET_ENDPOINT_LIST_WATCHER_H_
--- a/src/net/endpoint_pool.h
+++ b/src/net/endpoint_pool.h
@@ -14,7 +14,7 @@
 
 #include "config/config.h"
 #include "core/ports.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
--- a/src/net/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/net/loop.h
+++ b/src/net/event_loop.h
@@ -1,6 +1,6 @@
 // RAII round libevent: the loop, timers and signals.
-#ifndef SAGETALLY_SRC_NET_LOOP_H_
-#define SAGETALLY_SRC_NET_LOOP_H_
+#ifndef SAGETALLY_SRC_NET_EVENT_LOOP_H_
+#define SAGETALLY_SRC_NET_EVENT_LOOP_H_
 
 #include <event2/event.h>
 #include <event2/http.h>
@@ -8,7 +8,7 @@
 #include <functional>
 #include <memory>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
@@ -61,4 +61,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_LOOP_H_
+#endif  // SAGETALLY_SRC_NET_EVENT_LOOP_H_
--- a/src/net/peers.cpp
+++ b/src/net/gossip_transport.cpp
@@ -1,4 +1,4 @@
-#include "net/peers.h"
+#include "net/gossip_transport.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/src/net/peers.h
+++ b/src/net/gossip_transport.h
@@ -1,13 +1,13 @@
 // Short notes between dispatchers, over UDP. They may be lost.
-#ifndef SAGETALLY_SRC_NET_PEERS_H_
-#define SAGETALLY_SRC_NET_PEERS_H_
+#ifndef SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
+#define SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
 
 #include <functional>
 #include <string>
 
+#include "base/file_descriptor.h"
 #include "config/config.h"
-#include "net/loop.h"
-#include "store/fd.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -32,4 +32,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_PEERS_H_
+#endif  // SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
--- a/src/net/channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -1,4 +1,4 @@
-#include "net/channel.h"
+#include "net/handover_channel.h"
 
 #include <fcntl.h>
 #include <poll.h>
--- a/src/net/channel.h
+++ b/src/net/handover_channel.h
@@ -1,15 +1,15 @@
 // A local channel between two processes of one node: packets in order, each with a kind, bytes and perhaps a
 // descriptor. A Unix socket of type SEQPACKET, reached by a name in the node's state folder.
-#ifndef SAGETALLY_SRC_NET_CHANNEL_H_
-#define SAGETALLY_SRC_NET_CHANNEL_H_
+#ifndef SAGETALLY_SRC_NET_HANDOVER_CHANNEL_H_
+#define SAGETALLY_SRC_NET_HANDOVER_CHANNEL_H_
 
 #include <functional>
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "net/loop.h"
-#include "store/fd.h"
+#include "base/file_descriptor.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -63,4 +63,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_CHANNEL_H_
+#endif  // SAGETALLY_SRC_NET_HANDOVER_CHANNEL_H_
--- a/src/net/http_calls.cpp
+++ b/src/net/http_client.cpp
@@ -1,10 +1,10 @@
-#include "net/http_calls.h"
+#include "net/http_client.h"
 
 #include <event2/buffer.h>
 #include <event2/keyvalq_struct.h>
 
 #include "net/http_connection.h"
-#include "net/written.h"
+#include "net/write_observer.h"
 
 namespace sagetally {
 namespace {
--- a/src/net/http_calls.h
+++ b/src/net/http_client.h
@@ -1,6 +1,6 @@
 // Single HTTP requests to other processes, each on a connection of its own and sent once.
-#ifndef SAGETALLY_SRC_NET_HTTP_CALLS_H_
-#define SAGETALLY_SRC_NET_HTTP_CALLS_H_
+#ifndef SAGETALLY_SRC_NET_HTTP_CLIENT_H_
+#define SAGETALLY_SRC_NET_HTTP_CLIENT_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -42,4 +42,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_HTTP_CALLS_H_
+#endif  // SAGETALLY_SRC_NET_HTTP_CLIENT_H_
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -8,7 +8,7 @@
 #include <algorithm>
 
 #include "config/config.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
--- a/src/net/server.cpp
+++ b/src/net/http_server.cpp
@@ -1,4 +1,4 @@
-#include "net/server.h"
+#include "net/http_server.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/src/net/server.h
+++ b/src/net/http_server.h
@@ -1,7 +1,7 @@
 // An HTTP listener: hands each request to the handler, and keeps watch over every connection from its accept
 // on: how many there are, how long a request may take to come, and how long one may stand idle.
-#ifndef SAGETALLY_SRC_NET_SERVER_H_
-#define SAGETALLY_SRC_NET_SERVER_H_
+#ifndef SAGETALLY_SRC_NET_HTTP_SERVER_H_
+#define SAGETALLY_SRC_NET_HTTP_SERVER_H_
 
 #include <event2/listener.h>
 
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
+#include "base/file_descriptor.h"
 #include "config/config.h"
-#include "net/loop.h"
-#include "store/fd.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -114,4 +114,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_SERVER_H_
+#endif  // SAGETALLY_SRC_NET_HTTP_SERVER_H_
--- a/src/net/notices.cpp
+++ b/src/net/notification_client.cpp
@@ -1,4 +1,4 @@
-#include "net/notices.h"
+#include "net/notification_client.h"
 
 #include <event2/buffer.h>
 
--- a/src/net/notices.h
+++ b/src/net/notification_client.h
@@ -1,7 +1,7 @@
 // Tells the ends of messages taken on and not delivered, again until they were heard: to the platform as
 // notices, to the sink of events as result events.
-#ifndef SAGETALLY_SRC_NET_NOTICES_H_
-#define SAGETALLY_SRC_NET_NOTICES_H_
+#ifndef SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
+#define SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
 
 #include <functional>
 #include <map>
@@ -10,8 +10,8 @@
 
 #include "config/config.h"
 #include "core/ports.h"
-#include "log/log.h"
-#include "net/loop.h"
+#include "logging/logger.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -54,4 +54,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_NOTICES_H_
+#endif  // SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
--- a/src/net/bell.h
+++ b/src/net/wakeup_descriptor.h
@@ -1,6 +1,6 @@
 // Rung by any thread, heard on the loop.
-#ifndef SAGETALLY_SRC_NET_BELL_H_
-#define SAGETALLY_SRC_NET_BELL_H_
+#ifndef SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
+#define SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
 
 #include <sys/eventfd.h>
 #include <unistd.h>
@@ -9,8 +9,8 @@
 #include <functional>
 #include <utility>
 
-#include "net/loop.h"
-#include "store/fd.h"
+#include "base/file_descriptor.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -42,4 +42,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_BELL_H_
+#endif  // SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
--- a/src/net/written.h
+++ b/src/net/write_observer.h
@@ -1,6 +1,6 @@
 // Tells when a request's last byte has gone to the socket of an evhttp connection.
-#ifndef SAGETALLY_SRC_NET_WRITTEN_H_
-#define SAGETALLY_SRC_NET_WRITTEN_H_
+#ifndef SAGETALLY_SRC_NET_WRITE_OBSERVER_H_
+#define SAGETALLY_SRC_NET_WRITE_OBSERVER_H_
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -8,7 +8,7 @@
 #include <functional>
 #include <utility>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace sagetally {
 
@@ -43,4 +43,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_NET_WRITTEN_H_
+#endif  // SAGETALLY_SRC_NET_WRITE_OBSERVER_H_
--- a/src/stages/admit.cpp
+++ b/src/pipeline/admission_controller.cpp
@@ -1,4 +1,4 @@
-#include "stages/admit.h"
+#include "pipeline/admission_controller.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/stages/admit.h
+++ b/src/pipeline/admission_controller.h
@@ -1,16 +1,16 @@
 // Admit: takes requests on, all of a submission or none, once they are on record; refuses at once what cannot
 // be held.
-#ifndef SAGETALLY_SRC_STAGES_ADMIT_H_
-#define SAGETALLY_SRC_STAGES_ADMIT_H_
+#ifndef SAGETALLY_SRC_PIPELINE_ADMISSION_CONTROLLER_H_
+#define SAGETALLY_SRC_PIPELINE_ADMISSION_CONTROLLER_H_
 
 #include <functional>
 #include <vector>
 
-#include "clock/clock.h"
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
-#include "stages/book.h"
-#include "stages/route.h"
+#include "pipeline/completion_handler.h"
+#include "pipeline/router.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -61,4 +61,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_ADMIT_H_
+#endif  // SAGETALLY_SRC_PIPELINE_ADMISSION_CONTROLLER_H_
--- a/src/stages/send.cpp
+++ b/src/pipeline/attempt_sender.cpp
@@ -1,4 +1,4 @@
-#include "stages/send.h"
+#include "pipeline/attempt_sender.h"
 
 namespace sagetally {
 namespace {
--- a/src/stages/send.h
+++ b/src/pipeline/attempt_sender.h
@@ -1,7 +1,7 @@
 // Send: puts an attempt on record, then lets the call go; one that is not safely on record waits, and is
 // given back unsent if that takes too long.
-#ifndef SAGETALLY_SRC_STAGES_SEND_H_
-#define SAGETALLY_SRC_STAGES_SEND_H_
+#ifndef SAGETALLY_SRC_PIPELINE_ATTEMPT_SENDER_H_
+#define SAGETALLY_SRC_PIPELINE_ATTEMPT_SENDER_H_
 
 #include <functional>
 #include <map>
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "clock/clock.h"
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -60,4 +60,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_SEND_H_
+#endif  // SAGETALLY_SRC_PIPELINE_ATTEMPT_SENDER_H_
--- a/src/stages/book.cpp
+++ b/src/pipeline/completion_handler.cpp
@@ -1,4 +1,4 @@
-#include "stages/book.h"
+#include "pipeline/completion_handler.h"
 
 #include <utility>
 #include <vector>
--- a/src/stages/book.h
+++ b/src/pipeline/completion_handler.h
@@ -1,12 +1,12 @@
 // Book: the last stage. Each message's one end, on record before it is told.
-#ifndef SAGETALLY_SRC_STAGES_BOOK_H_
-#define SAGETALLY_SRC_STAGES_BOOK_H_
+#ifndef SAGETALLY_SRC_PIPELINE_COMPLETION_HANDLER_H_
+#define SAGETALLY_SRC_PIPELINE_COMPLETION_HANDLER_H_
 
 #include <set>
 
-#include "clock/clock.h"
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -38,4 +38,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_BOOK_H_
+#endif  // SAGETALLY_SRC_PIPELINE_COMPLETION_HANDLER_H_
--- a/src/stages/chain.h
+++ b/src/pipeline/message_pipeline.h
@@ -1,13 +1,13 @@
 // The chain of stages as one: take in, admit, route, send, relay, book.
-#ifndef SAGETALLY_SRC_STAGES_CHAIN_H_
-#define SAGETALLY_SRC_STAGES_CHAIN_H_
+#ifndef SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
+#define SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
 
-#include "stages/admit.h"
-#include "stages/book.h"
-#include "stages/intake.h"
-#include "stages/relay.h"
-#include "stages/route.h"
-#include "stages/send.h"
+#include "pipeline/admission_controller.h"
+#include "pipeline/attempt_sender.h"
+#include "pipeline/completion_handler.h"
+#include "pipeline/outcome_handler.h"
+#include "pipeline/request_validator.h"
+#include "pipeline/router.h"
 
 namespace sagetally {
 
@@ -70,4 +70,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_CHAIN_H_
+#endif  // SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
--- a/src/stages/relay.cpp
+++ b/src/pipeline/outcome_handler.cpp
@@ -1,4 +1,4 @@
-#include "stages/relay.h"
+#include "pipeline/outcome_handler.h"
 
 #include <utility>
 
--- a/src/stages/relay.h
+++ b/src/pipeline/outcome_handler.h
@@ -1,13 +1,13 @@
 // Relay: takes what came back from a call, puts it on record and passes it on.
-#ifndef SAGETALLY_SRC_STAGES_RELAY_H_
-#define SAGETALLY_SRC_STAGES_RELAY_H_
+#ifndef SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
+#define SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
 
-#include "clock/clock.h"
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
-#include "handover/state.h"
-#include "stages/book.h"
-#include "stages/route.h"
+#include "handover/handover_state.h"
+#include "pipeline/completion_handler.h"
+#include "pipeline/router.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -37,4 +37,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_RELAY_H_
+#endif  // SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
--- a/src/stages/intake.cpp
+++ b/src/pipeline/request_validator.cpp
@@ -1,4 +1,4 @@
-#include "stages/intake.h"
+#include "pipeline/request_validator.h"
 
 #include <set>
 #include <utility>
--- a/src/stages/intake.h
+++ b/src/pipeline/request_validator.h
@@ -1,12 +1,12 @@
 // Intake: checks a submission from either front, and knows messages that came before.
-#ifndef SAGETALLY_SRC_STAGES_INTAKE_H_
-#define SAGETALLY_SRC_STAGES_INTAKE_H_
+#ifndef SAGETALLY_SRC_PIPELINE_REQUEST_VALIDATOR_H_
+#define SAGETALLY_SRC_PIPELINE_REQUEST_VALIDATOR_H_
 
 #include <vector>
 
 #include "config/settings.h"
-#include "core/ledger.h"
-#include "stages/admit.h"
+#include "core/message_table.h"
+#include "pipeline/admission_controller.h"
 
 namespace sagetally {
 
@@ -35,4 +35,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_INTAKE_H_
+#endif  // SAGETALLY_SRC_PIPELINE_REQUEST_VALIDATOR_H_
--- a/src/stages/route.cpp
+++ b/src/pipeline/router.cpp
@@ -1,4 +1,4 @@
-#include "stages/route.h"
+#include "pipeline/router.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/stages/route.h
+++ b/src/pipeline/router.h
@@ -1,17 +1,17 @@
 // Route: hands all events to the decision module and carries out what it decides. It decides nothing itself.
-#ifndef SAGETALLY_SRC_STAGES_ROUTE_H_
-#define SAGETALLY_SRC_STAGES_ROUTE_H_
+#ifndef SAGETALLY_SRC_PIPELINE_ROUTER_H_
+#define SAGETALLY_SRC_PIPELINE_ROUTER_H_
 
 #include <map>
 #include <set>
 #include <vector>
 
-#include "clock/clock.h"
-#include "core/ledger.h"
+#include "core/message_table.h"
 #include "core/ports.h"
-#include "sagetally/sender.h"
-#include "stages/book.h"
-#include "stages/send.h"
+#include "pipeline/attempt_sender.h"
+#include "pipeline/completion_handler.h"
+#include "sagetally/dispatch_policy.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
@@ -79,4 +79,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_STAGES_ROUTE_H_
+#endif  // SAGETALLY_SRC_PIPELINE_ROUTER_H_
--- a/src/brain/decide.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -1,7 +1,10 @@
-// Every decision of sagetally. The interface (settings, events, actions) is include/sagetally/sender.h.
-// Read top to bottom: constants, state, events, estimates, release, relegation, pace, health, guards. The
-// mechanism is NIYAMA's (the design page): P = arrival + aim + alpha x expected call time, lowest P leaves
-// first; what would miss its aim is relegated, lower worth first; what cannot arrive any more is refused.
+// Every decision of sagetally. The interface (settings, events, actions) is
+// include/sagetally/dispatch_policy.h. Read top to bottom: constants, state, events, estimates, release,
+// relegation, pace, health, guards. The mechanism is NIYAMA's (the design page): P = arrival + aim + alpha x
+// expected call time, lowest P leaves first; what would miss its aim is relegated, lower worth first; what
+// cannot arrive any more is refused.
+#include "sagetally/dispatch_policy.h"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -15,8 +18,6 @@
 #include <tuple>
 #include <utility>
 
-#include "sagetally/sender.h"
-
 namespace sagetally {
 namespace {
 
--- a/src/registry/eureka.cpp
+++ b/src/service_registry/eureka_client.cpp
@@ -1,4 +1,4 @@
-#include "registry/eureka.h"
+#include "service_registry/eureka_client.h"
 
 #include <utility>
 #include <vector>
--- a/src/registry/eureka.h
+++ b/src/service_registry/eureka_client.h
@@ -1,17 +1,17 @@
 // Eureka's REST API, as a client: registers this process, renews its lease, cancels it at the end, and keeps
 // the list of applications by whole fetches and deltas. A registry that can't be reached keeps the last list.
-#ifndef SAGETALLY_SRC_REGISTRY_EUREKA_H_
-#define SAGETALLY_SRC_REGISTRY_EUREKA_H_
+#ifndef SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_CLIENT_H_
+#define SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_CLIENT_H_
 
 #include <functional>
 #include <map>
 #include <string>
 #include <string_view>
 
-#include "config/deploy.h"
-#include "log/log.h"
-#include "net/http_calls.h"
-#include "net/loop.h"
+#include "config/node_file.h"
+#include "logging/logger.h"
+#include "net/event_loop.h"
+#include "net/http_client.h"
 
 namespace sagetally {
 
@@ -65,4 +65,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_REGISTRY_EUREKA_H_
+#endif  // SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_CLIENT_H_
--- a/src/registry/planners.cpp
+++ b/src/service_registry/planner_selection.cpp
@@ -1,4 +1,4 @@
-#include "registry/planners.h"
+#include "service_registry/planner_selection.h"
 
 #include <arpa/inet.h>
 
--- a/src/registry/planners.h
+++ b/src/service_registry/planner_selection.h
@@ -1,13 +1,13 @@
 // Which planner a destination belongs to, and the partner endpoints that a registry lists.
-#ifndef SAGETALLY_SRC_REGISTRY_PLANNERS_H_
-#define SAGETALLY_SRC_REGISTRY_PLANNERS_H_
+#ifndef SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
+#define SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
 
 #include <string>
 #include <vector>
 
 #include "config/settings.h"
-#include "core/types.h"
-#include "registry/eureka.h"
+#include "core/message.h"
+#include "service_registry/eureka_client.h"
 
 namespace sagetally {
 
@@ -22,4 +22,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_REGISTRY_PLANNERS_H_
+#endif  // SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
--- a/src/benchlink/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -13,7 +13,7 @@
 
 #include "config/json.h"
 #include "config/settings.h"
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace {
 
@@ -240,7 +240,7 @@
       for (char& c : what) {
         if (c == '\n') c = ' ';
       }
-      std::cerr << "sagetally_benchlink: " << what << std::endl;
+      std::cerr << "sagetally-simulator-adapter: " << what << std::endl;
       return 1;
     }
   }
--- a/src/clock/back_off.h
+++ b/src/time/backoff.h
@@ -1,12 +1,12 @@
 // When to ask again what did not answer. No I/O.
-#ifndef SAGETALLY_SRC_CLOCK_BACK_OFF_H_
-#define SAGETALLY_SRC_CLOCK_BACK_OFF_H_
+#ifndef SAGETALLY_SRC_TIME_BACKOFF_H_
+#define SAGETALLY_SRC_TIME_BACKOFF_H_
 
 #include <algorithm>
 #include <cstdint>
 #include <random>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
@@ -37,4 +37,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CLOCK_BACK_OFF_H_
+#endif  // SAGETALLY_SRC_TIME_BACKOFF_H_
--- a/src/clock/clock.cpp
+++ b/src/time/clock.cpp
@@ -1,4 +1,4 @@
-#include "clock/clock.h"
+#include "time/clock.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/clock/clock.h
+++ b/src/time/clock.h
@@ -1,12 +1,12 @@
 // One clock for everything: the wall clock as it stood at the start, carried on by the steady one. It never
 // goes back, and deadlines and windows in the store mean the same after a restart.
-#ifndef SAGETALLY_SRC_CLOCK_CLOCK_H_
-#define SAGETALLY_SRC_CLOCK_CLOCK_H_
+#ifndef SAGETALLY_SRC_TIME_CLOCK_H_
+#define SAGETALLY_SRC_TIME_CLOCK_H_
 
 #include <chrono>
 #include <cstdint>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
@@ -51,4 +51,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_SRC_CLOCK_CLOCK_H_
+#endif  // SAGETALLY_SRC_TIME_CLOCK_H_
--- a/tests/operate/door_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,5 +1,5 @@
 // The operators' door and the drain, with real sockets.
-#include "../node/world.h"
+#include "../app/world.h"
 
 namespace sagetally {
 namespace {
--- a/tests/operate/choices_test.cpp
+++ b/tests/admin/readiness_test.cpp
@@ -1,12 +1,13 @@
 // What the door, the drain and the figures decide, without I/O.
 #undef NDEBUG
+#include "admin/readiness.h"
+
 #include <cassert>
 #include <cstdio>
 #include <memory>
 
-#include "operate/calls.h"
-#include "operate/figures.h"
-#include "operate/readiness.h"
+#include "admin/admin_request.h"
+#include "admin/metrics.h"
 
 namespace sagetally {
 namespace {
--- a/tests/node/cloudevents_test.cpp
+++ b/tests/app/cloudevents_test.cpp
@@ -1,6 +1,6 @@
 // The CloudEvents front: its parsers by tables, its rules on real sockets, and mixed traffic whose outcomes
 // are counted message by message.
-#include "front/cloudevents/event.h"
+#include "frontend/cloudevents/cloud_event.h"
 #include "world.h"
 
 namespace sagetally {
--- a/tests/node.h
+++ b/tests/app/node.h
@@ -1,6 +1,6 @@
 // A delivery node for tests: settings, a Sender, and what it answered.
-#ifndef SAGETALLY_TESTS_NODE_H_
-#define SAGETALLY_TESTS_NODE_H_
+#ifndef SAGETALLY_TESTS_APP_NODE_H_
+#define SAGETALLY_TESTS_APP_NODE_H_
 
 #include <map>
 #include <string>
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace sagetally {
 
@@ -117,4 +117,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_NODE_H_
+#endif  // SAGETALLY_TESTS_APP_NODE_H_
--- a/tests/node/process.h
+++ b/tests/app/process.h
@@ -1,10 +1,10 @@
 // One life of the program; its log is a file in its folder.
-#ifndef SAGETALLY_TESTS_NODE_PROCESS_H_
-#define SAGETALLY_TESTS_NODE_PROCESS_H_
+#ifndef SAGETALLY_TESTS_APP_PROCESS_H_
+#define SAGETALLY_TESTS_APP_PROCESS_H_
 
 #include <string>
 
-#include "lab/try/child.h"
+#include "loadtest/demo/child.h"
 
 namespace sagetally {
 
@@ -28,4 +28,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_NODE_PROCESS_H_
+#endif  // SAGETALLY_TESTS_APP_PROCESS_H_
--- a/tests/node/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -2,8 +2,8 @@
 #include <set>
 
 #include "app/forwarder.h"
-#include "lab/standin/registry.h"
-#include "registry/planners.h"
+#include "loadtest/stub/registry.h"
+#include "service_registry/planner_selection.h"
 #include "world.h"
 
 namespace sagetally {
--- a/tests/node/world.h
+++ b/tests/app/world.h
@@ -1,8 +1,8 @@
 // A world of stand-ins on one loop, for tests with real sockets: endpoints, the platform's agent, a sink of
 // events, and clients round one dispatcher. Nothing here waits a fixed time; Until runs the loop up to a
 // limit.
-#ifndef SAGETALLY_TESTS_NODE_WORLD_H_
-#define SAGETALLY_TESTS_NODE_WORLD_H_
+#ifndef SAGETALLY_TESTS_APP_WORLD_H_
+#define SAGETALLY_TESTS_APP_WORLD_H_
 
 #undef NDEBUG
 #include <event2/buffer.h>
@@ -23,7 +23,7 @@
 #include <vector>
 
 #include "app/dispatcher.h"
-#include "lab/standin/agent.h"
+#include "loadtest/stub/agent.h"
 
 namespace sagetally {
 
@@ -298,4 +298,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_NODE_WORLD_H_
+#endif  // SAGETALLY_TESTS_APP_WORLD_H_
--- a/tests/kept/crash_test.cpp
+++ b/tests/dead_letter/crash_test.cpp
@@ -2,12 +2,12 @@
 // step.
 #include <set>
 
-#include "../node/world.h"
-#include "kept/files.h"
-#include "kept/storage/worker.h"
-#include "stages/chain.h"
-#include "store/fs/real.h"
-#include "store/journal.h"
+#include "../app/world.h"
+#include "dead_letter/rule_files.h"
+#include "dead_letter/storage/worker.h"
+#include "journal/file_system/posix_file_system.h"
+#include "journal/segment_journal.h"
+#include "pipeline/message_pipeline.h"
 
 namespace sagetally {
 namespace {
--- a/tests/kept/kill_test.cpp
+++ b/tests/dead_letter/kill_test.cpp
@@ -3,8 +3,8 @@
 #include <boost/random/uniform_int_distribution.hpp>
 #include <fstream>
 
-#include "../node/process.h"
-#include "kept/files.h"
+#include "../app/process.h"
+#include "dead_letter/rule_files.h"
 #include "partner.h"
 
 namespace sagetally {
--- a/tests/kept/partner.h
+++ b/tests/dead_letter/partner.h
@@ -1,17 +1,17 @@
 // A partner that fails in every way of PROTOCOL, counts what takes effect, and remembers keys for a while.
 // Names of messages are their bodies: 'p...' must never take effect twice, 'k...' carries a key, 'a...' may
 // repeat.
-#ifndef SAGETALLY_TESTS_KEPT_PARTNER_H_
-#define SAGETALLY_TESTS_KEPT_PARTNER_H_
+#ifndef SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
+#define SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
 
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_int_distribution.hpp>
 #include <set>
 
-#include "../node/world.h"
-#include "lab/clock.h"
-#include "lab/load/client.h"
-#include "lab/standin/partner.h"
+#include "../app/world.h"
+#include "loadtest/clock.h"
+#include "loadtest/load/client.h"
+#include "loadtest/stub/partner.h"
 
 namespace sagetally {
 
@@ -128,4 +128,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_KEPT_PARTNER_H_
+#endif  // SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
--- a/tests/kept/resend_test.cpp
+++ b/tests/dead_letter/redrive_node_test.cpp
@@ -1,7 +1,7 @@
 // Kept messages on real sockets: a thousand failures of every kind, then a rule that sends everything again.
 #include <fstream>
 
-#include "kept/files.h"
+#include "dead_letter/rule_files.h"
 #include "partner.h"
 
 namespace sagetally {
--- a/tests/kept/choices_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -1,8 +1,8 @@
 // The choices of kept messages: rule language, judge and planner, by tables and against small references.
 #include <cmath>
 
-#include "kept/operations.h"
-#include "kept/planner.h"
+#include "dead_letter/operator_requests.h"
+#include "dead_letter/redrive_planner.h"
 #include "sample.h"
 
 namespace sagetally::kept {
--- a/tests/kept/sample.h
+++ b/tests/dead_letter/sample.h
@@ -1,6 +1,6 @@
 // Random kept messages, conditions and rules for property tests.
-#ifndef SAGETALLY_TESTS_KEPT_SAMPLE_H_
-#define SAGETALLY_TESTS_KEPT_SAMPLE_H_
+#ifndef SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
+#define SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
 
 #undef NDEBUG
 #include <rapidcheck.h>
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <string>
 
-#include "kept/rules.h"
+#include "dead_letter/redrive_rules.h"
 
 namespace sagetally::kept {
 
@@ -184,4 +184,4 @@
 };
 }  // namespace rc
 
-#endif  // SAGETALLY_TESTS_KEPT_SAMPLE_H_
+#endif  // SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
--- a/tests/kept/store_test.cpp
+++ b/tests/dead_letter/store_test.cpp
@@ -5,9 +5,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "../node/world.h"
-#include "kept/storage/schema.h"
-#include "kept/storage/worker.h"
+#include "../app/world.h"
+#include "dead_letter/storage/schema.h"
+#include "dead_letter/storage/worker.h"
 #include "sample.h"
 
 namespace sagetally::kept {
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -3,7 +3,7 @@
 #include <variant>
 #include <vector>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 int main() {
   using namespace std::chrono_literals;
--- a/tests/form.sh
+++ b/tests/form.sh
@@ -3,8 +3,8 @@
 # sources are formatted.
 set -eu
 cd "$1"
-lines=$(grep -c '[^[:space:]]' src/brain/decide.cpp)
-echo "src/brain/decide.cpp: $lines lines"
+lines=$(grep -c '[^[:space:]]' src/policy/dispatch_policy.cpp)
+echo "src/policy/dispatch_policy.cpp: $lines lines"
 [ "$lines" -le 1010 ]
 sources=$(find src include tests -name '*.cpp' -o -name '*.h')
 if grep -nE '^.{111,}' $sources; then
--- a/tests/fuzz/door_fuzz.cpp
+++ b/tests/fuzz/admin_fuzz.cpp
@@ -1,7 +1,7 @@
 // Any bytes at the operators' door: read one way, and the same however they are cut.
 #include <cstdlib>
 
-#include "operate/calls.h"
+#include "admin/admin_request.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace sagetally;
--- a/tests/fuzz/control_fuzz.cpp
+++ b/tests/fuzz/control_fuzz.cpp
@@ -2,7 +2,7 @@
 #include <stdexcept>
 #include <string_view>
 
-#include "kept/operations.h"
+#include "dead_letter/operator_requests.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   try {
--- a/tests/fuzz/journal_fuzz.cpp
+++ b/tests/fuzz/journal_fuzz.cpp
@@ -4,9 +4,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "store/fs/faulty.h"
-#include "store/legacy.h"
-#include "store/replay.h"
+#include "journal/file_system/fault_injecting_file_system.h"
+#include "journal/format1_reader.h"
+#include "journal/replay.h"
 
 namespace {
 
--- a/tests/fuzz/rules_fuzz.cpp
+++ b/tests/fuzz/rules_fuzz.cpp
@@ -2,7 +2,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "kept/rules.h"
+#include "dead_letter/redrive_rules.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace sagetally::kept;
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -46,29 +46,32 @@
 "\x01\x00\x00\x00\x00\x00\x00\x00"
 "sagetally journal\x0a"
 DICT
-cat >door.dict <<'DICT'
+cat >admin.dict <<'DICT'
 "STATUS\x0a"
 "METRICS\x0a"
 "PAUSE\x0d\x0a"
 "RESUME"
 DICT
 flags="-std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -I$source/src -I$source/include"
-for part in rules grammar kept judge planner operations; do
-  clang++ $flags -c "$source/src/kept/$part.cpp" -o $part.o &
-done
-clang++ $flags -c "$source/src/kept/storage/database.cpp" -o database.o &
-for part in records segment manifest replay legacy fs/file_system fs/faulty; do
-  clang++ $flags -c "$source/src/store/$part.cpp" -o "journal-$(basename $part).o" &
-done
-clang++ $flags -c "$source/src/operate/calls.cpp" -o door-calls.o &
-clang++ $flags -c "$source/src/core/ledger.cpp" -o journal-ledger.o &
-wait
-kept="rules.o grammar.o kept.o judge.o planner.o operations.o database.o -lsqlite3 -lxxhash"
-for harness in rules control journal door; do
-  objects=$kept
-  if [ $harness = journal ]; then objects="$(ls journal-*.o) -lz -lfmt"; fi
-  if [ $harness = door ]; then objects=door-calls.o; fi
-  clang++ $flags "$source/tests/fuzz/${harness}_fuzz.cpp" $objects -o $harness
+# Each archive holds a directory's objects; the linker takes what a harness needs.
+archive() {  # archive NAME SOURCE...
+  name=$1
+  shift
+  for file in "$@"; do
+    clang++ $flags -c "$file" -o "$name-$(basename "$file" .cpp).o" &
+  done
+  wait
+  rm -f "lib$name.a"
+  ar rcs "lib$name.a" "$name"-*.o
+}
+rm -f -- *.o
+archive dead_letter "$source"/src/dead_letter/*.cpp "$source"/src/dead_letter/storage/*.cpp
+archive journal "$source"/src/journal/*.cpp "$source"/src/journal/file_system/*.cpp "$source"/src/core/*.cpp \
+  "$source"/src/time/*.cpp
+archive admin "$source"/src/admin/*.cpp
+libraries="libdead_letter.a libjournal.a libadmin.a -lsqlite3 -lxxhash -lz -lfmt"
+for harness in rules control journal admin; do
+  clang++ $flags "$source/tests/fuzz/${harness}_fuzz.cpp" $libraries -o $harness
   mkdir -p corpus-$harness
   ./$harness -runs="$runs" -seed=7 -max_len=4096 -dict=$harness.dict corpus-$harness "$source/tests/fuzz/seeds-$harness" \
     >$harness.log 2>&1 || { tail -30 $harness.log; exit 1; }
--- a/tests/handover/choices_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -3,10 +3,10 @@
 #include <cassert>
 #include <cstdio>
 
-#include "../node.h"
-#include "handover/rehearsal.h"
-#include "handover/state.h"
-#include "stages/route.h"
+#include "../app/node.h"
+#include "handover/handover_state.h"
+#include "handover/state_replay.h"
+#include "pipeline/router.h"
 
 namespace sagetally {
 namespace {
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -3,11 +3,11 @@
 #include <filesystem>
 #include <fstream>
 
-#include "../kept/partner.h"
-#include "../node/process.h"
-#include "../store/legacy_log.h"
-#include "app/handover_node.h"
-#include "app/journal_node.h"
+#include "../app/process.h"
+#include "../dead_letter/partner.h"
+#include "../journal/format1_log.h"
+#include "app/handover_session.h"
+#include "app/journal_service.h"
 
 namespace sagetally {
 namespace {
--- a/tests/store/legacy_log.h
+++ b/tests/journal/format1_log.h
@@ -1,13 +1,13 @@
 // A log as the program wrote it before there were segments.
-#ifndef SAGETALLY_TESTS_STORE_LEGACY_LOG_H_
-#define SAGETALLY_TESTS_STORE_LEGACY_LOG_H_
+#ifndef SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
+#define SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
 
 #include <zlib.h>
 
 #include <string>
 
-#include "core/types.h"
-#include "store/bytes.h"
+#include "base/byte_codec.h"
+#include "core/message.h"
 
 namespace sagetally {
 
@@ -39,4 +39,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_STORE_LEGACY_LOG_H_
+#endif  // SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
--- a/tests/store/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -2,10 +2,10 @@
 // clocks.
 #include <functional>
 
+#include "base/byte_codec.h"
+#include "format1_log.h"
+#include "journal/format1_reader.h"
 #include "journal_world.h"
-#include "legacy_log.h"
-#include "store/bytes.h"
-#include "store/legacy.h"
 
 namespace sagetally {
 namespace {
--- a/tests/store/journal_world.h
+++ b/tests/journal/journal_world.h
@@ -1,6 +1,6 @@
 // The real journal and ledger on the disk in memory and a clock of the test's own, beside what must be known.
-#ifndef SAGETALLY_TESTS_STORE_JOURNAL_WORLD_H_
-#define SAGETALLY_TESTS_STORE_JOURNAL_WORLD_H_
+#ifndef SAGETALLY_TESTS_JOURNAL_JOURNAL_WORLD_H_
+#define SAGETALLY_TESTS_JOURNAL_JOURNAL_WORLD_H_
 
 #undef NDEBUG
 #include <boost/random/mersenne_twister.hpp>
@@ -10,8 +10,8 @@
 #include <cstdio>
 #include <optional>
 
-#include "store/fs/faulty.h"
-#include "store/journal.h"
+#include "journal/file_system/fault_injecting_file_system.h"
+#include "journal/segment_journal.h"
 
 namespace sagetally {
 
@@ -177,4 +177,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_STORE_JOURNAL_WORLD_H_
+#endif  // SAGETALLY_TESTS_JOURNAL_JOURNAL_WORLD_H_
--- a/tests/store/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -5,8 +5,8 @@
 #include <boost/random/uniform_int_distribution.hpp>
 #include <fstream>
 
-#include "../kept/partner.h"
-#include "../node/process.h"
+#include "../app/process.h"
+#include "../dead_letter/partner.h"
 
 namespace sagetally {
 namespace {
--- a/tests/store/property_test.cpp
+++ b/tests/journal/property_test.cpp
@@ -1,8 +1,8 @@
 // Any interleaving of operations, faults and restarts leaves what a small reference says.
 #include <rapidcheck.h>
 
+#include "journal/snapshot.h"
 #include "journal_world.h"
-#include "store/snapshot.h"
 
 namespace sagetally {
 namespace {
--- a/tests/store/whole_node.h
+++ b/tests/journal/whole_node.h
@@ -1,11 +1,11 @@
 // The real stages, module and journal as one node, on the disk in memory and a clock of the test's own.
-#ifndef SAGETALLY_TESTS_STORE_WHOLE_NODE_H_
-#define SAGETALLY_TESTS_STORE_WHOLE_NODE_H_
+#ifndef SAGETALLY_TESTS_JOURNAL_WHOLE_NODE_H_
+#define SAGETALLY_TESTS_JOURNAL_WHOLE_NODE_H_
 
-#include "../node/world.h"
+#include "../app/world.h"
+#include "admin/metrics.h"
 #include "journal_world.h"
-#include "operate/figures.h"
-#include "stages/chain.h"
+#include "pipeline/message_pipeline.h"
 
 namespace sagetally {
 
@@ -107,4 +107,4 @@
 
 }  // namespace sagetally
 
-#endif  // SAGETALLY_TESTS_STORE_WHOLE_NODE_H_
+#endif  // SAGETALLY_TESTS_JOURNAL_WHOLE_NODE_H_
--- a/tests/lab/arrivals_test.cpp
+++ b/tests/loadtest/arrivals_test.cpp
@@ -7,8 +7,8 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "lab/load/plan.h"
-#include "refused.h"
+#include "loadtest/load/plan.h"
+#include "rejected.h"
 
 namespace sagetally::lab {
 namespace {
--- a/tests/lab/cli.sh
+++ b/tests/loadtest/cli.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The command line of sagetally-lab: help, exit codes, a run against stand-ins in processes of their own, a replay,
+# The command line of sagetally-loadtest: help, exit codes, a run against stand-ins in processes of their own, a replay,
 # an import, a report and a comparison, and the newcomer's one command on both levels.
-# Arguments: sagetally-lab, sagetally.
+# Arguments: sagetally-loadtest, sagetally.
 set -euo pipefail
 lab=$1
 program=$2
@@ -23,7 +23,7 @@
 
 for words in "" try load standin limit "trace import" report compare; do
   expect 0 "--help" "$lab" $words --help
-  expect 0 "sagetally-lab" "$lab" $words --version
+  expect 0 "sagetally-loadtest" "$lab" $words --version
 done
 expect 2 "" "$lab"
 expect 2 "" "$lab" load --no-such-flag
--- a/tests/lab/load_test.cpp
+++ b/tests/loadtest/load_test.cpp
@@ -12,10 +12,10 @@
 #include <iostream>
 #include <thread>
 
-#include "lab/load/trace.h"
-#include "lab/report/result.h"
-#include "lab/standin/thread.h"
-#include "refused.h"
+#include "loadtest/load/trace.h"
+#include "loadtest/report/result.h"
+#include "loadtest/stub/thread.h"
+#include "rejected.h"
 
 namespace sagetally::lab {
 namespace {
@@ -210,7 +210,7 @@
 }
 
 void ARunIsReplayedToTheSameIntendedArrivals() {
-  char folder[] = "/tmp/sagetally-lab-XXXXXX";
+  char folder[] = "/tmp/sagetally-loadtest-XXXXXX";
   assert(mkdtemp(folder) != nullptr);
   StandInThread standins(FrontWith(Json::array()));
   Json json = Base(standins.front_port);
--- a/tests/lab/refused.h
+++ b/tests/loadtest/rejected.h
@@ -1,6 +1,6 @@
 // What a call says as it refuses; empty if it doesn't.
-#ifndef SAGETALLY_TESTS_LAB_REFUSED_H_
-#define SAGETALLY_TESTS_LAB_REFUSED_H_
+#ifndef SAGETALLY_TESTS_LOADTEST_REJECTED_H_
+#define SAGETALLY_TESTS_LOADTEST_REJECTED_H_
 
 #include <cassert>
 #include <cstdio>
@@ -31,4 +31,4 @@
 
 }  // namespace sagetally::lab
 
-#endif  // SAGETALLY_TESTS_LAB_REFUSED_H_
+#endif  // SAGETALLY_TESTS_LOADTEST_REJECTED_H_
--- a/tests/lab/report_test.cpp
+++ b/tests/loadtest/report_test.cpp
@@ -6,14 +6,14 @@
 #include <cstdio>
 #include <sstream>
 
-#include "lab/load/import.h"
-#include "lab/load/limit.h"
-#include "lab/load/self_watch.h"
-#include "lab/load/trace.h"
-#include "lab/report/html.h"
-#include "lab/report/statistics.h"
-#include "lab/standin/checker.h"
-#include "refused.h"
+#include "loadtest/load/import.h"
+#include "loadtest/load/limit.h"
+#include "loadtest/load/self_watch.h"
+#include "loadtest/load/trace.h"
+#include "loadtest/report/html.h"
+#include "loadtest/report/statistics.h"
+#include "loadtest/stub/checker.h"
+#include "rejected.h"
 
 namespace sagetally::lab {
 namespace {
--- a/tests/lab/standin_test.cpp
+++ b/tests/loadtest/stub_test.cpp
@@ -7,10 +7,10 @@
 #include <cstdio>
 #include <map>
 
-#include "lab/clock.h"
-#include "lab/load/client.h"
-#include "lab/standin/standins.h"
-#include "refused.h"
+#include "loadtest/clock.h"
+#include "loadtest/load/client.h"
+#include "loadtest/stub/stub_set.h"
+#include "rejected.h"
 
 namespace sagetally::lab {
 namespace {
--- a/tests/log_test.cpp
+++ b/tests/logging/logger_test.cpp
@@ -1,6 +1,6 @@
 // The log: text and JSON forms, and the limit by event.
 #undef NDEBUG
-#include "log/log.h"
+#include "logging/logger.h"
 
 #include <spdlog/sinks/ostream_sink.h>
 
--- a/tests/net/discovery_crossings_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -2,9 +2,9 @@
 // that the seconds that the protocol gives are waited for once.
 #include <sys/socket.h>
 
-#include "../node/world.h"
-#include "net/notices.h"
-#include "net/watch.h"
+#include "../app/world.h"
+#include "net/endpoint_list_watcher.h"
+#include "net/notification_client.h"
 
 namespace sagetally {
 namespace {
--- a/tests/net/watch_test.cpp
+++ b/tests/net/endpoint_list_watcher_test.cpp
@@ -1,13 +1,13 @@
 // Asking discovery for lists: one sender comes back soon, and hundreds don't keep it too busy to serve any.
 #undef NDEBUG
-#include "net/watch.h"
+#include "net/endpoint_list_watcher.h"
 
 #include <cassert>
 #include <chrono>
 #include <deque>
 #include <queue>
 
-#include "lab/standin/listener.h"
+#include "loadtest/stub/listener.h"
 
 namespace sagetally {
 namespace {
--- a/tests/net/pool_crossings_test.cpp
+++ b/tests/net/endpoint_pool_races_test.cpp
@@ -3,7 +3,7 @@
 #include <fcntl.h>
 #include <poll.h>
 
-#include "../node/world.h"
+#include "../app/world.h"
 
 namespace sagetally {
 namespace {
--- a/tests/net/loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -1,6 +1,6 @@
 // A timer never fires early, however long the round of the loop took that set it.
 #undef NDEBUG
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 #include <cassert>
 #include <chrono>
--- a/tests/net/server_crossings_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -2,7 +2,7 @@
 // same thread, so what they do between two rounds of the loop has happened before the server hears of it.
 #include <sys/socket.h>
 
-#include "../node/world.h"
+#include "../app/world.h"
 
 namespace sagetally {
 namespace {
--- a/tests/cold_return_test.cpp
+++ b/tests/policy/cold_return_test.cpp
@@ -11,7 +11,7 @@
 #include <queue>
 #include <random>
 
-#include "node.h"
+#include "../app/node.h"
 
 namespace sagetally {
 namespace {
--- a/tests/decide_test.cpp
+++ b/tests/policy/dispatch_policy_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "node.h"
+#include "../app/node.h"
 
 namespace sagetally {
 namespace {
--- a/tests/growth_test.cpp
+++ b/tests/policy/growth_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "sagetally/sender.h"
+#include "sagetally/dispatch_policy.h"
 
 namespace {
 long live_blocks = 0;  // counts what the operators below hand out
--- a/tests/rules_random_test.cpp
+++ b/tests/policy/random_rules_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "node.h"
+#include "../app/node.h"
 
 namespace sagetally {
 namespace {
--- a/tests/benchlink_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -29,7 +29,7 @@
   const std::string base = folder;
   std::ofstream(base + "/in") << input;
   const std::string command =
-      std::string(SAGETALLY_BENCHLINK) + " <" + base + "/in >" + base + "/out 2>" + base + "/err";
+      std::string(SAGETALLY_SIMULATOR_ADAPTER) + " <" + base + "/in >" + base + "/out 2>" + base + "/err";
   const int status = std::system(command.c_str());
   Reply run{WEXITSTATUS(status), Slurp(base + "/out"), Slurp(base + "/err")};
   for (const char* name : {"/in", "/out", "/err"}) std::remove((base + name).c_str());
@@ -97,7 +97,7 @@
     EXPECT_EQ(run.code, 1) << bad;
     EXPECT_EQ(std::count(run.out.begin(), run.out.end(), '\n'), 1) << bad;
     EXPECT_EQ(std::count(run.err.begin(), run.err.end(), '\n'), 1) << run.err;
-    EXPECT_EQ(run.err.rfind("sagetally_benchlink: ", 0), 0u) << run.err;
+    EXPECT_EQ(run.err.rfind("sagetally-simulator-adapter: ", 0), 0u) << run.err;
   }
 }
 
