--- a/bench/dead_letter_bench.cpp
+++ b/bench/dead_letter_bench.cpp
@@ -17,7 +17,7 @@
 using Clock = std::chrono::steady_clock;
 
 struct Times {
-  lab::LatencyHistogram all;
+  loadtest::LatencyHistogram all;
   void Add(Clock::duration d) { all.Add(std::chrono::duration<double, std::micro>(d).count()); }
   void Print(const char* what, double seconds) const {
     std::printf("%s: %ld, %.0f a second, p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms\n", what, all.count(),
@@ -57,7 +57,7 @@
     while (true) {
       const auto intended = start_ + std::chrono::duration_cast<Clock::duration>(every_ * sent_);
       const auto now = Clock::now();
-      if (intended > now) return next_.After(std::chrono::duration_cast<Duration>(intended - now));
+      if (intended > now) return next_.Schedule(std::chrono::duration_cast<Duration>(intended - now));
       Post(intended);
       ++sent_;
     }
@@ -111,13 +111,13 @@
   }
   void Keep() {
     kept.emplace();
-    kept->deferred = true;
-    kept->resend_deferred = true;
-    kept->owed_bytes = 10'000'000;
+    kept->include_deferred = true;
+    kept->redrive_deferred = true;
+    kept->max_pending_bytes = 10'000'000;
     kept->budget_bytes = 2'000'000'000;
-    kept->slots_share = 0.25;
+    kept->concurrency_fraction = 0.25;
     kept->destination_rate = 100'000;
-    kept->age = std::chrono::hours(24 * 9000);
+    kept->max_age = std::chrono::hours(24 * 9000);
   }
 };
 
@@ -138,56 +138,56 @@
   load.Stop();
   load.times.Print(("take, kept " + mode).c_str(), seconds);
   std::printf("  refused %d, called %zu", load.refused, w.Calls());
-  if (w.dispatcher->kept() != nullptr) {
-    kept::Keeper& keeper = w.dispatcher->kept()->keeper();
-    std::printf(", kept %ld, owed %zu, lost %ld", keeper.counters().kept, keeper.owed(),
+  if (w.dispatcher->dead_letters() != nullptr) {
+    dead_letter::DeadLetterManager& keeper = w.dispatcher->dead_letters()->keeper();
+    std::printf(", kept %ld, owed %zu, lost %ld", keeper.counters().kept, keeper.pending_transfers(),
                 keeper.counters().owed_dropped);
   }
   std::printf("\n");
   sqlite3_close(lock);
 }
 
-kept::Database::Entry Sample(std::int64_t n) {
+dead_letter::Database::Entry Sample(std::int64_t n) {
   constexpr const char* kClasses[] = {"aviso", "pedido", "pagamento"};
-  kept::Database::Entry entry;
-  kept::KeptMessage& k = entry.kept;
+  dead_letter::Database::Entry entry;
+  dead_letter::DeadLetter& k = entry.dead_letter;
   k.id = {"n0", static_cast<std::uint64_t>(n + 1)};
   k.class_name = kClasses[n % 3];
   k.request.id = "m" + std::to_string(n);
   k.request.destination = static_cast<int>(n * 7919 % 26);
   k.request.body = std::string(200, 'b');
   k.body_size = 200;
-  k.taken_at = k.ended_at = Time(1'700'000'000'000'000 + n * 1000);
-  k.end = End::kFailed;
-  k.reason = static_cast<Reason>(1 + n % 5);
+  k.accepted_at = k.ended_at = Time(1'700'000'000'000'000 + n * 1000);
+  k.final_status = FinalStatus::kFailed;
+  k.failure_reason = static_cast<FailureReason>(1 + n % 5);
   k.attempts = static_cast<int>(n % 4);
   for (int i = 0; i < k.attempts; ++i)
-    k.history.push_back({{k.taken_at, Time(i), 9}, "s-5be2a07c", Outcome::kFull, {}});
+    k.history.push_back({{k.accepted_at, Time(i), 9}, "s-5be2a07c", Outcome::kRejected, {}});
   return entry;
 }
 
 void Million(std::int64_t count) {
   const Folder folder;
-  kept::Database::Settings settings;
+  dead_letter::Database::Settings settings;
   settings.path = folder.path + "/kept.db";
   settings.budget_bytes = 8'000'000'000;
   std::printf("memory before: %.1f MB\n", ResidentMb());
-  kept::Database db(settings);
+  dead_letter::Database db(settings);
   const auto start = Clock::now();
   for (std::int64_t n = 0; n < count;) {
-    std::vector<kept::Database::Entry> batch;
+    std::vector<dead_letter::Database::Entry> batch;
     for (int i = 0; i < 128 && n < count; ++i, ++n) batch.push_back(Sample(n));
-    db.Keep(batch);
+    db.Store(batch);
   }
   const double filled = std::chrono::duration<double>(Clock::now() - start).count();
   std::printf("kept %ld in %.1f s, %.0f a second; store %.0f MB, memory %.1f MB\n", count, filled,
               static_cast<double>(count) / filled, static_cast<double>(db.UsedBytes()) / 1e6, ResidentMb());
   settings.read_only = true;
-  kept::Database reader(settings);
+  dead_letter::Database reader(settings);
   for (const char* filter :
        {"true", "class = aviso and destination = 7", "reason = shed and class = pagamento",
         "destination = 3 and attempts >= 2 and age > 1h", "id = \"m999999\"", "body_size > 1kb"}) {
-    const kept::Condition condition = kept::ParseCondition(filter, {});
+    const dead_letter::Condition condition = dead_letter::ParseCondition(filter, {});
     const Time now(1'700'000'000'000'000 + count * 1000 + 7'200'000'000);
     std::vector<double> took;
     std::size_t found = 0;
@@ -208,20 +208,20 @@
   w.Keep();
   {  // as an earlier life of the node left them
     std::filesystem::create_directory(w.folder.path + "/kept");
-    kept::Database::Settings settings;
+    dead_letter::Database::Settings settings;
     settings.path = w.folder.path + "/kept/kept.db";
     settings.budget_bytes = 2'000'000'000;
-    kept::Database db(settings);
-    std::vector<kept::Database::Entry> all;
+    dead_letter::Database db(settings);
+    std::vector<dead_letter::Database::Entry> all;
     for (std::int64_t n = 0; n < 20'000; ++n) {
-      kept::Database::Entry entry = Sample(n);
-      entry.kept.class_name = "aviso";
-      entry.kept.request.destination = 7;
-      entry.kept.attempts = 0;
-      entry.kept.history.clear();
+      dead_letter::Database::Entry entry = Sample(n);
+      entry.dead_letter.class_name = "aviso";
+      entry.dead_letter.request.destination = 7;
+      entry.dead_letter.attempts = 0;
+      entry.dead_letter.history.clear();
       all.push_back(std::move(entry));
     }
-    db.Keep(all);
+    db.Store(all);
   }
   if (rate > 0) {
     w.kept->rules_path = w.folder.path + "/rules";
@@ -230,13 +230,13 @@
   }
   w.Start();
   RunFor(w.loop, 500ms);
-  const auto before = w.dispatcher->kept()->keeper().counters().delivered;
+  const auto before = w.dispatcher->dead_letters()->keeper().counters().delivered;
   Load load(w, 400, 0);
   load.Start();
   RunFor(w.loop, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
   load.Stop();
   load.times.Print("live", seconds);
-  const auto delivered = w.dispatcher->kept()->keeper().counters().delivered - before;
+  const auto delivered = w.dispatcher->dead_letters()->keeper().counters().delivered - before;
   std::printf("  resent at %.0f/s asked: %.0f a second, live refused %d\n", rate,
               static_cast<double>(delivered) / seconds, load.refused);
 }
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -22,10 +22,12 @@
 }
 
 struct Host : JournalHost {
-  void TurnAfter(Duration d) override { due = clock.Now() + d; }
-  void Progress() override {}
-  void Sync(std::shared_ptr<File> file, std::function<void(int)> done) override { done(file->Sync()); }
-  void Fenced() override {}
+  void ScheduleTurn(Duration d) override { due = clock.Now() + d; }
+  void OnProgress() override {}
+  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override {
+    done(file->Sync());
+  }
+  void OnFenced() override {}
   SystemClock clock;
   Time due = Time::max();
 };
@@ -34,9 +36,9 @@
   explicit Bench(const std::string& folder, std::uint64_t budget) {
     JournalSettings s;
     s.folder = folder + "/journal";
-    s.node = "bench";
-    s.budget = budget;
-    s.classes = {"aviso"};
+    s.node_name = "bench";
+    s.disk_budget = budget;
+    s.class_names = {"aviso"};
     journal = std::make_unique<SegmentJournal>(files, s, ledger, host.clock, log, host);
   }
   Message& Take(std::uint64_t n) {
@@ -46,31 +48,31 @@
     m.deadline = host.clock.Now() + std::chrono::seconds(10);
     Message& added = ledger.Add(std::move(m));
     const Message* one[] = {&added};
-    if (!journal->Taken(one)) throw std::runtime_error("no room");
+    if (!journal->AppendAccepted(one)) throw std::runtime_error("no room");
     return added;
   }
   void Attempt(Message& m) {
-    m.out = true;
+    m.is_in_flight = true;
     m.attempts = 1;
-    m.out_since = host.clock.Now();
-    m.out_at = "s-0";
-    journal->Attempted(m);
+    m.in_flight_since = host.clock.Now();
+    m.in_flight_endpoint = "s-0";
+    journal->AppendAttempt(m);
   }
   void Deliver(Message& m) {
-    m.out = false;
-    ledger.End(m, End::kDelivered, Duration(0), host.clock.Now());
-    journal->Ended(m);
-    ledger.Settle(m);
+    m.is_in_flight = false;
+    ledger.Complete(m, FinalStatus::kDelivered, Duration(0), host.clock.Now());
+    journal->AppendCompletion(m);
+    ledger.RemoveIfFinished(m);
   }
-  RealFileSystem files;
+  PosixFileSystem files;
   Host host;
   Logger log{LogOptions{LogFormat::kText, LogLevel::kError}};
-  Ledger ledger;
+  MessageTable ledger;
   std::unique_ptr<SegmentJournal> journal;
 };
 
 void Raw(const std::string& folder, std::uint64_t count, bool synced) {
-  RealFileSystem files;
+  PosixFileSystem files;
   int error = 0;
   const auto file = files.Open(folder + "/raw", FileSystem::Mode::kCreate, error);
   const std::string bytes(430, 'r');  // a state of the messages below
@@ -94,7 +96,7 @@
   sqlite3_stmt* insert = nullptr;
   sqlite3_prepare_v2(db, "INSERT INTO r(b) VALUES(?)", -1, &insert, nullptr);
   const std::string bytes(430, 'r');
-  lab::LatencyHistogram times;
+  loadtest::LatencyHistogram times;
   const auto begun = Steady::now();
   for (std::uint64_t i = 0; i < count; ++i) {
     const auto one = Steady::now();
@@ -127,16 +129,17 @@
   std::printf(
       "journal of 3 MB: %.0f messages a second (three records each), %.0f bytes a message, %.2f bytes copied "
       "for each appended, %llu segments dropped\n",
-      static_cast<double>(count) / seconds, static_cast<double>(c.appended) / static_cast<double>(count),
-      static_cast<double>(c.copied) / static_cast<double>(c.appended - c.copied),
-      static_cast<unsigned long long>(c.drops));
+      static_cast<double>(count) / seconds,
+      static_cast<double>(c.bytes_appended) / static_cast<double>(count),
+      static_cast<double>(c.bytes_copied) / static_cast<double>(c.bytes_appended - c.bytes_copied),
+      static_cast<unsigned long long>(c.segments_dropped));
 }
 
 void Pause(std::uint64_t live, double seconds, const std::string& folder) {
   Bench b(folder, std::max<std::uint64_t>(3'000'000, live * 4000));
   for (std::uint64_t i = 0; i < live; ++i) b.Take(i);
-  lab::LatencyHistogram calls, turns;
-  const auto timed = [](lab::LatencyHistogram& to, const auto& call) {
+  loadtest::LatencyHistogram calls, turns;
+  const auto timed = [](loadtest::LatencyHistogram& to, const auto& call) {
     const auto begun = Steady::now();
     call();
     to.Add(Seconds(begun) * 1e6);
@@ -157,7 +160,7 @@
     }
     if (b.host.due <= b.host.clock.Now()) {
       b.host.due = Time::max();
-      timed(turns, [&] { b.journal->Turn(); });
+      timed(turns, [&] { b.journal->RunDueWork(); });
     }
   }
   const auto& c = b.journal->counters();
@@ -167,8 +170,9 @@
       "bytes copied for each appended, %llu segments dropped\n",
       static_cast<unsigned long long>(live), static_cast<unsigned long long>(all), Seconds(begun),
       calls.max() / 1000, calls.Quantile(0.999) / 1000, turns.max() / 1000, turns.count(),
-      static_cast<double>(c.copied) / static_cast<double>(std::max<std::uint64_t>(1, c.appended - c.copied)),
-      static_cast<unsigned long long>(c.drops));
+      static_cast<double>(c.bytes_copied) /
+          static_cast<double>(std::max<std::uint64_t>(1, c.bytes_appended - c.bytes_copied)),
+      static_cast<unsigned long long>(c.segments_dropped));
 }
 
 long PeakKb() {
@@ -192,7 +196,7 @@
   const double mb = static_cast<double>(b.journal->report().bytes) / 1e6;
   std::printf(
       "%d messages held, %.1f MB in %llu records: %.3f s, %.0f MB/s, peak memory %.1f MB (%.1f before)\n",
-      b.ledger.held(), mb, static_cast<unsigned long long>(b.journal->report().records), seconds,
+      b.ledger.pending_count(), mb, static_cast<unsigned long long>(b.journal->report().records), seconds,
       mb / seconds, static_cast<double>(PeakKb()) / 1000, static_cast<double>(before) / 1000);
 }
 
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -9,23 +9,23 @@
 
 namespace sagetally {
 
-enum class OperatorCall { kNone, kStatus, kMetrics, kPause, kResume };
+enum class AdminCommand { kNone, kStatus, kMetrics, kPause, kResume };
 
-constexpr std::size_t kMostOperatorLine = 64;  // bytes, its end included
+constexpr std::size_t kMaxAdminLineBytes = 64;  // bytes, its end included
 
-struct ReadCall {
-  enum class State { kUnfinished, kRead, kWrong } state = State::kUnfinished;
-  OperatorCall call = OperatorCall::kNone;
-  std::string why = {};  // kWrong
+struct AdminRequest {
+  enum class State { kIncomplete, kComplete, kMalformed } state = State::kIncomplete;
+  AdminCommand command = AdminCommand::kNone;
+  std::string error = {};  // kWrong
 };
 // What has come on a connection so far: one word in capitals and LF or CRLF, nothing else.
-ReadCall ReadOperatorCall(std::string_view bytes);
+AdminRequest ParseAdminRequest(std::string_view bytes);
 
 // What a process answers by; each returns its whole answer, LF included.
-struct OperatorAnswers {
+struct AdminHandlers {
   std::function<std::string()> status, metrics, pause, resume;
 };
-std::string AnswerTo(const ReadCall& call, const OperatorAnswers& answers);
+std::string HandleAdminRequest(const AdminRequest& call, const AdminHandlers& answers);
 
 }  // namespace sagetally
 
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -6,34 +6,34 @@
 
 namespace sagetally {
 
-void Figures::Ended(const Message& message) {
+void Metrics::RecordCompletion(const Message& message) {
   const auto at = static_cast<std::size_t>(message.request.message_class);
   if (at >= counts_.size()) return;  // its class is not configured any more
   Counts& c = counts_[at];
-  switch (message.end) {
-    case End::kDelivered:
+  switch (message.final_status) {
+    case FinalStatus::kDelivered:
       ++c.passed;
       break;
-    case End::kRefused:
+    case FinalStatus::kRejected:
       ++c.dropped;
       break;
-    case End::kOver:  // withdrawn by its client, or out of time by the endpoint's own word
+    case FinalStatus::kExpired:  // withdrawn by its client, or out of time by the endpoint's own word
       ++(message.attempts == 0 ? c.dropped : c.bad_gateway);
       break;
-    case End::kFailed:
+    case FinalStatus::kFailed:
       ++c.bad_gateway;
       break;
-    case End::kNone:
+    case FinalStatus::kPending:
       break;
   }
 }
 
-void Figures::Refused(int message_class) {
+void Metrics::RecordRejection(int message_class) {
   const auto at = static_cast<std::size_t>(message_class);
   if (at < counts_.size()) ++counts_[at].dropped;
 }
 
-std::string Figures::Text(const Gauges& gauges) const {
+std::string Metrics::FormatStatsd(const GaugeValues& gauges) const {
   std::string text;
   const auto count = [&](const char* name, std::uint64_t Counts::*which) {
     for (std::size_t i = 0; i < classes_.size(); ++i) {
@@ -46,7 +46,7 @@
   fmt::format_to(std::back_inserter(text),
                  "balancer.upstream_tries:{}|c\nbalancer.in_progress:{}|g\nbalancer.known_endpoints:{}|g\n"
                  "balancer.skipped_endpoints:{}|g\n",
-                 upstream_tries_, gauges.in_progress, gauges.known_endpoints, gauges.skipped_endpoints);
+                 upstream_tries_, gauges.in_progress, gauges.known_endpoints, gauges.avoided_endpoints);
   return text;
 }
 
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -13,28 +13,28 @@
 namespace sagetally {
 
 // As they stand when they are read.
-struct Gauges {
+struct GaugeValues {
   std::size_t in_progress = 0;        // taken on and not yet ended, those of an earlier process too
   std::size_t known_endpoints = 0;    // in the list, draining ones too
-  std::size_t skipped_endpoints = 0;  // of these, the ones that get no usual traffic now
+  std::size_t avoided_endpoints = 0;  // of these, the ones that get no usual traffic now
 };
 
-class Figures : public Tally {
+class Metrics : public MetricsRecorder {
  public:
-  explicit Figures(std::vector<std::string> classes)
+  explicit Metrics(std::vector<std::string> classes)
       : classes_(std::move(classes)), counts_(classes_.size()) {}
 
   // A message that was taken on, by this process or an earlier one, has ended here. Delivered: `passed`.
   // Handed back (told to come again, or its client had gone before it was sent): `dropped`. Else, when it ran
   // out of time at its destination too: `bad_gateway`.
-  void Ended(const Message& message) override;
+  void RecordCompletion(const Message& message) override;
   // A message with a class of ours was refused without being taken on: `dropped`.
-  void Refused(int message_class) override;
+  void RecordRejection(int message_class) override;
   // The last byte of a call was written to an endpoint: `upstream_tries`.
-  void Written() override { ++upstream_tries_; }
+  void RecordCallWritten() override { ++upstream_tries_; }
 
   // In statsd's form, one a line: "balancer.passed.aviso:812|c", "balancer.in_progress:14|g".
-  std::string Text(const Gauges& gauges) const;
+  std::string FormatStatsd(const GaugeValues& gauges) const;
 
  private:
   struct Counts {
--- a/src/admin/readiness.h
+++ b/src/admin/readiness.h
@@ -18,28 +18,28 @@
 
   // After a pause: clients' idle connections are closed then. The front asks ten times a second and sends new
   // connections for 0.2 s more; a client closed upon earlier would come back here.
-  static constexpr Duration kCloseIdle = std::chrono::milliseconds(400);
+  static constexpr Duration kIdleCloseDelay = std::chrono::milliseconds(400);
   // After a pause, or SIGTERM: requests that still come are refused from then on.
-  static constexpr Duration kTakeOn = std::chrono::milliseconds(2000);
+  static constexpr Duration kAcceptDuration = std::chrono::milliseconds(2000);
 
   Phase phase() const { return phase_; }
-  bool Ready() const { return phase_ == Phase::kServing && (!able || able()); }
+  bool IsReady() const { return phase_ == Phase::kServing && (!can_record || can_record()); }
   // Whether each answer is the last one of its connection.
-  bool Closing() const { return phase_ > Phase::kServing; }
+  bool IsClosingConnections() const { return phase_ > Phase::kServing; }
   // Whether a message that comes now is taken on (under the other rules for that).
-  bool Takes(Time now) const;
+  bool IsAccepting(Time now) const;
 
-  void Started();        // only from kStarting; a pause that came before holds
+  void OnStarted();      // only from kStarting; a pause that came before holds
   bool Pause(Time now);  // false: it is ending, and the call is an error. Twice is as once.
   bool Resume();         // likewise
   void HandOver();
   void Stop(Time now);  // twice is as once
 
   // In one word, with what is held while draining: "drained" once that and the connections are none.
-  std::string Word(std::size_t held, std::size_t connections) const;
+  std::string StatusWord(std::size_t held, std::size_t connections) const;
 
   // Whether what is taken on can be put on record; absent: it can.
-  std::function<bool()> able;
+  std::function<bool()> can_record;
 
  private:
   Phase phase_ = Phase::kStarting;
--- a/src/app/dead_letter_service.cpp
+++ b/src/app/dead_letter_service.cpp
@@ -9,72 +9,76 @@
 
 namespace sagetally {
 
-KeptNode::KeptNode(Loop& loop, Logger& log, const Config& config, const KeptSettings& settings,
-                   Ledger& ledger, const Clock& clock)
+DeadLetterService::DeadLetterService(EventLoop& loop, Logger& log, const Config& config,
+                                     const DeadLetterSettings& settings, MessageTable& ledger,
+                                     const Clock& clock)
     : log_(log),
       settings_(settings),
       classes_(config.site.classes),
       clock_(clock),
-      folder_(kept::FolderOf(settings, config.state_folder)),
-      socket_path_(kept::SocketPath(config.state_folder)),
+      folder_(dead_letter::FolderOf(settings, config.state_folder)),
+      socket_path_(dead_letter::SocketPath(config.state_folder)),
       loop_(loop),
-      bell_(std::make_unique<Bell>(loop,
-                                   [this] {
-                                     worker_->Deliver();
-                                     reader_->Deliver();
-                                   })),
-      wake_(loop, [this] { keeper_.Turn(); }),
+      bell_(std::make_unique<WakeupDescriptor>(loop,
+                                               [this] {
+                                                 worker_->Deliver();
+                                                 reader_->Deliver();
+                                               })),
+      wake_(loop, [this] { keeper_.RunDueWork(); }),
       keeper_(
-          kept::KeeperFrom(config, settings),
-          [&]() -> kept::Jobs& {
+          dead_letter::MakeManagerSettings(config, settings),
+          [&]() -> dead_letter::JobRunner& {
             ::mkdir(folder_.c_str(), 0700);  // a folder that can't be made shows when the store is opened
-            kept::Database::Settings database = kept::DatabaseSettings(settings, folder_);
-            const auto ring = [bell = bell_.get()] { bell->Ring(); };
-            worker_ = std::make_unique<kept::Worker>(database, ring);
+            dead_letter::Database::Settings database = dead_letter::DatabaseSettings(settings, folder_);
+            const auto ring = [bell = bell_.get()] { bell->Notify(); };
+            worker_ = std::make_unique<dead_letter::Worker>(database, ring);
             database.read_only = true;
-            reader_ = std::make_unique<kept::Worker>(database, ring);
+            reader_ = std::make_unique<dead_letter::Worker>(database, ring);
             return *worker_;
           }(),
-          ledger, clock, log, [this](Duration d) { wake_.After(d); }) {
+          ledger, clock, log, [this](Duration d) { wake_.Schedule(d); }) {
   Use(ReadNewRules());
 }
 
-KeptNode::~KeptNode() = default;
+DeadLetterService::~DeadLetterService() = default;
 
-KeptNode::NewRules KeptNode::ReadNewRules() const {
+DeadLetterService::NewRules DeadLetterService::ReadNewRules() const {
   NewRules rules;
   if (settings_.rules_path.empty()) {
-    rules.rules = std::make_shared<kept::RuleSet>();
+    rules.rules = std::make_shared<dead_letter::RuleSet>();
   } else {
-    rules.rules = kept::ReadRules(settings_.rules_path, classes_, &rules.text);
+    rules.rules = dead_letter::ReadRules(settings_.rules_path, classes_, &rules.text);
   }
   return rules;
 }
 
-void KeptNode::Use(NewRules rules) {
+void DeadLetterService::Use(NewRules rules) {
   log_.Info("kept.rules", {{"file", settings_.rules_path}, {"rules", rules.rules->rules.size()}});
   keeper_.SetRules(std::move(rules.rules), rules.text);
 }
 
-void KeptNode::Start(Chain& chain, bool journal_lost) {
-  keeper_.Start({.take_again = [&chain](Message m) { return chain.admit.TakeAgain(std::move(m)); },
-                 .up = [&chain](int destination) { return chain.route.Up(destination); },
-                 .kept = [&chain](std::uint64_t number) { chain.book.Kept(number); }},
-                journal_lost);
+void DeadLetterService::Start(MessagePipeline& chain, bool journal_lost) {
+  keeper_.Start(
+      {.accept_redrive = [&chain](Message m) { return chain.admission.AcceptRedrive(std::move(m)); },
+       .has_usable_endpoint =
+           [&chain](int destination) { return chain.router.HasUsableEndpoint(destination); },
+       .on_dead_lettered =
+           [&chain](std::uint64_t number) { chain.completion_handler.OnDeadLettered(number); }},
+      journal_lost);
   try {
     control_ = std::make_unique<ControlServer>(
-        loop_, socket_path_, kept::kMostRequest,
-        [this](std::string_view line, const ControlServer::Answer& answer) { Asked(line, answer); });
+        loop_, socket_path_, dead_letter::kMaxRequestBytes,
+        [this](std::string_view line, const ControlServer::Responder& answer) { Asked(line, answer); });
   } catch (const std::exception& error) {  // delivery does not depend on it
     log_.Error("kept.no_control_socket", {{"why", error.what()}});
   }
   log_.Info("kept.on", {{"folder", folder_}});
 }
 
-nlohmann::json KeptNode::Status() const {
-  const kept::Keeper::Counters& c = keeper_.counters();
-  return {{"owed", keeper_.owed()},
-          {"resends_out", keeper_.resends_out()},
+nlohmann::json DeadLetterService::Status() const {
+  const dead_letter::DeadLetterManager::Counters& c = keeper_.counters();
+  return {{"owed", keeper_.pending_transfers()},
+          {"resends_out", keeper_.redrives_in_flight()},
           {"store_failing", keeper_.store_failing()},
           {"kept", c.kept},
           {"resends", c.resends},
@@ -87,31 +91,34 @@
           {"stores_begun_anew", c.stores_begun_anew}};
 }
 
-void KeptNode::Asked(std::string_view line, const ControlServer::Answer& answer) {
-  const auto operation = std::make_shared<kept::Operation>();
+void DeadLetterService::Asked(std::string_view line, const ControlServer::Responder& answer) {
+  const auto operation = std::make_shared<dead_letter::OperatorRequest>();
   try {
-    *operation = kept::ReadOperation(line, classes_);
+    *operation = dead_letter::ParseOperatorRequest(line, classes_);
   } catch (const std::exception& error) {
-    return answer(kept::ErrorLine(error.what()));
+    return answer(dead_letter::ErrorLine(error.what()));
   }
-  if (operation->kind == kept::Operation::Kind::kStatus) return answer(kept::OkLine({{"live", Status()}}));
+  if (operation->kind == dead_letter::OperatorRequest::Kind::kStatus)
+    return answer(dead_letter::OkLine({{"live", Status()}}));
   const auto result = std::make_shared<std::string>();
-  kept::Jobs& jobs = operation->Writes() ? *worker_ : *reader_;
+  dead_letter::JobRunner& jobs = operation->IsWrite() ? *worker_ : *reader_;
   const bool queued = jobs.Run(
-      [operation, result, review = keeper_.review(), now = clock_.Stamp()](kept::Database& db) {
+      [operation, result, review = keeper_.review(),
+       now = clock_.CurrentTimestamp()](dead_letter::Database& db) {
         try {
-          *result = kept::OkLine(kept::Perform(*operation, db, review.get(), now));
-        } catch (const kept::StoreError&) {
+          *result =
+              dead_letter::OkLine(dead_letter::ExecuteOperatorRequest(*operation, db, review.get(), now));
+        } catch (const dead_letter::StoreError&) {
           throw;  // the store's trouble, not the request's
         } catch (const std::exception& error) {
-          *result = kept::ErrorLine(error.what());
+          *result = dead_letter::ErrorLine(error.what());
         }
       },
-      [this, operation, result, answer](const kept::JobError* error) {
-        if (operation->Writes()) keeper_.LookAgain();
-        answer(error == nullptr ? *result : kept::ErrorLine("the store: " + error->what));
+      [this, operation, result, answer](const dead_letter::JobError* error) {
+        if (operation->IsWrite()) keeper_.ScheduleReview();
+        answer(error == nullptr ? *result : dead_letter::ErrorLine("the store: " + error->what));
       });
-  if (!queued) answer(kept::ErrorLine("busy: ask again"));
+  if (!queued) answer(dead_letter::ErrorLine("busy: ask again"));
 }
 
 }  // namespace sagetally
--- a/src/app/dead_letter_service.h
+++ b/src/app/dead_letter_service.h
@@ -18,39 +18,39 @@
 
 namespace sagetally {
 
-class KeptNode {
+class DeadLetterService {
  public:
   // Throws std::runtime_error naming the file and place at fault in the rules.
-  KeptNode(Loop& loop, Logger& log, const Config& config, const KeptSettings& settings, Ledger& ledger,
-           const Clock& clock);
-  ~KeptNode();
+  DeadLetterService(EventLoop& loop, Logger& log, const Config& config, const DeadLetterSettings& settings,
+                    MessageTable& ledger, const Clock& clock);
+  ~DeadLetterService();
 
-  Keep* keep() { return &keeper_; }
-  void Start(Chain& chain, bool journal_lost);
+  DeadLetterSink* keep() { return &keeper_; }
+  void Start(MessagePipeline& chain, bool journal_lost);
   void Stop() { keeper_.Stop(); }
   // The rules as their file says now, not yet in use. Throws as the constructor does.
   struct NewRules {
-    std::shared_ptr<const kept::RuleSet> rules;
+    std::shared_ptr<const dead_letter::RuleSet> rules;
     std::string text;
   };
   NewRules ReadNewRules() const;
   void Use(NewRules rules);
-  kept::Keeper& keeper() { return keeper_; }
+  dead_letter::DeadLetterManager& keeper() { return keeper_; }
 
  private:
-  void Asked(std::string_view line, const ControlServer::Answer& answer);
+  void Asked(std::string_view line, const ControlServer::Responder& answer);
   nlohmann::json Status() const;
 
   Logger& log_;
-  const KeptSettings settings_;
+  const DeadLetterSettings settings_;
   const std::vector<std::string> classes_;
   const Clock& clock_;
   const std::string folder_, socket_path_;
-  Loop& loop_;
-  std::unique_ptr<Bell> bell_;
-  std::unique_ptr<kept::Worker> worker_, reader_;  // reading never makes taking over wait
+  EventLoop& loop_;
+  std::unique_ptr<WakeupDescriptor> bell_;
+  std::unique_ptr<dead_letter::Worker> worker_, reader_;  // reading never makes taking over wait
   Timer wake_;
-  kept::Keeper keeper_;
+  dead_letter::DeadLetterManager keeper_;
   std::unique_ptr<ControlServer> control_;
 };
 
--- a/src/app/dispatcher.h
+++ b/src/app/dispatcher.h
@@ -29,12 +29,12 @@
 
 namespace sagetally {
 
-class Dispatcher : public Host, private Teller, private Caller {
+class Dispatcher : public Scheduler, private Notifier, private EndpointClient {
  public:
-  Dispatcher(Loop& loop, Logger& log, const Config& config, const DeployFile& deploy);
+  Dispatcher(EventLoop& loop, Logger& log, const Config& config, const NodeFile& deploy);
   ~Dispatcher() override;
 
-  void Stop();  // as SIGTERM asks for it; breaks the loop once done
+  void Shutdown();  // as SIGTERM asks for it; breaks the loop once done
   // As SIGHUP asks for it: takes over what may change under way, all of it or, by throwing, nothing.
   void Reload(const Config& config);
   // Why it ended by itself; empty if it was told to.
@@ -42,63 +42,63 @@
   std::uint16_t admin_port() const { return door_ ? door_->port() : 0; }
   std::size_t clients() const { return server_ ? server_->connections() : 0; }
   std::uint16_t port() const { return server_ ? server_->port() : 0; }
-  KeptNode* kept() { return kept_.get(); }
+  DeadLetterService* dead_letters() { return kept_.get(); }
   std::uint16_t events_port() const { return events_ ? events_->port() : 0; }
 
-  void StepSoon() override { step_.After(Duration(0)); }
-  void WakeAfter(Duration d) override { wake_.After(d); }
-  void TellPeers(const std::string& body) override {
-    if (peers_) peers_->TellAll(body);
+  void SchedulePolicyRun() override { step_.Schedule(Duration(0)); }
+  void ScheduleTimer(Duration d) override { wake_.Schedule(d); }
+  void SendGossip(const std::string& body) override {
+    if (peers_) peers_->Broadcast(body);
   }
-  void Log(const std::string& line) override;
+  void WriteLogLine(const std::string& line) override;
 
  private:
-  void Tell(const Message& message) override;
+  void Notify(const Message& message) override;
   // Calls that are out with the predecessor are cancelled there, all else goes to the pool.
-  void Call(const CallOrder& order) override { pool_.Call(order); }
-  void Cancel(std::uint64_t number) override;
-  void Recall(std::uint64_t number) override;
-  void CloseIdle(const std::string& endpoint) override { pool_.CloseIdle(endpoint); }
-  void Learn(const EndpointNews& news) override { pool_.Learn(news); }
-  void Forget(const std::string& endpoint) override { pool_.Forget(endpoint); }
+  void StartCall(const CallRequest& order) override { pool_.StartCall(order); }
+  void CancelCall(std::uint64_t number) override;
+  void CancelCallIfUnsent(std::uint64_t number) override;
+  void CloseIdleConnections(const std::string& endpoint) override { pool_.CloseIdleConnections(endpoint); }
+  void UpdateEndpoint(const EndpointUpdate& news) override { pool_.UpdateEndpoint(news); }
+  void RemoveEndpoint(const std::string& endpoint) override { pool_.RemoveEndpoint(endpoint); }
   void Back(const CallResult& result);
   void TakeOver();
   void OfferHandover();
-  Offer MakeOffer();
+  HandoverOffer MakeOffer();
   void LetGo();
   void Step();
   void EndIfDone();
   void OpenDoor();
   bool Pause();
   bool Resume();
-  std::vector<Server*> Servers() const;
+  std::vector<HttpServer*> Servers() const;
   std::size_t Held() const;
   bool handed_over() const { return readiness_.phase() == Readiness::Phase::kHandedOver; }
   void FollowRegistry(const EurekaSettings& settings, Role role);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Logger& log_;
   Config config_;
-  Fd door_socket_;                            // opened before anything is taken over
+  FileDescriptor door_socket_;                // opened before anything is taken over
   std::unique_ptr<Predecessor> predecessor_;  // null: there was none to take over from
   SystemClock clock_;
   Timer step_, wake_, close_, close_mute_, end_, close_idle_;
   Readiness readiness_;
-  Figures figures_;
-  Ledger ledger_;
-  JournalNode journal_;
+  Metrics figures_;
+  MessageTable ledger_;
+  JournalService journal_;
   EndpointPool pool_;
-  Notices notices_;
-  std::unique_ptr<Notices> results_;  // to the sink of events
-  std::unique_ptr<KeptNode> kept_;    // null: undeliverable messages are not kept
-  Chain chain_;
-  std::unique_ptr<Peers> peers_;
-  std::unique_ptr<PlatformFront> front_;
-  std::unique_ptr<Watch> watch_;          // either this
-  std::unique_ptr<EurekaClient> eureka_;  // or this
-  std::unique_ptr<CloudEventsFront> events_front_;
-  std::unique_ptr<Server> server_, events_;
-  std::unique_ptr<Door> door_;
+  NotificationClient notices_;
+  std::unique_ptr<NotificationClient> results_;  // to the sink of events
+  std::unique_ptr<DeadLetterService> kept_;      // null: undeliverable messages are not kept
+  MessagePipeline chain_;
+  std::unique_ptr<GossipTransport> peers_;
+  std::unique_ptr<PlatformFrontend> front_;
+  std::unique_ptr<EndpointListWatcher> watch_;  // either this
+  std::unique_ptr<EurekaClient> eureka_;        // or this
+  std::unique_ptr<CloudEventsFrontend> events_front_;
+  std::unique_ptr<HttpServer> server_, events_;
+  std::unique_ptr<AdminServer> door_;
   std::unique_ptr<Successor> successor_;  // null: another process can't take over
   bool stopping_ = false;
   std::string failure_;
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-struct Forwarder::Passing {
-  Passing(Loop& loop, std::function<void(Passing&)> again)
+struct Forwarder::ForwardedSubmission {
+  ForwardedSubmission(EventLoop& loop, std::function<void(ForwardedSubmission&)> again)
       : timer(loop, [this, again = std::move(again)] { again(*this); }) {}
   std::shared_ptr<Exchange> exchange;
   Address planner;
@@ -33,7 +33,7 @@
   Timer timer;
 };
 
-Forwarder::Forwarder(Loop& loop, Logger& log, const Config& config, const DeployFile& deploy)
+Forwarder::Forwarder(EventLoop& loop, Logger& log, const Config& config, const NodeFile& deploy)
     : loop_(loop),
       log_(log),
       site_(config.site),
@@ -42,13 +42,14 @@
           loop, *deploy.eureka, Instance{}, [](const Applications&) {}, log)),
       calls_(loop),
       end_(loop, [this] { loop_.Break(); }) {
-  const Shares shares = Share(config, true);
-  plain_ = std::make_unique<Server>(loop, config.listen, Server::Limits{Intake::kMostBody, shares.plain},
-                                    [this](const std::shared_ptr<Exchange>& e) { Plain(e); });
-  events_ =
-      std::make_unique<Server>(loop, deploy.cloudevents->listen,
-                               Server::Limits{shares.event_body, shares.events, CloudEventsFront::kMostHead},
-                               [this](const std::shared_ptr<Exchange>& e) { Events(e); });
+  const DescriptorShares shares = ShareDescriptors(config, true);
+  plain_ = std::make_unique<HttpServer>(
+      loop, config.listen, HttpServer::HttpServerLimits{RequestValidator::kMaxBodyBytes, shares.plain},
+      [this](const std::shared_ptr<Exchange>& e) { Plain(e); });
+  events_ = std::make_unique<HttpServer>(
+      loop, deploy.cloudevents->listen,
+      HttpServer::HttpServerLimits{shares.event_body, shares.events, CloudEventsFrontend::kMaxHeadBytes},
+      [this](const std::shared_ptr<Exchange>& e) { Events(e); });
   log_.Info("ready",
             {{"name", config.name}, {"role", "forwarder"}, {"port", port()}, {"events_port", events_port()}});
 }
@@ -63,24 +64,24 @@
 }
 
 void Forwarder::Plain(const std::shared_ptr<Exchange>& exchange) {
-  if (AnsweredAside(*exchange, !stopping_)) return;
+  if (RespondToOtherPath(*exchange, !stopping_)) return;
   Request request;
-  if (const std::string problem = ReadPlain(*exchange, site_, request); !problem.empty()) {
-    exchange->Answer(400, problem + "\n");
+  if (const std::string problem = ParsePlatformRequest(*exchange, site_, request); !problem.empty()) {
+    exchange->Respond(400, problem + "\n");
     return;
   }
-  Pass({ToEvent(request, site_)}, {request.destination}, exchange);
+  Pass({ToCloudEvent(request, site_)}, {request.destination}, exchange);
 }
 
 void Forwarder::Events(const std::shared_ptr<Exchange>& exchange) {
-  if (AnsweredAside(*exchange, !stopping_)) return;
+  if (RespondToOtherPath(*exchange, !stopping_)) return;
   std::vector<CloudEvent> events;
   std::vector<int> destinations;
   try {
-    events = ReadEvents(exchange->headers(), exchange->body());
+    events = ParseCloudEvents(exchange->headers(), exchange->body());
     for (const CloudEvent& event : events) destinations.push_back(ToRequest(event, site_).destination);
   } catch (const std::exception& e) {
-    exchange->Answer(400, std::string(e.what()) + "\n");
+    exchange->Respond(400, std::string(e.what()) + "\n");
     return;
   }
   Pass(std::move(events), destinations, exchange);
@@ -89,30 +90,30 @@
 void Forwarder::Pass(std::vector<CloudEvent> events, const std::vector<int>& destinations,
                      const std::shared_ptr<Exchange>& exchange) {
   if (events.empty()) {
-    exchange->Answer(202);
+    exchange->Respond(202);
     return;
   }
   if (stopping_) {
-    exchange->Answer(503, "stopping\n");
+    exchange->Respond(503, "stopping\n");
     return;
   }
   std::set<const Instance*> planners;
   const auto listed = eureka_->applications().find(planners_app_);
   for (const int destination : destinations) {
     planners.insert(listed == eureka_->applications().end() ? nullptr
-                                                            : PickPlanner(listed->second, destination));
+                                                            : SelectPlanner(listed->second, destination));
   }
   if (planners.contains(nullptr)) {
-    exchange->Answer(503, "no planner is up\n");
+    exchange->Respond(503, "no planner is up\n");
     return;
   }
   if (planners.size() > 1) {  // a batch is taken whole or not at all, which two planners can't promise
-    exchange->Answer(400, "the batch's destinations belong to several planners: hand them in apart\n");
+    exchange->Respond(400, "the batch's destinations belong to several planners: hand them in apart\n");
     return;
   }
-  const auto passing = std::make_shared<Passing>(loop_, [this](Passing& p) {
+  const auto passing = std::make_shared<ForwardedSubmission>(loop_, [this](ForwardedSubmission& p) {
     for (const auto& held : waiting_) {
-      if (held.get() == &p) return Send(std::shared_ptr<Passing>(held));
+      if (held.get() == &p) return Send(std::shared_ptr<ForwardedSubmission>(held));
     }
   });
   passing->exchange = exchange;
@@ -128,47 +129,47 @@
   Send(passing);
 }
 
-void Forwarder::Send(const std::shared_ptr<Passing>& passing) {
+void Forwarder::Send(const std::shared_ptr<ForwardedSubmission>& passing) {
   calls_.Send(passing->planner, EVHTTP_REQ_POST, "/", passing->headers, passing->body, kOneTry,
               [this, passing](const HttpResult& result) { Back(passing, result); });
 }
 
-void Forwarder::Back(const std::shared_ptr<Passing>& passing, const HttpResult& result) {
-  if (result.code != 0) {
+void Forwarder::Back(const std::shared_ptr<ForwardedSubmission>& passing, const HttpResult& result) {
+  if (result.status_code != 0) {
     Headers headers;
     for (const auto& [name, value] : result.headers) {
       if (evutil_ascii_strcasecmp(name.c_str(), "Retry-After") == 0) headers.emplace_back(name, value);
     }
-    return End(passing, result.code, result.body, headers);
+    return End(passing, result.status_code, result.body, headers);
   }
-  passing->may_be_taken = passing->may_be_taken || result.written;
+  passing->may_be_taken = passing->may_be_taken || result.request_written;
   if (!passing->may_be_taken) return End(passing, 503, "the planner can't be reached\n", {});
   if (std::chrono::steady_clock::now() + kTryAgain >= passing->limit) {
     return End(passing, 504, "not known whether it was taken: hand it in again under the same id\n", {});
   }
   // The same planner and the same id: if it was taken, the answer is the same and there is no second message.
   waiting_.insert(passing);
-  passing->timer.After(kTryAgain);
+  passing->timer.Schedule(kTryAgain);
 }
 
-void Forwarder::End(const std::shared_ptr<Passing>& passing, int code, const std::string& body,
+void Forwarder::End(const std::shared_ptr<ForwardedSubmission>& passing, int code, const std::string& body,
                     const Headers& headers) {
-  passing->exchange->Answer(code, body, headers);
+  passing->exchange->Respond(code, body, headers);
   waiting_.erase(passing);
   --out_;
   EndIfDone();
 }
 
 void Forwarder::EndIfDone() {
-  if (stopping_ && out_ == 0) end_.After(milliseconds(400));  // new connections come for so long
+  if (stopping_ && out_ == 0) end_.Schedule(milliseconds(400));  // new connections come for so long
 }
 
-void Forwarder::Stop() {
+void Forwarder::Shutdown() {
   if (std::exchange(stopping_, true)) return;
   log_.Info("stopping", {{"on_their_way", out_}});
   plain_->CloseBetweenRequests();
   events_->CloseBetweenRequests();
-  end_.After(kLongestStop);
+  end_.Schedule(kLongestStop);
   EndIfDone();
 }
 
--- a/src/app/handover_session.cpp
+++ b/src/app/handover_session.cpp
@@ -27,7 +27,7 @@
 constexpr Duration kCloseSettles = milliseconds(10);
 
 bool Held(const std::string& folder) {  // by another process
-  RealFileSystem files;
+  PosixFileSystem files;
   int error = 0;
   const auto lock = files.Lock(folder + "/journal/lock", error);
   return error == EWOULDBLOCK;
@@ -39,11 +39,11 @@
   const auto until = std::chrono::steady_clock::now() + kLooksFor;
   while (true) {
     auto found = std::make_unique<Predecessor>();
-    found->channel_ = Channel::Connect(config.state_folder, kName);
-    if (found->channel_.open()) {
-      Writer hello;
-      hello.Number(kHandoverVersion).Text(config.name);
-      if (found->channel_.Send('h', hello.out()) && found->Collect()) return found;
+    found->channel_ = HandoverChannel::Connect(config.state_folder, kName);
+    if (found->channel_.is_open()) {
+      ByteWriter hello;
+      hello.AppendNumber(kHandoverVersion).AppendString(config.name);
+      if (found->channel_.Send('h', hello.bytes()) && found->Collect()) return found;
     } else if (!Held(config.state_folder)) {
       return nullptr;
     }
@@ -54,12 +54,12 @@
 
 bool Predecessor::Collect() {
   while (std::optional<Packet> packet = channel_.Receive(kAnswers)) {
-    Server::Passed client;
+    HttpServer::TransferredClient client;
     switch (packet->kind) {
       case 'n':
         throw std::runtime_error("the process that serves does not hand over: " + packet->bytes);
       case 's':
-        if (std::optional<HandoverState> read = DecodeHandover(packet->bytes)) {
+        if (std::optional<HandoverState> read = DecodeHandoverState(packet->bytes)) {
           state = std::move(*read);
           break;
         }
@@ -78,10 +78,10 @@
         break;
       case 'c':
       case 'd': {
-        Reader r(packet->bytes);
-        client.asked = r.Flag();
-        client.age = r.At();
-        client.bytes = r.Text();
+        ByteReader r(packet->bytes);
+        client.has_sent_requests = r.ReadBool();
+        client.age = r.ReadTime();
+        client.bytes = r.ReadString();
         client.fd = std::move(packet->fd);
         (packet->kind == 'c' ? clients : event_clients).push_back(std::move(client));
         break;
@@ -98,22 +98,22 @@
 void Predecessor::Ready() {
   channel_.Send('y');
   const std::optional<Packet> word = channel_.Receive(kOffered);
-  if (!word || word->kind != 'g') throw HandoverGivenUp("the process that serves gave the handover up");
+  if (!word || word->kind != 'g') throw HandoverAborted("the process that serves gave the handover up");
 }
 
-void Predecessor::Follow(Loop& loop, std::set<std::uint64_t> calls,
+void Predecessor::Follow(EventLoop& loop, std::set<std::uint64_t> calls,
                          std::function<void(const CallResult&)> back) {
   calls_ = std::move(calls);
   back_ = std::move(back);
   settle_ = std::make_unique<Timer>(loop, [this] { Ended(); });
-  channel_.Follow(
+  channel_.OnReadable(
       loop,
       [this](const Packet& packet) {
         if (packet.kind != 'r') return;
-        const std::optional<CallResult> result = DecodeResult(packet.bytes);
+        const std::optional<CallResult> result = DecodeCallResult(packet.bytes);
         if (result && calls_.erase(result->number) > 0) back_(*result);
       },
-      [this] { settle_->After(kCloseSettles); });
+      [this] { settle_->Schedule(kCloseSettles); });
 }
 
 void Predecessor::Ended() {
@@ -127,39 +127,39 @@
 
 bool Predecessor::Say(char kind, std::uint64_t number) {
   if (!calls_.contains(number)) return false;
-  Writer w;
-  w.Number(number);
-  channel_.Send(kind, w.out());
+  ByteWriter w;
+  w.AppendNumber(number);
+  channel_.Send(kind, w.bytes());
   return true;
 }
 
-Successor::Successor(Loop& loop, Logger& log, const Config& config, Heard heard)
+Successor::Successor(EventLoop& loop, Logger& log, const Config& config, Callbacks heard)
     : log_(log),
       name_(config.name),
       heard_(std::move(heard)),
       loop_(loop),
       again_(loop, [this] { Try(); }),
       mute_(loop, [this] { channel_.Close(); }),
-      listener_(std::make_unique<ChannelListener>(loop, config.state_folder, kName,
-                                                  [this](Channel channel) { Came(std::move(channel)); })) {}
+      listener_(std::make_unique<HandoverListener>(
+          loop, config.state_folder, kName, [this](HandoverChannel channel) { Came(std::move(channel)); })) {}
 
-void Successor::Came(Channel channel) {
-  if (channel_.open()) {  // one at a time; this one looks again
+void Successor::Came(HandoverChannel channel) {
+  if (channel_.is_open()) {  // one at a time; this one looks again
     channel.Close();
     return;
   }
   channel_ = std::move(channel);
-  mute_.After(kAnswers);
-  channel_.Follow(
+  mute_.Schedule(kAnswers);
+  channel_.OnReadable(
       loop_, [this](const Packet& packet) { Hello(packet); }, [] {});
 }
 
 void Successor::Hello(const Packet& packet) {
-  Reader r(packet.bytes);
-  const auto version = r.Number<std::uint32_t>();
-  const std::string name = r.Text();
+  ByteReader r(packet.bytes);
+  const auto version = r.ReadNumber<std::uint32_t>();
+  const std::string name = r.ReadString();
   std::string why = heard_.refusal();
-  if (packet.kind != 'h' || version != kHandoverVersion || !r.fine()) why = "another version of the handover";
+  if (packet.kind != 'h' || version != kHandoverVersion || !r.ok()) why = "another version of the handover";
   if (why.empty() && name != name_) why = "this is " + name_ + ", not " + name;
   mute_.Stop();
   if (!why.empty()) {
@@ -168,13 +168,13 @@
     return channel_.Close();
   }
   asked_ = std::chrono::steady_clock::now();
-  again_.After(Duration(0));  // from the loop: this runs within the channel's own event
+  again_.Schedule(Duration(0));  // from the loop: this runs within the channel's own event
 }
 
 void Successor::Try() {
-  if (!channel_.open()) return;
+  if (!channel_.is_open()) return;
   if (!heard_.settled()) {
-    if (std::chrono::steady_clock::now() - asked_ < kSettles) return again_.After(milliseconds(2));
+    if (std::chrono::steady_clock::now() - asked_ < kSettles) return again_.Schedule(milliseconds(2));
     log_.Warn("handover.refused", {{"why", "records wait for the disk"}});
     channel_.Send('n', "records wait for the disk");
     return channel_.Close();
@@ -184,17 +184,17 @@
 
 void Successor::Pass() {
   const auto begun = std::chrono::steady_clock::now();
-  const Offer offer = heard_.offer();
-  channel_.Send('s', Encode(offer.state));
+  const HandoverOffer offer = heard_.offer();
+  channel_.Send('s', EncodeHandoverState(offer.state));
   channel_.Send('k', {}, offer.lock);
   if (offer.listener >= 0) channel_.Send('l', {}, offer.listener);
   if (offer.events_listener >= 0) channel_.Send('e', {}, offer.events_listener);
   if (offer.peers >= 0) channel_.Send('u', {}, offer.peers);
-  const auto pass = [this](char kind, const std::vector<Server::Passing>& clients) {
-    for (const Server::Passing& client : clients) {
-      Writer w;
-      w.Number(client.asked).At(client.age).Text(client.bytes);
-      channel_.Send(kind, w.out(), client.fd);
+  const auto pass = [this](char kind, const std::vector<HttpServer::ClientToTransfer>& clients) {
+    for (const HttpServer::ClientToTransfer& client : clients) {
+      ByteWriter w;
+      w.AppendNumber(client.has_sent_requests).AppendTime(client.age).AppendString(client.bytes);
+      channel_.Send(kind, w.bytes(), client.fd);
     }
   };
   pass('c', offer.clients);
@@ -204,15 +204,15 @@
   listener_.reset();
   log_.Info("handover.done",
             {{"clients", offer.clients.size() + offer.event_clients.size()},
-             {"calls_out", offer.state.out.size()},
+             {"calls_out", offer.state.in_flight_calls.size()},
              {"paused_ms",
               std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - begun).count()}});
-  channel_.Follow(
+  channel_.OnReadable(
       loop_,
       [this](const Packet& packet) {
-        Reader r(packet.bytes);
-        if (packet.kind == 'x') heard_.cancel(r.Number<std::uint64_t>());
-        if (packet.kind == 'w') heard_.recall(r.Number<std::uint64_t>());
+        ByteReader r(packet.bytes);
+        if (packet.kind == 'x') heard_.cancel(r.ReadNumber<std::uint64_t>());
+        if (packet.kind == 'w') heard_.recall(r.ReadNumber<std::uint64_t>());
       },
       [] {});
   heard_.let_go();
@@ -226,7 +226,7 @@
     channel_.Close();
     return false;
   }
-  if (channel_.Receive(kBegins) || channel_.open()) return true;  // or it is slow: it has the word
+  if (channel_.Receive(kBegins) || channel_.is_open()) return true;  // or it is slow: it has the word
   if (heard_.taken_back()) {
     log_.Warn("handover.given_up", {{"why", "the new process died"}});
     return false;
--- a/src/app/handover_session.h
+++ b/src/app/handover_session.h
@@ -20,7 +20,7 @@
 namespace sagetally {
 
 // The old process goes on instead, or has died: look for one again, and begin anew.
-struct HandoverGivenUp : std::runtime_error {
+struct HandoverAborted : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -37,53 +37,53 @@
   void Begun() { channel_.Send('b'); }
 
   // Calls of ours that are still with it. `back` is told each outcome; if it goes first they may have run.
-  void Follow(Loop& loop, std::set<std::uint64_t> calls, std::function<void(const CallResult&)> back);
+  void Follow(EventLoop& loop, std::set<std::uint64_t> calls, std::function<void(const CallResult&)> back);
   // False if it has no such call.
   bool Cancel(std::uint64_t number) { return Say('x', number); }
   bool Recall(std::uint64_t number) { return Say('w', number); }
   bool owes() const { return !calls_.empty(); }
 
   HandoverState state;
-  Fd lock, listener, events_listener, peers;
-  std::vector<Server::Passed> clients, event_clients;
+  FileDescriptor lock, listener, events_listener, peers;
+  std::vector<HttpServer::TransferredClient> clients, event_clients;
 
  private:
   bool Collect();
   void Ended();
   bool Say(char kind, std::uint64_t number);  // of a call that is still with it
 
-  Channel channel_;
+  HandoverChannel channel_;
   std::set<std::uint64_t> calls_;
   std::function<void(const CallResult&)> back_;
   std::unique_ptr<Timer> settle_;
 };
 
 // What the old process passes on; descriptors stay its own.
-struct Offer {
+struct HandoverOffer {
   HandoverState state;
   int lock = -1, listener = -1, events_listener = -1, peers = -1;
-  std::vector<Server::Passing> clients, event_clients;
+  std::vector<HttpServer::ClientToTransfer> clients, event_clients;
 };
 
 class Successor {
  public:
-  struct Heard {
+  struct Callbacks {
     std::function<bool()> settled;                      // nothing waits for the journal or for an answer
     std::function<std::string()> refusal;               // empty: may be handed over
-    std::function<Offer()> offer;                       // all that is due has been carried out
+    std::function<HandoverOffer()> offer;               // all that is due has been carried out
     std::function<bool()> taken_back;                   // the new process has died: whether we can go on
     std::function<void()> let_go;                       // it has all of it now
     std::function<void()> lost;                         // it has died, and the journal is not as it was
     std::function<void(std::uint64_t)> cancel, recall;  // a call of ours, by its number
   };
   // Throws std::runtime_error if it can't listen in the state folder.
-  Successor(Loop& loop, Logger& log, const Config& config, Heard heard);
+  Successor(EventLoop& loop, Logger& log, const Config& config, Callbacks heard);
 
   // After let_go: the outcome of a call that stayed with us.
-  void Report(const CallResult& result) { channel_.Send('r', EncodeResult(result)); }
+  void Report(const CallResult& result) { channel_.Send('r', EncodeCallResult(result)); }
 
  private:
-  void Came(Channel channel);
+  void Came(HandoverChannel channel);
   void Hello(const Packet& packet);
   void Try();
   void Pass();
@@ -91,12 +91,12 @@
 
   Logger& log_;
   const std::string name_;
-  const Heard heard_;
-  Loop& loop_;
-  Channel channel_;
+  const Callbacks heard_;
+  EventLoop& loop_;
+  HandoverChannel channel_;
   Timer again_, mute_;
   std::chrono::steady_clock::time_point asked_{};
-  std::unique_ptr<ChannelListener> listener_;
+  std::unique_ptr<HandoverListener> listener_;
 };
 
 }  // namespace sagetally
--- a/src/app/journal_service.cpp
+++ b/src/app/journal_service.cpp
@@ -11,32 +11,32 @@
 
 namespace sagetally {
 
-JournalSettings JournalFrom(const Config& config, const JournalFile& file) {
+JournalSettings MakeJournalSettings(const Config& config, const JournalFileSettings& file) {
   JournalSettings s;
   s.folder = config.state_folder + "/journal";
-  s.legacy = config.state_folder + "/log";
-  s.node = config.name;
-  s.budget = config.disk_bytes;
-  s.classes = config.site.classes;
-  s.durability = file.synced ? Durability::kSynced : Durability::kWritten;
-  s.group = file.group;
-  s.reserve = file.reserve;
+  s.format1_path = config.state_folder + "/log";
+  s.node_name = config.name;
+  s.disk_budget = config.disk_limit_bytes;
+  s.class_names = config.site.classes;
+  s.default_durability = file.synced ? Durability::kSynced : Durability::kWritten;
+  s.group_commit_delay = file.group_commit_delay;
+  s.reserve_disk_space = file.reserve_disk_space;
   s.seed = config.seed;
   s.segment_bytes = file.segment_bytes;
   for (const std::string& name : file.synced_classes) {
-    const auto at = std::find(s.classes.begin(), s.classes.end(), name);
-    if (at == s.classes.end()) {
+    const auto at = std::find(s.class_names.begin(), s.class_names.end(), name);
+    if (at == s.class_names.end()) {
       throw std::runtime_error("/journal/synced_classes: expected names of configured classes, found " +
                                name);
     }
-    s.durability_of[static_cast<int>(at - s.classes.begin())] = Durability::kSynced;
+    s.class_durability[static_cast<int>(at - s.class_names.begin())] = Durability::kSynced;
   }
   return s;
 }
 
-class JournalNode::SyncThread {
+class JournalService::SyncThread {
  public:
-  explicit SyncThread(const Bell& bell) : bell_(bell), thread_([this] { Work(); }) {}
+  explicit SyncThread(const WakeupDescriptor& bell) : bell_(bell), thread_([this] { Work(); }) {}
   ~SyncThread() {
     {
       const std::lock_guard lock(mutex_);
@@ -78,10 +78,10 @@
       job.error = job.file->Sync();
       lock.lock();
       done_.push_back(std::move(job));
-      bell_.Ring();
+      bell_.Notify();
     }
   }
-  const Bell& bell_;
+  const WakeupDescriptor& bell_;
   std::mutex mutex_;
   std::condition_variable more_;
   std::deque<Job> asked_;
@@ -90,35 +90,38 @@
   std::thread thread_;
 };
 
-JournalNode::JournalNode(Loop& loop, Logger& log, const Config& config, const JournalFile& file,
-                         Ledger& ledger, SystemClock& clock, Heard heard, Fd lock)
+JournalService::JournalService(EventLoop& loop, Logger& log, const Config& config,
+                               const JournalFileSettings& file, MessageTable& ledger, SystemClock& clock,
+                               Callbacks heard, FileDescriptor lock)
     : begins_(std::move(heard.begins)),
-      turn_(loop, [this] { journal_->Turn(); }),
+      turn_(loop, [this] { journal_->RunDueWork(); }),
       progress_(loop, std::move(heard.progress)),
       fenced_(loop, std::move(heard.fenced)),
       bell_(loop, [this] {
         if (syncs_) syncs_->Deliver();
       }) {
   files_.Adopt(std::move(lock));
-  journal_ = std::make_unique<SegmentJournal>(files_, JournalFrom(config, file), ledger, clock, log, *this);
+  journal_ =
+      std::make_unique<SegmentJournal>(files_, MakeJournalSettings(config, file), ledger, clock, log, *this);
   const ReplayReport& report = journal_->report();
-  log.Info("journal.read", {{"note", journal_->note()},
+  log.Info("journal.read", {{"note", journal_->replay_note()},
                             {"segments", report.segments.size()},
                             {"epoch", journal_->epoch()},
                             {"disk_bytes", journal_->disk_bytes()}});
-  const SystemClock::Carried carried = clock.CarryOn(report.last_moment);
-  if (carried.by <= Duration(0)) return;
-  log.Warn("clock.stepped_back", {{"by_ms", carried.by.count() / 1000}, {"measured", carried.measured}});
-  if (carried.measured) return;
+  const SystemClock::ClockCorrection carried = clock.ContinueFrom(report.latest_timestamp);
+  if (carried.amount <= Duration(0)) return;
+  log.Warn("clock.stepped_back",
+           {{"by_ms", carried.amount.count() / 1000}, {"measured", carried.is_measured}});
+  if (carried.is_measured) return;
   // How long ago calls went out is not known: every window to repeat them counts as over.
   for (const auto& [number, message] : ledger.messages()) {
-    if (message.may_have_run) ledger.Find(number)->may_have_run = Time(0);
+    if (message.first_uncertain_attempt) ledger.Find(number)->first_uncertain_attempt = Time(0);
   }
 }
 
-JournalNode::~JournalNode() = default;
+JournalService::~JournalService() = default;
 
-void JournalNode::Sync(std::shared_ptr<File> file, std::function<void(int)> done) {
+void JournalService::SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) {
   if (!syncs_) syncs_ = std::make_unique<SyncThread>(bell_);
   syncs_->Add(std::move(file), std::move(done));
 }
--- a/src/app/journal_service.h
+++ b/src/app/journal_service.h
@@ -18,35 +18,36 @@
 namespace sagetally {
 
 // Throws std::runtime_error naming the key at fault.
-JournalSettings JournalFrom(const Config& config, const JournalFile& file);
+JournalSettings MakeJournalSettings(const Config& config, const JournalFileSettings& file);
 
-class JournalNode : public JournalHost {
+class JournalService : public JournalHost {
  public:
-  struct Heard {
+  struct Callbacks {
     std::function<void()> progress;     // what waited for the journal may go on
     std::function<void()> fenced;       // another process has the journal
     std::function<void()> begins = {};  // as JournalHost::Begins; may be empty
   };
-  JournalNode(Loop& loop, Logger& log, const Config& config, const JournalFile& file, Ledger& ledger,
-              SystemClock& clock, Heard heard, Fd lock = Fd());
-  ~JournalNode() override;
+  JournalService(EventLoop& loop, Logger& log, const Config& config, const JournalFileSettings& file,
+                 MessageTable& ledger, SystemClock& clock, Callbacks heard,
+                 FileDescriptor lock = FileDescriptor());
+  ~JournalService() override;
 
   SegmentJournal& journal() { return *journal_; }
 
-  void TurnAfter(Duration d) override { turn_.After(d); }
-  void Progress() override { progress_.After(Duration(0)); }
-  void Sync(std::shared_ptr<File> file, std::function<void(int)> done) override;
-  void Begins() override {
+  void ScheduleTurn(Duration d) override { turn_.Schedule(d); }
+  void OnProgress() override { progress_.Schedule(Duration(0)); }
+  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override;
+  void BeforeFirstWrite() override {
     if (begins_) begins_();
   }
-  void Fenced() override { fenced_.After(Duration(0)); }
+  void OnFenced() override { fenced_.Schedule(Duration(0)); }
 
  private:
   class SyncThread;
-  RealFileSystem files_;
+  PosixFileSystem files_;
   std::function<void()> begins_;
   Timer turn_, progress_, fenced_;
-  Bell bell_;
+  WakeupDescriptor bell_;
   std::unique_ptr<SyncThread> syncs_;  // begun with the first sync
   std::unique_ptr<SegmentJournal> journal_;
 };
--- a/src/base/byte_codec.h
+++ b/src/base/byte_codec.h
@@ -15,58 +15,58 @@
 
 static_assert(std::endian::native == std::endian::little, "records are little-endian");
 
-class Writer {
+class ByteWriter {
  public:
   template <typename T>
-  Writer& Number(T value) {
+  ByteWriter& AppendNumber(T value) {
     char raw[sizeof(T)];
     std::memcpy(raw, &value, sizeof(T));
-    out_.append(raw, sizeof(T));
+    bytes_.append(raw, sizeof(T));
     return *this;
   }
-  Writer& Text(std::string_view text) {
-    Number(static_cast<std::uint32_t>(text.size()));
-    out_ += text;
+  ByteWriter& AppendString(std::string_view text) {
+    AppendNumber(static_cast<std::uint32_t>(text.size()));
+    bytes_ += text;
     return *this;
   }
-  Writer& At(Time t) { return Number(static_cast<std::int64_t>(t.count())); }
-  const std::string& out() const { return out_; }
+  ByteWriter& AppendTime(Time t) { return AppendNumber(static_cast<std::int64_t>(t.count())); }
+  const std::string& bytes() const { return bytes_; }
 
  private:
-  std::string out_;
+  std::string bytes_;
 };
 
-class Reader {  // past the end it gives zeros, and is no longer fine()
+class ByteReader {  // past the end it gives zeros, and is no longer fine()
  public:
-  explicit Reader(std::string_view in) : in_(in) {}
+  explicit ByteReader(std::string_view in) : input_(in) {}
   template <typename T>
-  T Number() {
+  T ReadNumber() {
     T value{};
-    const std::string_view raw = Take(sizeof(T));
+    const std::string_view raw = ReadBytes(sizeof(T));
     if (raw.size() == sizeof(T)) std::memcpy(&value, raw.data(), sizeof(T));
     return value;
   }
-  bool Flag() { return Number<std::uint8_t>() != 0; }
-  std::string_view View() { return Take(Number<std::uint32_t>()); }
-  std::string Text() { return std::string(View()); }
-  Time At() { return Time(Number<std::int64_t>()); }
-  bool fine() const { return fine_; }
-  bool empty() const { return in_.empty(); }
-  void Fail() { fine_ = false; }
+  bool ReadBool() { return ReadNumber<std::uint8_t>() != 0; }
+  std::string_view ReadView() { return ReadBytes(ReadNumber<std::uint32_t>()); }
+  std::string ReadString() { return std::string(ReadView()); }
+  Time ReadTime() { return Time(ReadNumber<std::int64_t>()); }
+  bool ok() const { return ok_; }
+  bool empty() const { return input_.empty(); }
+  void MarkMalformed() { ok_ = false; }
 
  private:
-  std::string_view Take(std::size_t n) {
-    if (n > in_.size()) {
-      fine_ = false;
-      in_ = {};
+  std::string_view ReadBytes(std::size_t n) {
+    if (n > input_.size()) {
+      ok_ = false;
+      input_ = {};
       return {};
     }
-    const std::string_view taken = in_.substr(0, n);
-    in_.remove_prefix(n);
+    const std::string_view taken = input_.substr(0, n);
+    input_.remove_prefix(n);
     return taken;
   }
-  std::string_view in_;
-  bool fine_ = true;
+  std::string_view input_;
+  bool ok_ = true;
 };
 
 // CRC-32C (Castagnoli), as in RFC 3720, over the eight bytes of `salt`, if it isn't 0, and `bytes`.
--- a/src/base/file_descriptor.h
+++ b/src/base/file_descriptor.h
@@ -8,18 +8,18 @@
 
 namespace sagetally {
 
-class Fd {
+class FileDescriptor {
  public:
-  explicit Fd(int fd = -1) : fd_(fd) {}
-  Fd(Fd&& other) noexcept : fd_(other.Release()) {}
-  Fd& operator=(Fd&& other) noexcept {
+  explicit FileDescriptor(int fd = -1) : fd_(fd) {}
+  FileDescriptor(FileDescriptor&& other) noexcept : fd_(other.Release()) {}
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     if (this != &other) {
       if (fd_ >= 0) ::close(fd_);
       fd_ = other.Release();
     }
     return *this;
   }
-  ~Fd() {
+  ~FileDescriptor() {
     if (fd_ >= 0) ::close(fd_);
   }
   int get() const { return fd_; }
--- a/src/cli/admin_commands.cpp
+++ b/src/cli/admin_commands.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-int RunOperate(const std::string& call, const std::string& admin, std::ostream& out, std::ostream& err) {
+int RunAdminCommand(const std::string& call, const std::string& admin, std::ostream& out, std::ostream& err) {
   const Address at = ParseAddress(admin, "--admin");
-  const Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof kPatience);
   ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &kPatience, sizeof kPatience);
   sockaddr_in to{};
--- a/src/cli/admin_commands.h
+++ b/src/cli/admin_commands.h
@@ -8,7 +8,7 @@
 namespace sagetally {
 
 // `call` as the door takes it. Returns the exit code: 1 if the answer is an error or none comes in 3 s.
-int RunOperate(const std::string& call, const std::string& admin, std::ostream& out, std::ostream& err);
+int RunAdminCommand(const std::string& call, const std::string& admin, std::ostream& out, std::ostream& err);
 
 }  // namespace sagetally
 
--- a/src/cli/dead_letter_commands.cpp
+++ b/src/cli/dead_letter_commands.cpp
@@ -30,7 +30,7 @@
   virtual ~Source() = default;
   virtual bool live() const = 0;
   Json Ask(Json request) {
-    request["v"] = kept::kControlVersion;
+    request["v"] = dead_letter::kControlVersion;
     const Json answer = Json::parse(Answer(request), nullptr, false);
     if (!answer.is_object()) throw std::runtime_error("the node's answer can't be read");
     if (!answer.value("ok", false)) throw std::runtime_error(answer.value("error", "refused"));
@@ -43,7 +43,7 @@
 
 class LiveNode : public Source {
  public:
-  explicit LiveNode(Fd fd) : fd_(std::move(fd)) {}
+  explicit LiveNode(FileDescriptor fd) : fd_(std::move(fd)) {}
   bool live() const override { return true; }
 
  private:
@@ -65,56 +65,57 @@
     read_.erase(0, end + 1);
     return answer;
   }
-  Fd fd_;
+  FileDescriptor fd_;
   std::string read_;
 };
 
 class StoppedNode : public Source {
  public:
-  StoppedNode(const std::string& path, std::optional<kept::ReviewSettings> review)
+  StoppedNode(const std::string& path, std::optional<dead_letter::ReviewSettings> review)
       : review_(std::move(review)) {
-    kept::Database::Settings settings;
+    dead_letter::Database::Settings settings;
     settings.path = path;
     settings.read_only = true;
-    database_ = std::make_unique<kept::Database>(settings);
+    database_ = std::make_unique<dead_letter::Database>(settings);
   }
   bool live() const override { return false; }
 
  private:
   std::string Answer(const Json& request) override {
-    const kept::Operation operation =
-        kept::ReadOperation(request.dump(), review_ ? review_->class_names : std::vector<std::string>());
-    if (operation.Writes()) throw std::runtime_error("the node is stopped: its store can only be read");
-    return kept::OkLine(kept::Perform(operation, *database_, review_ ? &*review_ : nullptr, clock_.Stamp()));
+    const dead_letter::OperatorRequest operation = dead_letter::ParseOperatorRequest(
+        request.dump(), review_ ? review_->class_names : std::vector<std::string>());
+    if (operation.IsWrite()) throw std::runtime_error("the node is stopped: its store can only be read");
+    return dead_letter::OkLine(dead_letter::ExecuteOperatorRequest(
+        operation, *database_, review_ ? &*review_ : nullptr, clock_.CurrentTimestamp()));
   }
-  std::optional<kept::ReviewSettings> review_;
-  std::unique_ptr<kept::Database> database_;
+  std::optional<dead_letter::ReviewSettings> review_;
+  std::unique_ptr<dead_letter::Database> database_;
   SystemClock clock_;
 };
 
-Fd ConnectTo(const std::string& path) {
+FileDescriptor ConnectTo(const std::string& path) {
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
-  if (path.size() >= sizeof at.sun_path) return Fd();
+  if (path.size() >= sizeof at.sun_path) return FileDescriptor();
   std::memcpy(at.sun_path, path.data(), path.size());
-  Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) return Fd();
+  FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) return FileDescriptor();
   return fd;
 }
 
-std::optional<kept::ReviewSettings> ReviewFor(const Options& options) {
+std::optional<dead_letter::ReviewSettings> ReviewFor(const Options& options) {
   if (options.config.empty()) return std::nullopt;
   const Config config = options.ReadConfiguration({.discovery = false, .state = false});
-  const DeployFile deploy = options.ReadNode();
-  return kept::ReviewFrom(config.site, deploy.kept.value_or(KeptSettings()));
+  const NodeFile deploy = options.ReadNode();
+  return dead_letter::ReviewFrom(config.site, deploy.dead_letters.value_or(DeadLetterSettings()));
 }
 
-std::unique_ptr<Source> Open(const KeptOptions& k, const Options& options) {
-  if (Fd fd = ConnectTo(kept::SocketPath(k.state)); fd.get() >= 0) {
+std::unique_ptr<Source> Open(const DeadLetterOptions& k, const Options& options) {
+  if (FileDescriptor fd = ConnectTo(dead_letter::SocketPath(k.state)); fd.get() >= 0) {
     return std::make_unique<LiveNode>(std::move(fd));
   }
   for (const std::string& folder : {k.state + "/kept", k.state}) {
-    const std::string path = kept::DatabasePath(folder);
+    const std::string path = dead_letter::DatabasePath(folder);
     if (std::filesystem::exists(path)) return std::make_unique<StoppedNode>(path, ReviewFor(options));
   }
   throw std::runtime_error(k.state + ": expected a running node's state folder or one with kept/kept.db");
@@ -126,7 +127,7 @@
   return value.dump();
 }
 
-void List(Source& source, const KeptOptions& k, std::ostream& out) {
+void List(Source& source, const DeadLetterOptions& k, std::ostream& out) {
   const Json page =
       source.Ask({{"op", "list"}, {"filter", k.filter}, {"limit", k.limit}, {"after", k.after}});
   if (k.as_json) {
@@ -147,7 +148,7 @@
   }
 }
 
-void Show(Source& source, const KeptOptions& k, std::ostream& out) {
+void Show(Source& source, const DeadLetterOptions& k, std::ostream& out) {
   const Json m = source.Ask({{"op", "show"}, {"id", k.id}, {"body", k.with_body}}).at("message");
   if (k.as_json) {
     out << m.dump() << "\n";
@@ -176,7 +177,7 @@
   history.Print(out);
 }
 
-void Stats(Source& source, const KeptOptions& k, std::ostream& out) {
+void Stats(Source& source, const DeadLetterOptions& k, std::ostream& out) {
   Json stats = source.Ask({{"op", "stats"}, {"by", k.by}});
   if (source.live()) stats["live"] = source.Ask({{"op", "status"}}).at("live");
   if (k.as_json) {
@@ -198,11 +199,11 @@
   return source.Ask({{"op", "stats"}, {"by", "state"}}).at("all").get<std::int64_t>();
 }
 
-void Export(Source& source, const KeptOptions& k, std::ostream& out, std::ostream& progress) {
+void Export(Source& source, const DeadLetterOptions& k, std::ostream& out, std::ostream& progress) {
   std::ofstream file;
   if (!k.output.empty()) {
     // Bodies may be private: made here with mode 0600, and never over what exists.
-    const Fd fd(::open(k.output.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
+    const FileDescriptor fd(::open(k.output.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
     if (fd.get() < 0) throw std::runtime_error(k.output + ": can't be made, or exists");
     file.open(k.output);
   }
@@ -211,11 +212,12 @@
   std::string after;
   std::int64_t written = 0;
   do {
-    const Json page = source.Ask({{"op", "list"},
-                                  {"filter", k.filter},
-                                  {"limit", k.with_body ? kept::kMostBodies : kept::kMostPage},
-                                  {"after", after},
-                                  {"body", k.with_body}});
+    const Json page =
+        source.Ask({{"op", "list"},
+                    {"filter", k.filter},
+                    {"limit", k.with_body ? dead_letter::kMaxBodyBytes : dead_letter::kMaxPageSize},
+                    {"after", after},
+                    {"body", k.with_body}});
     for (const Json& m : page.at("messages")) to << m.dump() << "\n";
     const auto n = static_cast<std::int64_t>(page.at("messages").size());
     written += n;
@@ -245,8 +247,8 @@
   return text;
 }
 
-void Try(Source& source, const KeptOptions& k, std::ostream& out, std::ostream& progress) {
-  const std::string rules = kept::ReadText(k.rules);
+void Try(Source& source, const DeadLetterOptions& k, std::ostream& out, std::ostream& progress) {
+  const std::string rules = dead_letter::ReadText(k.rules);
   Progress bar(progress, All(source));
   Json sum = Json::object();
   std::string after;
@@ -267,8 +269,8 @@
     return;
   }
   Table table({"RULE", "MATCHED", "RESEND", "LATER", "HOLD", "DROP", "NOT ALLOWED"});
-  const kept::RuleSet parsed = kept::ParseRules(rules, {});  // in the file's order
-  for (const kept::Rule& rule : parsed.rules) {
+  const dead_letter::RuleSet parsed = dead_letter::ParseRules(rules, {});  // in the file's order
+  for (const dead_letter::Rule& rule : parsed.rules) {
     const Json& counts = sum.at("rules").at(rule.name);
     const auto n = [&](const char* key) { return std::to_string(counts.value(key, std::int64_t{0})); };
     table.Add({rule.name, n("matched"), n("resend"), n("later"), n("hold"), n("drop"),
@@ -279,7 +281,7 @@
       << "\n";
 }
 
-void Act(Source& source, const KeptOptions& k, std::ostream& out, std::ostream& progress) {
+void Act(Source& source, const DeadLetterOptions& k, std::ostream& out, std::ostream& progress) {
   Progress bar(progress, All(source));
   Json sum = {{"changed", 0}, {"forbidden", 0}, {"grounds", Json::object()}};
   Json cursor = 0;
@@ -308,10 +310,12 @@
 
 }  // namespace
 
-int RunKept(const KeptOptions& k, const Options& options, std::ostream& out, std::ostream& progress) {
+int RunDeadLetterCommand(const DeadLetterOptions& k, const Options& options, std::ostream& out,
+                         std::ostream& progress) {
   if (k.command == "rules check") {
-    const std::optional<kept::ReviewSettings> review = ReviewFor(options);
-    const auto rules = kept::ReadRules(k.rules, review ? review->class_names : std::vector<std::string>());
+    const std::optional<dead_letter::ReviewSettings> review = ReviewFor(options);
+    const auto rules =
+        dead_letter::ReadRules(k.rules, review ? review->class_names : std::vector<std::string>());
     out << rules->rules.size() << " rules can be used"
         << (review ? "" : "; classes were not checked: no --config") << "\n";
     return 0;
--- a/src/cli/dead_letter_commands.h
+++ b/src/cli/dead_letter_commands.h
@@ -9,7 +9,8 @@
 namespace sagetally {
 
 // Returns the exit code. Throws std::runtime_error saying what failed.
-int RunKept(const KeptOptions& kept, const Options& options, std::ostream& out, std::ostream& progress);
+int RunDeadLetterCommand(const DeadLetterOptions& kept, const Options& options, std::ostream& out,
+                         std::ostream& progress);
 
 }  // namespace sagetally
 
--- a/src/cli/journal_commands.cpp
+++ b/src/cli/journal_commands.cpp
@@ -15,26 +15,26 @@
 using Json = nlohmann::ordered_json;
 
 std::string FolderOf(const std::string& given) {
-  RealFileSystem files;
+  PosixFileSystem files;
   for (const std::string& folder : {given + "/journal", given}) {
     int error = 0;
     files.Open(folder + "/" + kManifestName, FileSystem::Mode::kRead, error);
-    if (error == 0 || !SegmentsIn(files, folder).empty()) return folder;
+    if (error == 0 || !ListSegments(files, folder).empty()) return folder;
   }
   throw std::runtime_error(given + ": expected a state folder, a journal or a snapshot of one");
 }
 
 const char* EndName(const Message& m) {
-  switch (m.end) {
-    case End::kNone:
+  switch (m.final_status) {
+    case FinalStatus::kPending:
       return "held";
-    case End::kDelivered:
+    case FinalStatus::kDelivered:
       return "delivered";
-    case End::kFailed:
+    case FinalStatus::kFailed:
       return "undeliverable";
-    case End::kRefused:
+    case FinalStatus::kRejected:
       return "deferred";
-    case End::kOver:
+    case FinalStatus::kExpired:
       return "over";
   }
   return "?";
@@ -45,13 +45,13 @@
   return at < manifest.classes.size() ? manifest.classes[at] : std::to_string(number);
 }
 
-Json StatsOf(const ReplayReport& r, const Ledger& ledger) {
+Json StatsOf(const ReplayReport& r, const MessageTable& ledger) {
   std::uint64_t missing = 0;
   for (const MissingRecords& m : r.missing) missing += m.to - m.from;
   std::uint64_t owed = 0, live = 0;
   for (const auto& [number, m] : ledger.messages()) {
-    owed += m.notice_owed ? 1 : 0;
-    live += LiveBytes(m);
+    owed += m.notification_pending ? 1 : 0;
+    live += MaxLiveBytes(m);
   }
   return {{"node", r.manifest.node},
           {"format", kJournalFormat},
@@ -60,17 +60,17 @@
           {"bytes", r.bytes},
           {"records", r.records},
           {"next_sequence", r.next_sequence},
-          {"held", ledger.held()},
+          {"held", ledger.pending_count()},
           {"notices_owed", owed},
-          {"remembered", ledger.size() - static_cast<std::size_t>(ledger.held())},
+          {"remembered", ledger.size() - static_cast<std::size_t>(ledger.pending_count())},
           {"live_bytes", live},
           {"unreadable_bytes", r.unreadable_bytes},
           {"missing_records", missing},
-          {"rejected_records", r.rejected},
-          {"messages_lost", r.lost},
+          {"rejected_records", r.invalid_records},
+          {"messages_lost", r.lost_messages},
           {"manifest_lost", r.manifest_lost},
-          {"may_have_run", r.suspects.size()},
-          {"damaged", r.damaged()}};
+          {"may_have_run", r.incomplete_histories.size()},
+          {"damaged", r.is_damaged()}};
 }
 
 void PrintObject(const Json& object, std::ostream& out) {
@@ -81,16 +81,16 @@
   table.Print(out);
 }
 
-int Verify(const JournalOptions& o, const ReplayReport& r, const Ledger& ledger, std::ostream& out) {
+int Verify(const JournalOptions& o, const ReplayReport& r, const MessageTable& ledger, std::ostream& out) {
   if (o.as_json) {
     out << StatsOf(r, ledger).dump() << "\n";
-    return r.damaged() ? 1 : 0;
+    return r.is_damaged() ? 1 : 0;
   }
   for (const SegmentReport& s : r.segments) {
     const std::string name = SegmentName(s.number);
     if (s.missing) out << name << ": missing\n";
-    if (s.no_header && !s.missing) out << name << ": its header can't be read\n";
-    for (const Unreadable& u : s.unreadable) {
+    if (s.header_missing && !s.missing) out << name << ": its header can't be read\n";
+    for (const UnreadableRange& u : s.unreadable) {
       out << name << ": " << u.bytes << " bytes at " << u.offset << " can't be read\n";
     }
   }
@@ -98,20 +98,20 @@
     out << "records " << m.from << " to " << m.to - 1 << " are missing\n";
   }
   if (r.manifest_lost) out << kManifestName << ": can't be read; the segments' headers were used\n";
-  if (r.rejected > 0) out << r.rejected << " records can't be read\n";
-  if (r.lost > 0) out << r.lost << " messages are lost\n";
-  out << (r.damaged() ? "damaged" : "sound") << ": " << r.segments.size() << " segments, " << r.records
-      << " records, " << ledger.held() << " messages held";
-  if (!r.damaged() && r.unreadable_bytes > 0) out << ", " << r.unreadable_bytes << " torn bytes";
+  if (r.invalid_records > 0) out << r.invalid_records << " records can't be read\n";
+  if (r.lost_messages > 0) out << r.lost_messages << " messages are lost\n";
+  out << (r.is_damaged() ? "damaged" : "sound") << ": " << r.segments.size() << " segments, " << r.records
+      << " records, " << ledger.pending_count() << " messages held";
+  if (!r.is_damaged() && r.unreadable_bytes > 0) out << ", " << r.unreadable_bytes << " torn bytes";
   out << "\n";
-  return r.damaged() ? 1 : 0;
+  return r.is_damaged() ? 1 : 0;
 }
 
-void Show(const JournalOptions& o, const ReplayReport& r, const Ledger& ledger, std::ostream& out) {
+void Show(const JournalOptions& o, const ReplayReport& r, const MessageTable& ledger, std::ostream& out) {
   Table table({"number", "id", "class", "to", "state", "attempts", "may have run", "deadline"});
   int shown = 0, left = 0;
   for (const auto& [number, m] : ledger.messages()) {
-    if (!o.all && m.end != End::kNone && !m.notice_owed) continue;
+    if (!o.all && m.final_status != FinalStatus::kPending && !m.notification_pending) continue;
     if (shown == o.limit) {
       ++left;
       continue;
@@ -124,9 +124,9 @@
                   {"class", cls},
                   {"destination", m.request.destination},
                   {"state", EndName(m)},
-                  {"notice_owed", m.notice_owed},
+                  {"notice_owed", m.notification_pending},
                   {"attempts", m.attempts},
-                  {"may_have_run", m.may_have_run.has_value()},
+                  {"may_have_run", m.first_uncertain_attempt.has_value()},
                   {"deadline_us", m.deadline.count()},
                   {"body_bytes", m.request.body.size()}}
                  .dump(-1, ' ', false, Json::error_handler_t::replace)
@@ -134,7 +134,8 @@
       continue;
     }
     table.Add({std::to_string(number), m.request.id, cls, std::to_string(m.request.destination), EndName(m),
-               std::to_string(m.attempts), m.may_have_run ? "yes" : "no", TimeText(m.deadline.count())});
+               std::to_string(m.attempts), m.first_uncertain_attempt ? "yes" : "no",
+               TimeText(m.deadline.count())});
   }
   if (o.as_json) return;
   table.Print(out);
@@ -142,8 +143,8 @@
 }
 
 int Read(const JournalOptions& o, std::ostream& out) {
-  RealFileSystem files;
-  Ledger ledger;
+  PosixFileSystem files;
+  MessageTable ledger;
   const ReplayReport report = ReplayLive(files, FolderOf(o.state), ledger);
   if (o.command == "verify") return Verify(o, report, ledger, out);
   if (o.command == "show") return Show(o, report, ledger, out), 0;
@@ -156,7 +157,7 @@
   return 0;
 }
 
-void Told(const JournalOptions& o, const char* what, const std::string& where, const Copied& copied,
+void Told(const JournalOptions& o, const char* what, const std::string& where, const SnapshotResult& copied,
           std::ostream& out) {
   if (o.as_json) {
     out << Json{{what, where},
@@ -175,16 +176,17 @@
 
 }  // namespace
 
-int RunJournal(const JournalOptions& o, std::ostream& out) {
-  RealFileSystem files;
+int RunJournalCommand(const JournalOptions& o, std::ostream& out) {
+  PosixFileSystem files;
   if (o.command == "snapshot") {
-    Told(o, "snapshot", o.output, TakeSnapshot(files, FolderOf(o.state), o.output), out);
+    Told(o, "snapshot", o.output, WriteSnapshot(files, FolderOf(o.state), o.output), out);
     return 0;
   }
   if (o.command == "restore") {
     files.MakeFolder(o.state);
-    const Copied copied = RestoreSnapshot(files, FolderOf(o.snapshot), o.state + "/journal",
-                                          {.replace = o.replace, .exact = o.exact, .damaged = o.damaged});
+    const SnapshotResult copied =
+        RestoreSnapshot(files, FolderOf(o.snapshot), o.state + "/journal",
+                        {.replace = o.replace, .exact = o.exact, .allow_damaged = o.damaged});
     Told(o, "restored", o.state, copied, out);
     return 0;
   }
--- a/src/cli/journal_commands.h
+++ b/src/cli/journal_commands.h
@@ -9,7 +9,7 @@
 namespace sagetally {
 
 // The exit code. Throws std::runtime_error.
-int RunJournal(const JournalOptions& options, std::ostream& out);
+int RunJournalCommand(const JournalOptions& options, std::ostream& out);
 
 }  // namespace sagetally
 
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -37,11 +37,11 @@
       ->transform(CLI::CheckedTransformer(levels).description(""))
       ->option_text("debug|info|warning|error");
   // Each leaf of the schema is a flag and a variable.
-  AddSettings(app, NodeSettings(), "SAGETALLY_", o.node_settings,
+  AddSettings(app, NodeFileSettingNames(), "SAGETALLY_", o.node_settings,
               "Settings of the operator's file, which go before it");
 }
 
-void AddKept(CLI::App& app, KeptOptions& k) {
+void AddKept(CLI::App& app, DeadLetterOptions& k) {
   CLI::App* kept =
       app.add_subcommand("kept", "undeliverable messages: inspect them, send them again by rule");
   kept->require_subcommand(1);
@@ -142,8 +142,8 @@
        {"resume", "RESUME", "back to work"}}};
   for (const auto& [name, call, text] : kCalls) {
     app.add_subcommand(name, text)->fallthrough()->callback([&line, call] {
-      line.command = CommandLine::Command::kOperate;
-      line.operate = call;
+      line.command = CommandLine::Command::kAdmin;
+      line.admin = call;
     });
   }
 }
@@ -155,7 +155,7 @@
 
 }  // namespace
 
-Config Options::ReadConfiguration(Needs needs) const {
+Config Options::ReadConfiguration(ConfigRequirements needs) const {
   const std::map<std::string, std::string> given = {
       {"BALANCER_CONFIG", config}, {"BALANCER_NAME", name},           {"BALANCER_LISTEN", listen},
       {"BALANCER_ADMIN", admin},   {"BALANCER_DISCOVERY", discovery}, {"BALANCER_STATE", state}};
@@ -178,7 +178,7 @@
       ->fallthrough()
       ->callback([&] { line.command = CommandLine::Command::kCheckConfig; });
   AddOperate(app, line);
-  AddKept(app, line.kept);
+  AddKept(app, line.dead_letter);
   AddJournal(app, line.journal);
   AddVersion(app);
   try {
@@ -188,14 +188,14 @@
     line.exit_code = app.exit(error) == 0 ? 0 : kWrongUsage;
     return line;
   }
-  if (line.command == CommandLine::Command::kOperate && line.options.admin.empty()) {
+  if (line.command == CommandLine::Command::kAdmin && line.options.admin.empty()) {
     std::cerr << "--admin (BALANCER_ADMIN): expected the address of the operators' door\n";
     line.command = CommandLine::Command::kNone;
     line.exit_code = kWrongUsage;
     return line;
   }
   if (!line.journal.command.empty()) line.command = CommandLine::Command::kJournal;
-  if (!line.kept.command.empty()) line.command = CommandLine::Command::kKept;
+  if (!line.dead_letter.command.empty()) line.command = CommandLine::Command::kDeadLetter;
   return line;
 }
 
--- a/src/cli/options.h
+++ b/src/cli/options.h
@@ -18,12 +18,12 @@
   Overrides node_settings;
   LogOptions log;
 
-  DeployFile ReadNode() const { return ReadDeployFile(node_file, node_settings); }
+  NodeFile ReadNode() const { return ReadNodeFile(node_file, node_settings); }
   // Throws std::runtime_error naming the file and key at fault.
-  Config ReadConfiguration(Needs needs) const;
+  Config ReadConfiguration(ConfigRequirements needs) const;
 };
 
-struct KeptOptions {  // of `sagetally kept ...`
+struct DeadLetterOptions {  // of `sagetally kept ...`
   std::string command;
   std::string state;  // the node's state folder, or the folder of kept.db
   std::string filter = "true";
@@ -47,13 +47,13 @@
 };
 
 struct CommandLine {
-  enum class Command { kServe, kCheckConfig, kKept, kJournal, kOperate, kNone };
+  enum class Command { kServe, kCheckConfig, kDeadLetter, kJournal, kAdmin, kNone };
   Command command = Command::kServe;
   Options options;
-  KeptOptions kept;
+  DeadLetterOptions dead_letter;
   JournalOptions journal;
-  std::string operate;  // kOperate: the call, in capitals
-  int exit_code = 0;    // kNone: help or a version was asked for, or the usage was wrong (2)
+  std::string admin;  // kOperate: the call, in capitals
+  int exit_code = 0;  // kNone: help or a version was asked for, or the usage was wrong (2)
 };
 
 // Prints help, the version or what is wrong with the usage by itself.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -43,13 +43,13 @@
   Malformed(std::string(what) + ": '" + std::string(text) + "' is no address");
 }
 
-ListNews ReadList(Value list, const SiteSettings& site) {
-  ListNews news;
+EndpointListUpdate ReadList(Value list, const SiteSettings& site) {
+  EndpointListUpdate news;
   news.revision = Get<std::int64_t>(list, "rev");
-  news.whole = Get<bool>(list, "all", false);
+  news.is_full_snapshot = Get<bool>(list, "all", false);
   for (const Value target : List(list, "targets")) {
-    EndpointNews n;
-    EndpointEntry& e = n.entry;
+    EndpointUpdate n;
+    EndpointRecord& e = n.record;
     e.endpoint = Get<std::string>(target, "uid");
     n.address = Get<std::string>(target, "endpoint");
     ParseAddress(n.address, "endpoint");
@@ -58,10 +58,10 @@
     e.kind = std::max(0, Position(site.kinds, Get<std::string>(target, "model", "")));
     e.rate = Get<double>(target, "capacity_hint", 0.0);
     const auto state = Get<std::string>(target, "state");
-    e.state = state == "in_service"    ? EndpointEntry::State::kUp
-              : state == "terminating" ? EndpointEntry::State::kDraining
-                                       : EndpointEntry::State::kRemoved;
-    if (e.state == EndpointEntry::State::kRemoved && state != "terminated") {
+    e.state = state == "in_service"    ? EndpointRecord::State::kUp
+              : state == "terminating" ? EndpointRecord::State::kDraining
+                                       : EndpointRecord::State::kRemoved;
+    if (e.state == EndpointRecord::State::kRemoved && state != "terminated") {
       Malformed("unknown state '" + state + "'");
     }
     news.endpoints.push_back(std::move(n));
@@ -70,7 +70,7 @@
 }
 
 Config ParseConfig(const std::string& text, const std::function<const char*(const char*)>& environment,
-                   Needs needs) {
+                   ConfigRequirements needs) {
   simdjson::dom::parser parser;
   Value root;
   if (const auto error = parser.parse(text).get(root)) {
@@ -95,46 +95,46 @@
     Malformed("wrong type of 'seed'");
   }
   Value limits;
-  c.disk_bytes = 3'000'000;
-  c.sockets = 1024;
-  c.memory_bytes = 192'000'000;
+  c.disk_limit_bytes = 3'000'000;
+  c.socket_limit = 1024;
+  c.memory_limit_bytes = 192'000'000;
   if (Find(root, "limits", limits)) {
     Within("limits", [&] {
-      c.disk_bytes = static_cast<std::size_t>(Get<double>(limits, "disk_mb", 3.0) * 1e6);
-      c.sockets = Get<std::size_t>(limits, "sockets", 1024);
-      c.memory_bytes = static_cast<std::size_t>(Get<double>(limits, "memory_mb", 192.0) * 1e6);
-      if (c.sockets < 64) Malformed("'sockets' must be 64 at least");
+      c.disk_limit_bytes = static_cast<std::size_t>(Get<double>(limits, "disk_mb", 3.0) * 1e6);
+      c.socket_limit = Get<std::size_t>(limits, "sockets", 1024);
+      c.memory_limit_bytes = static_cast<std::size_t>(Get<double>(limits, "memory_mb", 192.0) * 1e6);
+      if (c.socket_limit < 64) Malformed("'sockets' must be 64 at least");
     });
   }
   c.peer_listen = Get<std::string>(root, "peer_listen", "");
-  c.peers_all = Get<std::string>(root, "peers_all", "");
+  c.broadcast_peer = Get<std::string>(root, "peers_all", "");
   if (!c.peer_listen.empty()) ParseAddress(c.peer_listen, "peer_listen");
-  if (!c.peers_all.empty()) ParseAddress(c.peers_all, "peers_all");
+  if (!c.broadcast_peer.empty()) ParseAddress(c.broadcast_peer, "peers_all");
   Value peers;
   if (Find(root, "peers", peers)) {
     for (const Value peer : List(root, "peers")) c.peers.push_back(As<std::string>(peer, "peers"));
   }
-  Within("settings", [&] { c.site = ReadSettings(Need(root, "settings")); });
+  Within("settings", [&] { c.site = ReadSettings(Require(root, "settings")); });
   Value known;
-  if (Find(root, "known", known)) Within("known", [&] { c.known = ReadList(known, c.site); });
-  c.known.whole = c.known.saved = true;
+  if (Find(root, "known", known)) Within("known", [&] { c.cached_endpoint_list = ReadList(known, c.site); });
+  c.cached_endpoint_list.is_full_snapshot = c.cached_endpoint_list.is_cached = true;
   return c;
 }
 
-Shares Share(const Config& config, bool events_on, bool plain_on) {
+DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on) {
   constexpr std::size_t kOther = 24;  // log and its compaction, discovery, notices, notes, the loop's own
   constexpr std::size_t kMostBatch = 1024 * 1024;
-  const std::size_t clients = config.sockets / 3;
-  Shares s;
-  if (config.admin) s.door = std::clamp<std::size_t>(config.sockets / 16, 8, 32);
-  s.calls = config.sockets - clients - kOther - s.door;
+  const std::size_t clients = config.socket_limit / 3;
+  DescriptorShares s;
+  if (config.admin) s.admin = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
+  s.calls = config.socket_limit - clients - kOther - s.admin;
   if (events_on) s.events = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
   s.plain = clients - s.events;
-  if (events_on) s.event_body = std::min(kMostBatch, config.memory_bytes / 4 / s.events);
+  if (events_on) s.event_body = std::min(kMostBatch, config.memory_limit_bytes / 4 / s.events);
   return s;
 }
 
-Config ReadConfig(const std::function<const char*(const char*)>& environment, Needs needs) {
+Config ReadConfig(const std::function<const char*(const char*)>& environment, ConfigRequirements needs) {
   const char* path = environment("BALANCER_CONFIG");
   if (path == nullptr || *path == 0) Malformed("BALANCER_CONFIG is not set");
   std::ifstream file(path);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -26,36 +26,37 @@
   std::optional<Address> admin;    // the operators' door; absent: none
   std::string peer_listen;         // empty: no peers
   std::vector<std::string> peers;  // by ordinal, own included
-  std::string peers_all;
+  std::string broadcast_peer;
   std::uint64_t seed = 0;
-  std::size_t disk_bytes = 0, sockets = 0, memory_bytes = 0;
+  std::size_t disk_limit_bytes = 0, socket_limit = 0, memory_limit_bytes = 0;
   SiteSettings site;
-  ListNews known;
+  EndpointListUpdate cached_endpoint_list;
 };
 
 // How a process spends its descriptors and memory. Clients get a third, so that calls, the log and discovery
 // always find a descriptor free.
-struct Shares {
+struct DescriptorShares {
   std::size_t plain = 0, events = 0;  // connections of clients at each front
   std::size_t event_body = 0;         // of one request at the front for events
   std::size_t calls = 0;              // connections to endpoints
-  std::size_t door = 0;               // callers at the operators' door
+  std::size_t admin = 0;              // callers at the operators' door
 };
-Shares Share(const Config& config, bool events_on, bool plain_on = true);
+DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on = true);
 
 // Reads the file named by BALANCER_CONFIG; the other BALANCER_ variables go before what it says, but not when
 // it is read again: then it is newer than they are. Throws std::runtime_error naming the key at fault.
 // What a process of its role needs of the platform. Off it a planner has no discovery, a forwarder no state.
-struct Needs {
+struct ConfigRequirements {
   bool discovery = true, state = true;
   bool again = false;
 };
-Config ReadConfig(const std::function<const char*(const char*)>& environment, Needs needs = Needs());
+Config ReadConfig(const std::function<const char*(const char*)>& environment,
+                  ConfigRequirements needs = ConfigRequirements());
 Config ParseConfig(const std::string& text, const std::function<const char*(const char*)>& environment,
-                   Needs needs = Needs());
+                   ConfigRequirements needs = ConfigRequirements());
 
 // A list in discovery's form.
-ListNews ReadList(json::Value list, const SiteSettings& site);
+EndpointListUpdate ReadList(json::Value list, const SiteSettings& site);
 
 }  // namespace sagetally
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -25,7 +25,7 @@
   return fields.at_key(name).get(out) == simdjson::SUCCESS && !out.is_null();
 }
 
-inline Value Need(Value object, const char* name) {
+inline Value Require(Value object, const char* name) {
   Value value;
   if (!Find(object, name, value)) Malformed(std::string("missing field '") + name + "'");
   return value;
@@ -59,7 +59,7 @@
 
 template <typename T>
 T Get(Value object, const char* name) {
-  return As<T>(Need(object, name), name);
+  return As<T>(Require(object, name), name);
 }
 template <typename T>
 T Get(Value object, const char* name, T otherwise) {
@@ -78,7 +78,7 @@
 
 inline simdjson::dom::array List(Value object, const char* name) {
   simdjson::dom::array list;
-  if (Need(object, name).get(list) != simdjson::SUCCESS) {
+  if (Require(object, name).get(list) != simdjson::SUCCESS) {
     Malformed(std::string("wrong type of '") + name + "'");
   }
   return list;
--- a/src/config/node_file.cpp
+++ b/src/config/node_file.cpp
@@ -21,41 +21,42 @@
   return sagetally::json::Milliseconds(ms);
 }
 
-KeptSettings ReadKept(const Json& part) {
-  KeptSettings k;
+DeadLetterSettings ReadKept(const Json& part) {
+  DeadLetterSettings k;
   k.folder = part.value("folder", k.folder);
   k.rules_path = part.value("rules", k.rules_path);
   if (part.contains("ends")) {
-    k.undeliverable = k.deferred = false;
-    for (const Json& end : part["ends"]) (end == "deferred" ? k.deferred : k.undeliverable) = true;
+    k.include_undeliverable = k.include_deferred = false;
+    for (const Json& end : part["ends"])
+      (end == "deferred" ? k.include_deferred : k.include_undeliverable) = true;
   }
-  k.resend_deferred = part.value("resend_deferred", false);
+  k.redrive_deferred = part.value("resend_deferred", false);
   k.budget_bytes = static_cast<std::size_t>(part.value("budget_mb", 64.0) * 1e6);
-  k.age = Duration(static_cast<std::int64_t>(part.value("age_hours", 720.0) * 3600e6));
-  k.owed_bytes = static_cast<std::size_t>(part.value("owed_mb", 1.0) * 1e6);
-  k.slots_share = part.value("slots_share", k.slots_share);
-  k.held_share = part.value("held_share", k.held_share);
+  k.max_age = Duration(static_cast<std::int64_t>(part.value("age_hours", 720.0) * 3600e6));
+  k.max_pending_bytes = static_cast<std::size_t>(part.value("owed_mb", 1.0) * 1e6);
+  k.concurrency_fraction = part.value("slots_share", k.concurrency_fraction);
+  k.pending_fraction = part.value("held_share", k.pending_fraction);
   k.destination_rate = part.value("destination_rate", k.destination_rate);
-  k.backoff = Milliseconds(part, "backoff_ms", k.backoff);
-  k.backoff_most = std::max(k.backoff, Milliseconds(part, "backoff_most_ms", k.backoff_most));
+  k.initial_backoff = Milliseconds(part, "backoff_ms", k.initial_backoff);
+  k.max_backoff = std::max(k.initial_backoff, Milliseconds(part, "backoff_most_ms", k.max_backoff));
   return k;
 }
 
-JournalFile ReadJournal(const Json& part) {
-  JournalFile j;
+JournalFileSettings ReadJournal(const Json& part) {
+  JournalFileSettings j;
   j.synced = part.value("durability", "written") == "synced";
   j.synced_classes = part.value("synced_classes", j.synced_classes);
-  j.group = Milliseconds(part, "group_ms", j.group);
-  j.reserve = part.value("reserve", false);
+  j.group_commit_delay = Milliseconds(part, "group_ms", j.group_commit_delay);
+  j.reserve_disk_space = part.value("reserve", false);
   j.segment_bytes = static_cast<std::size_t>(part.value("segment_kb", 0.0) * 1024);
   return j;
 }
 
 }  // namespace
 
-std::vector<SettingName> NodeSettings() { return SettingNames(Json::parse(kNodeSchema)); }
+std::vector<SettingName> NodeFileSettingNames() { return SettingNames(Json::parse(kNodeSchema)); }
 
-DeployFile ParseDeployFile(const std::string& text, const Overrides& overrides) {
+NodeFile ParseNodeFile(const std::string& text, const Overrides& overrides) {
   Json root;
   try {
     root = Json::parse(text);
@@ -63,9 +64,9 @@
     throw std::runtime_error(std::string("no JSON: ") + error.what());
   }
   const Json schema = Json::parse(kNodeSchema);
-  Override(schema, root, overrides);
+  ApplyOverrides(schema, root, overrides);
   Validate(schema, root);
-  DeployFile file;
+  NodeFile file;
   const std::string role = root.value("role", "both");
   file.role = role == "both" ? Role::kBoth : role == "planner" ? Role::kPlanner : Role::kForwarder;
   if (root.contains("cloudevents")) {
@@ -88,25 +89,25 @@
     e.fetch = Milliseconds(part, "fetch_ms", e.fetch);
     file.eureka = e;
   }
-  if (root.contains("kept")) file.kept = ReadKept(root["kept"]);
+  if (root.contains("kept")) file.dead_letters = ReadKept(root["kept"]);
   if (root.contains("journal")) file.journal = ReadJournal(root["journal"]);
   if (file.role != Role::kBoth && (!file.cloudevents || !file.eureka)) {
     throw std::runtime_error("/role: expected the keys cloudevents and eureka beside the role " + role +
                              ", found only some of them");
   }
-  if (file.role == Role::kForwarder && file.kept) {
+  if (file.role == Role::kForwarder && file.dead_letters) {
     throw std::runtime_error("/kept: expected a role that holds messages (both, planner), found forwarder");
   }
   return file;
 }
 
-DeployFile ReadDeployFile(const std::string& path, const Overrides& overrides) {
+NodeFile ReadNodeFile(const std::string& path, const Overrides& overrides) {
   std::ifstream file(path);
   std::ostringstream text;
   if (file) text << file.rdbuf();
   if (!file && overrides.empty()) return {};
   try {
-    return ParseDeployFile(file ? text.str() : "{}", overrides);
+    return ParseNodeFile(file ? text.str() : "{}", overrides);
   } catch (const std::exception& error) {
     throw std::runtime_error(path + ": " + error.what());
   }
--- a/src/config/node_file.h
+++ b/src/config/node_file.h
@@ -32,42 +32,42 @@
   Duration fetch = std::chrono::seconds(30);
 };
 
-struct KeptSettings {
+struct DeadLetterSettings {
   std::string folder;      // empty: "kept" in the state folder
   std::string rules_path;  // empty: no rules
-  bool undeliverable = true, deferred = false;
-  bool resend_deferred = false;  // clients do not hand in again what was deferred
+  bool include_undeliverable = true, include_deferred = false;
+  bool redrive_deferred = false;  // clients do not hand in again what was deferred
   std::size_t budget_bytes = 64'000'000;
-  Duration age = std::chrono::hours(24 * 30);
-  std::size_t owed_bytes = 1'000'000;
-  double slots_share = 0.1, held_share = 0.1;  // that resends may take
-  double destination_rate = 5;                 // resends a second
-  Duration backoff = std::chrono::seconds(2);
-  Duration backoff_most = std::chrono::minutes(10);
+  Duration max_age = std::chrono::hours(24 * 30);
+  std::size_t max_pending_bytes = 1'000'000;
+  double concurrency_fraction = 0.1, pending_fraction = 0.1;  // that resends may take
+  double destination_rate = 5;                                // resends a second
+  Duration initial_backoff = std::chrono::seconds(2);
+  Duration max_backoff = std::chrono::minutes(10);
 };
 
-struct JournalFile {    // how hard the journal holds on to what it is given
-  bool synced = false;  // every class outlasts the machine's power
+struct JournalFileSettings {  // how hard the journal holds on to what it is given
+  bool synced = false;        // every class outlasts the machine's power
   std::vector<std::string> synced_classes;
-  Duration group = std::chrono::milliseconds(2);
-  bool reserve = false;
+  Duration group_commit_delay = std::chrono::milliseconds(2);
+  bool reserve_disk_space = false;
   std::size_t segment_bytes = 0;  // 0: by the budget
 };
 
-struct DeployFile {
+struct NodeFile {
   Role role = Role::kBoth;
   std::optional<CloudEventsSettings> cloudevents;
   std::optional<EurekaSettings> eureka;
-  std::optional<KeptSettings> kept;
-  JournalFile journal;
+  std::optional<DeadLetterSettings> dead_letters;
+  JournalFileSettings journal;
 };
 
-std::vector<SettingName> NodeSettings();
+std::vector<SettingName> NodeFileSettingNames();
 
 // Throw std::runtime_error naming the JSON pointer at fault, what was expected and what was found.
-DeployFile ParseDeployFile(const std::string& text, const Overrides& overrides = {});
+NodeFile ParseNodeFile(const std::string& text, const Overrides& overrides = {});
 // Names the file too. An absent file is an empty one.
-DeployFile ReadDeployFile(const std::string& path, const Overrides& overrides = {});
+NodeFile ReadNodeFile(const std::string& path, const Overrides& overrides = {});
 
 }  // namespace sagetally
 
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -103,7 +103,7 @@
   return all;
 }
 
-void Override(const Json& schema, Json& document, const Overrides& overrides) {
+void ApplyOverrides(const Json& schema, Json& document, const Overrides& overrides) {
   for (const auto& [path, value] : overrides) {
     Json* at = &document;
     std::istringstream steps(path);
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -23,7 +23,7 @@
 // what the schema wants at their path: numbers, booleans, lists with commas between, or JSON where a list or
 // an object has parts of its own.
 using Overrides = std::map<std::string, std::string>;
-void Override(const nlohmann::json& schema, nlohmann::json& document, const Overrides& overrides);
+void ApplyOverrides(const nlohmann::json& schema, nlohmann::json& document, const Overrides& overrides);
 
 extern const std::string_view kNodeSchema;  // deploy/schema/node.schema.json
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -21,27 +21,27 @@
 
 SiteSettings ReadSettings(Value params) {
   SiteSettings site;
-  Settings& s = site.module;
+  Settings& s = site.policy;
   for (const Value grade : List(params, "grades")) {
     ClassSettings c;
-    c.aim = GetMs(grade, "slo");
+    c.latency_objective = GetMs(grade, "slo");
     c.deadline = GetMs(grade, "deadline");
-    c.worth = Get<double>(grade, "credit", 1.0);
-    c.late_share = Get<double>(grade, "lateShare", 0.0);
+    c.priority_weight = Get<double>(grade, "credit", 1.0);
+    c.late_weight_fraction = Get<double>(grade, "lateShare", 0.0);
     const auto effect = Get<std::string>(grade, "idempotency");
     if (effect == "pure") {
-      c.effect = Effect::kSafe;
+      c.idempotency = Idempotency::kIdempotent;
     } else if (effect == "token") {
-      c.effect = Effect::kKeyed;
+      c.idempotency = Idempotency::kIdempotentWithKey;
     } else if (effect == "side_effect") {
-      c.effect = Effect::kUnsafe;
+      c.idempotency = Idempotency::kNotIdempotent;
     } else {
       Malformed("unknown idempotency '" + effect + "'");
     }
     const auto group = Get<std::string>(grade, "group", "all");
     c.key_scope = group == "all" ? KeyScope::kAll : group == "zone" ? KeyScope::kZone : KeyScope::kEndpoint;
-    c.repeat_window = GetMs(grade, "repeatWindow", 0.0);
-    c.in_order = Get<bool>(grade, "inOrder", false);
+    c.deduplication_window = GetMs(grade, "repeatWindow", 0.0);
+    c.ordered_by_key = Get<bool>(grade, "inOrder", false);
     s.classes.push_back(c);
     site.classes.push_back(Get<std::string>(grade, "name", ""));
   }
@@ -56,48 +56,50 @@
   s.kinds.resize(std::max<std::size_t>(1, site.kinds.size()));
   std::size_t at = 0;
   each(specifics, "kindApart", [&](Value apart) {
-    if (at < s.kinds.size()) s.kinds[at++].routes_apart = As<bool>(apart, "kindApart");
+    if (at < s.kinds.size()) s.kinds[at++].per_endpoint_limits = As<bool>(apart, "kindApart");
   });
   at = 0;
   each(specifics, "bundleMax", [&](Value most) {
-    if (at < s.kinds.size()) s.kinds[at++].batch_max = As<int>(most, "bundleMax");
+    if (at < s.kinds.size()) s.kinds[at++].max_batch_size = As<int>(most, "bundleMax");
   });
-  each(specifics, "feeByZone", [&](Value fee) { s.zone_fee.push_back(As<double>(fee, "feeByZone")); });
+  each(specifics, "feeByZone", [&](Value fee) { s.zone_prices.push_back(As<double>(fee, "feeByZone")); });
   const Value caps = Part(params, "caps");
   const Value rules = Part(params, "rules");
   const Value penalties = Part(params, "penalties");
-  s.senders = Get<int>(params, "balancers", 1);
-  s.ordinal = Get<int>(params, "ordinal", 0);
+  s.dispatcher_count = Get<int>(params, "balancers", 1);
+  s.dispatcher_index = Get<int>(params, "ordinal", 0);
   s.zone = Get<int>(params, "zone", 0);
-  s.slots = Get<int>(specifics, "callsOut");
-  s.most_held = Get<int>(caps, "mostHeld");
+  s.max_concurrent_calls = Get<int>(specifics, "callsOut");
+  s.max_pending_messages = Get<int>(caps, "mostHeld");
   s.max_attempts = Get<int>(caps, "maxAttempts");
-  s.multiplex = Get<int>(caps, "multiplex", 1);
-  s.may_probe = Get<bool>(caps, "probes", false);
-  s.may_cancel = Get<bool>(caps, "cancel", false);
-  s.may_tell_wait = Get<bool>(caps, "retryAfter", false);
+  s.max_streams_per_connection = Get<int>(caps, "multiplex", 1);
+  s.health_checks_allowed = Get<bool>(caps, "probes", false);
+  s.cancellation_allowed = Get<bool>(caps, "cancel", false);
+  s.retry_after_allowed = Get<bool>(caps, "retryAfter", false);
   const auto weights = Get<std::string>(params, "weightKind", "nominal");
-  s.rates = weights == "silent" ? Rates::kUntold : weights == "rough" ? Rates::kRough : Rates::kNominal;
-  s.over_share_worth = Get<double>(params, "overShareWorth", 1.0);
+  s.advertised_rates = weights == "silent"  ? AdvertisedRates::kNone
+                       : weights == "rough" ? AdvertisedRates::kApproximate
+                                            : AdvertisedRates::kExact;
+  s.over_quota_weight = Get<double>(params, "overShareWorth", 1.0);
   each(params, "tenants", [&](Value tenant) {
     s.tenants.push_back({Get<double>(tenant, "portion", 0.0), Get<double>(tenant, "allowancePerS", 0.0)});
   });
-  s.second_copies = Get<bool>(caps, "secondCopies", false);
-  s.refused_price = Get<double>(specifics, "refusalCost", 0.0);
-  s.late =
-      Get<std::string>(specifics, "late", "linear") == "halving" ? LateWorth::kHalving : LateWorth::kLinear;
-  s.list_on_request = Get<std::string>(params, "discovery", "automatic") == "subscribe";
-  s.most_client_wait = GetMs(caps, "maxRetryAfter", 0.0);
-  s.connection_idle = GetMs(caps, "connIdle", 0.0);
+  s.hedging_allowed = Get<bool>(caps, "secondCopies", false);
+  s.rejection_price = Get<double>(specifics, "refusalCost", 0.0);
+  s.late_weight_decay = Get<std::string>(specifics, "late", "linear") == "halving" ? LateWeightDecay::kHalving
+                                                                                   : LateWeightDecay::kLinear;
+  s.endpoint_list_on_request = Get<std::string>(params, "discovery", "automatic") == "subscribe";
+  s.max_client_retry_after = GetMs(caps, "maxRetryAfter", 0.0);
+  s.connection_idle_timeout = GetMs(caps, "connIdle", 0.0);
   s.handshake_price = Get<double>(penalties, "handshake", 0.0);
   s.cross_zone_price = Get<double>(penalties, "crossZone", 0.0);
-  s.answer_slack = GetMs(rules, "answerSlack", 0.0);
-  s.ask_every = GetMs(rules, "askEvery", 0.0);
-  s.cold_share = Get<double>(rules, "coldShare", 1.0);
-  s.fall_multiple = Get<double>(rules, "fallMultiple", 1.0);
-  s.tip_after = GetMs(rules, "tipAfter", 0.0);
-  s.warm_within = GetMs(rules, "warmWithin", 0.0);
-  s.key_quiet = GetMs(rules, "keyQuiet", 0.0);
+  s.response_slack = GetMs(rules, "answerSlack", 0.0);
+  s.max_poll_interval = GetMs(rules, "askEvery", 0.0);
+  s.cold_capacity_fraction = Get<double>(rules, "coldShare", 1.0);
+  s.overload_multiple = Get<double>(rules, "fallMultiple", 1.0);
+  s.overload_duration = GetMs(rules, "tipAfter", 0.0);
+  s.warm_up_time = GetMs(rules, "warmWithin", 0.0);
+  s.key_quiet_time = GetMs(rules, "keyQuiet", 0.0);
   site.connect_timeout = GetMs(caps, "connectTimeout", 1500.0);
   return site;
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -11,7 +11,7 @@
 namespace sagetally {
 
 struct SiteSettings {
-  Settings module;
+  Settings policy;
   std::vector<std::string> classes, kinds, zones;  // names, by number
   Duration connect_timeout{0};
 };
--- a/src/core/message_table.h
+++ b/src/core/message_table.h
@@ -13,42 +13,42 @@
 
 namespace sagetally {
 
-class Ledger {
+class MessageTable {
  public:
   // How long, and how many, ends of events are remembered so that an event sent again meets the same answer.
-  static constexpr Duration kRemembered = std::chrono::minutes(5);
-  static constexpr std::size_t kMostRemembered = 1500;
+  static constexpr Duration kDeduplicationTime = std::chrono::minutes(5);
+  static constexpr std::size_t kMaxRemembered = 1500;
 
   Message& Add(Message message);
   Message* Find(std::uint64_t number);
-  Message* FindSame(const Request& request);  // taken before, from the same front under the same id
-  int held() const { return held_; }
+  Message* FindDuplicate(const Request& request);  // taken before, from the same front under the same id
+  int pending_count() const { return pending_count_; }
   std::size_t size() const { return messages_.size(); }
   const std::map<std::uint64_t, Message>& messages() const { return messages_; }
 
-  void End(Message& message, enum End end, Duration again, Time now);
+  void Complete(Message& message, enum FinalStatus end, Duration again, Time now);
   // The store of kept messages has it, or never will.
-  void Kept(Message& message);
+  void MarkDeadLettered(Message& message);
   // No number below this is given out any more.
-  void StartAt(std::uint64_t number) { next_ = std::max(next_, number); }
+  void SkipNumbersBelow(std::uint64_t number) { next_number_ = std::max(next_number_, number); }
   // Lets an ended message go once no call is out for it and its end is neither owed nor remembered.
-  void Settle(Message& message);
+  void RemoveIfFinished(Message& message);
   void Remove(std::uint64_t number);
   // Forgets ends remembered for long enough.
-  void Age(Time now);
+  void ExpireRemembered(Time now);
   // Forgets the oldest remembered end; false if there is none that may go.
   bool ForgetOldest();
-  std::function<void(const Message&)> on_removed;  // may be empty; told before a message goes
+  std::function<void(const Message&)> on_message_removed;  // may be empty; told before a message goes
 
  private:
   static std::string Identity(const Request& request);
-  static bool Remembers(const Message& message);
+  static bool IsRemembered(const Message& message);
 
   std::map<std::uint64_t, Message> messages_;
   std::unordered_map<std::string, std::uint64_t> by_id_;
   std::deque<std::pair<Time, std::uint64_t>> remembered_;
-  std::uint64_t next_ = 1;
-  int held_ = 0;
+  std::uint64_t next_number_ = 1;
+  int pending_count_ = 0;
 };
 
 }  // namespace sagetally
--- a/src/dead_letter/dead_letter.cpp
+++ b/src/dead_letter/dead_letter.cpp
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 using Json = nlohmann::json;
@@ -49,72 +49,73 @@
 
 }  // namespace
 
-std::string Print(const Id& id) { return id.node + "/" + std::to_string(id.number); }
+std::string Print(const DeadLetterId& id) { return id.node + "/" + std::to_string(id.number); }
 
-std::optional<Id> ParseId(std::string_view text) {
+std::optional<DeadLetterId> ParseId(std::string_view text) {
   const std::size_t slash = text.rfind('/');
   if (slash == text.npos) return std::nullopt;
-  Id id{std::string(text.substr(0, slash)), 0};
+  DeadLetterId id{std::string(text.substr(0, slash)), 0};
   const char* end = text.data() + text.size();
   const auto [at, error] = std::from_chars(text.data() + slash + 1, end, id.number);
   if (error != std::errc() || at != end) return std::nullopt;
   return id;
 }
 
-Outcome KeptMessage::LastOutcome() const {
-  if (history.empty()) return Outcome::kMoot;
+Outcome DeadLetter::LastOutcome() const {
+  if (history.empty()) return Outcome::kNotSent;
   return history.back().outcome.value_or(Outcome::kTimeout);
 }
 
-KeptMessage FromMessage(const Message& m, const std::string& node, const std::string& class_name,
-                        double worth) {
-  KeptMessage k;
-  k.id = m.kept_as != 0 ? Id{m.kept_node, m.kept_as} : Id{node, m.number};
+DeadLetter FromMessage(const Message& m, const std::string& node, const std::string& class_name,
+                       double worth) {
+  DeadLetter k;
+  k.id =
+      m.redrive_number != 0 ? DeadLetterId{m.redrive_node, m.redrive_number} : DeadLetterId{node, m.number};
   k.request = m.request;
   k.request.time_left = Duration(0);
   k.class_name = class_name;
   k.body_size = m.request.body.size();
-  k.taken_at = m.taken_at;
+  k.accepted_at = m.accepted_at;
   k.deadline = m.deadline;
   k.ended_at = m.ended_at;
-  k.end = m.end;
-  k.reason = m.reason;
+  k.final_status = m.final_status;
+  k.failure_reason = m.failure_reason;
   k.attempts = m.attempts;
   k.history = m.history;
-  if (m.may_have_run) {
-    k.may_have_run = Moment{*m.may_have_run, Time(0), 0};
-    for (const AttemptNote& note : m.history) {
-      if (note.sent.wall != *m.may_have_run) continue;
-      k.may_have_run = note.sent;
+  if (m.first_uncertain_attempt) {
+    k.first_uncertain_attempt = Timestamp{*m.first_uncertain_attempt, Time(0), 0};
+    for (const AttemptRecord& note : m.history) {
+      if (note.sent_at.wall_time != *m.first_uncertain_attempt) continue;
+      k.first_uncertain_attempt = note.sent_at;
       break;
     }
   }
-  k.may_have_run_at = m.may_have_run_at;
-  k.life = m.kept_life;
-  k.worth = worth;
+  k.first_uncertain_endpoint = m.first_uncertain_endpoint;
+  k.incarnation = m.redrive_incarnation;
+  k.priority_weight = worth;
   return k;
 }
 
-Message ToMessage(const KeptMessage& k, Time deadline) {
+Message ToMessage(const DeadLetter& k, Time deadline) {
   Message m;
   m.request = k.request;
   m.deadline = deadline;
   m.attempts = k.attempts;
   m.history = k.history;
-  if (k.may_have_run) m.may_have_run = k.may_have_run->wall;
-  m.may_have_run_at = k.may_have_run_at;
-  m.taken_at = k.taken_at;
-  m.kept_as = k.id.number;
-  m.kept_node = k.id.node;
-  m.kept_life = k.life;
+  if (k.first_uncertain_attempt) m.first_uncertain_attempt = k.first_uncertain_attempt->wall_time;
+  m.first_uncertain_endpoint = k.first_uncertain_endpoint;
+  m.accepted_at = k.accepted_at;
+  m.redrive_number = k.id.number;
+  m.redrive_node = k.id.node;
+  m.redrive_incarnation = k.incarnation;
   return m;
 }
 
-std::string_view Name(Reason reason) {
+std::string_view Name(FailureReason reason) {
   const auto i = static_cast<std::size_t>(reason);
   return i < kReasons.size() ? kReasons[i] : "none";
 }
-std::string_view Name(State state) {
+std::string_view Name(DeadLetterState state) {
   const auto i = static_cast<std::size_t>(state);
   return i < kStateNames.size() ? kStateNames[i] : "held";
 }
@@ -122,77 +123,81 @@
   const auto i = static_cast<std::size_t>(outcome);
   return i < kOutcomes.size() ? kOutcomes[i] : "timeout";
 }
-std::string_view Name(End end) {
+std::string_view Name(FinalStatus end) {
   switch (end) {
-    case End::kFailed:
+    case FinalStatus::kFailed:
       return "undeliverable";
-    case End::kRefused:
+    case FinalStatus::kRejected:
       return "deferred";
-    case End::kDelivered:
+    case FinalStatus::kDelivered:
       return "delivered";
-    case End::kOver:
+    case FinalStatus::kExpired:
       return "over";
-    case End::kNone:
+    case FinalStatus::kPending:
       break;
   }
   return "none";
 }
-std::optional<Reason> ReasonNamed(std::string_view name) { return Named<Reason>(kReasons, name); }
-std::optional<State> StateNamed(std::string_view name) { return Named<State>(kStateNames, name); }
+std::optional<FailureReason> ReasonNamed(std::string_view name) {
+  return Named<FailureReason>(kReasons, name);
+}
+std::optional<DeadLetterState> StateNamed(std::string_view name) {
+  return Named<DeadLetterState>(kStateNames, name);
+}
 std::optional<Outcome> OutcomeNamed(std::string_view name) { return Named<Outcome>(kOutcomes, name); }
 std::vector<std::string> ReasonNames() { return All(kReasons); }
 std::vector<std::string> StateNames() { return All(kStateNames); }
 std::vector<std::string> OutcomeNames() { return All(kOutcomes); }
 
-Reason ReasonOf(const Message& m, const ClassSettings& c, int max_attempts, Time now) {
-  if (m.may_have_run && c.effect == Effect::kUnsafe) {
-    const bool cut_off = !m.history.empty() && !m.history.back().outcome && !m.out;
-    return cut_off ? Reason::kRestart : Reason::kMayNotBeRepeated;
+FailureReason ReasonOf(const Message& m, const ClassSettings& c, int max_attempts, Time now) {
+  if (m.first_uncertain_attempt && c.idempotency == Idempotency::kNotIdempotent) {
+    const bool cut_off = !m.history.empty() && !m.history.back().outcome && !m.is_in_flight;
+    return cut_off ? FailureReason::kInterruptedByRestart : FailureReason::kNotRetryable;
   }
-  if (m.attempts >= max_attempts) return Reason::kAttemptsUsedUp;
-  if (m.may_have_run && c.effect == Effect::kKeyed &&
-      now + kNearDeadline >= *m.may_have_run + c.repeat_window) {
-    return Reason::kRepeatWindowOver;
+  if (m.attempts >= max_attempts) return FailureReason::kAttemptsExhausted;
+  if (m.first_uncertain_attempt && c.idempotency == Idempotency::kIdempotentWithKey &&
+      now + kNearDeadline >= *m.first_uncertain_attempt + c.deduplication_window) {
+    return FailureReason::kDeduplicationWindowExpired;
   }
   const bool all_refused =
-      !m.history.empty() && std::all_of(m.history.begin(), m.history.end(), [](const AttemptNote& note) {
-        return note.outcome == Outcome::kFull;
+      !m.history.empty() && std::all_of(m.history.begin(), m.history.end(), [](const AttemptRecord& note) {
+        return note.outcome == Outcome::kRejected;
       });
-  if (all_refused) return Reason::kRefusedToTheEnd;
-  if (m.attempts > 0) return Reason::kOutOfTimeAfterCalls;
+  if (all_refused) return FailureReason::kRejectedUntilDeadline;
+  if (m.attempts > 0) return FailureReason::kExpiredAfterAttempts;
   // The module gives up what can't arrive any more; with most of its time left it made room for others.
-  const Duration all = m.deadline - m.taken_at, left = m.deadline - now;
-  return left * 2 > all ? Reason::kShed : Reason::kOutOfTimeUnsent;
+  const Duration all = m.deadline - m.accepted_at, left = m.deadline - now;
+  return left * 2 > all ? FailureReason::kShed : FailureReason::kExpiredUnsent;
 }
 
-std::string HistoryToJson(const std::vector<AttemptNote>& history) {
+std::string HistoryToJson(const std::vector<AttemptRecord>& history) {
   Json list = Json::array();
-  for (const AttemptNote& note : history) {
+  for (const AttemptRecord& note : history) {
     list.push_back(
-        {{"at_us", note.sent.wall.count()},
-         {"steady_us", note.sent.steady.count()},
-         {"boot", note.sent.boot},
+        {{"at_us", note.sent_at.wall_time.count()},
+         {"steady_us", note.sent_at.steady_time.count()},
+         {"boot", note.sent_at.boot_id},
          {"endpoint", note.endpoint},
          {"outcome", note.outcome ? Json(Name(*note.outcome)) : Json(nullptr)},
          {"may_have_run", !note.outcome || *note.outcome == Outcome::kOk || MayHaveRun(*note.outcome)},
-         {"told_wait_ms", note.told_wait.count() / 1000}});
+         {"told_wait_ms", note.retry_after.count() / 1000}});
   }
   return list.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::vector<AttemptNote> HistoryFromJson(const std::string& text) {
-  std::vector<AttemptNote> history;
+std::vector<AttemptRecord> HistoryFromJson(const std::string& text) {
+  std::vector<AttemptRecord> history;
   const Json list = Json::parse(text, nullptr, false);
   if (!list.is_array()) return history;
   try {
     for (const Json& item : list) {
-      AttemptNote note;
-      note.sent.wall = Time(item.at("at_us").get<std::int64_t>());
-      note.sent.steady = Time(item.at("steady_us").get<std::int64_t>());
-      note.sent.boot = item.at("boot").get<std::uint64_t>();
+      AttemptRecord note;
+      note.sent_at.wall_time = Time(item.at("at_us").get<std::int64_t>());
+      note.sent_at.steady_time = Time(item.at("steady_us").get<std::int64_t>());
+      note.sent_at.boot_id = item.at("boot").get<std::uint64_t>();
       note.endpoint = item.at("endpoint").get<std::string>();
       if (item.at("outcome").is_string()) note.outcome = OutcomeNamed(item["outcome"].get<std::string>());
-      note.told_wait = std::chrono::milliseconds(item.at("told_wait_ms").get<std::int64_t>());
+      note.retry_after = std::chrono::milliseconds(item.at("told_wait_ms").get<std::int64_t>());
       history.push_back(std::move(note));
     }
   } catch (const Json::exception&) {
@@ -201,29 +206,29 @@
   return history;
 }
 
-std::string ToJson(const KeptMessage& k, bool with_body) {
+std::string ToJson(const DeadLetter& k, bool with_body) {
   Json j = {{"kept", Print(k.id)},
             {"id", k.request.id},
-            {"key", k.request.key},
+            {"key", k.request.idempotency_key},
             {"class", k.class_name},
             {"destination", k.request.destination},
-            {"form", k.request.form == Form::kEvent ? "event" : "plain"},
+            {"form", k.request.protocol == IngressProtocol::kCloudEvents ? "event" : "plain"},
             {"attributes", k.request.attributes},
             {"body_size", k.body_size},
-            {"taken_us", k.taken_at.count()},
+            {"taken_us", k.accepted_at.count()},
             {"deadline_us", k.deadline.count()},
             {"ended_us", k.ended_at.count()},
-            {"end", Name(k.end)},
-            {"reason", Name(k.reason)},
+            {"end", Name(k.final_status)},
+            {"reason", Name(k.failure_reason)},
             {"state", Name(k.state)},
             {"attempts", k.attempts},
-            {"resends", k.resends},
-            {"may_have_run", k.may_have_run.has_value()},
+            {"resends", k.redrives},
+            {"may_have_run", k.first_uncertain_attempt.has_value()},
             {"rule", k.rule},
-            {"ground", k.ground},
+            {"ground", k.decision_reason},
             {"history", Json::parse(HistoryToJson(k.history))}};
   if (with_body) j["body_base64"] = Base64(k.request.body);
   return j.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/dead_letter_manager.cpp
+++ b/src/dead_letter/dead_letter_manager.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 using std::chrono::milliseconds;
@@ -25,13 +25,15 @@
 }  // namespace
 
 std::uint64_t IdentityOf(const Request& r) {
-  if (r.form == Form::kEvent) return Hash("e" + r.id);
-  if (r.key.empty()) return 0;
-  return Hash("k" + std::to_string(r.destination) + "/" + std::to_string(r.message_class) + "/" + r.key);
+  if (r.protocol == IngressProtocol::kCloudEvents) return Hash("e" + r.id);
+  if (r.idempotency_key.empty()) return 0;
+  return Hash("k" + std::to_string(r.destination) + "/" + std::to_string(r.message_class) + "/" +
+              r.idempotency_key);
 }
 
-Keeper::Keeper(Settings settings, Jobs& jobs, Ledger& ledger, const Clock& clock, Logger& log,
-               std::function<void(Duration)> wake_after)
+DeadLetterManager::DeadLetterManager(Settings settings, JobRunner& jobs, MessageTable& ledger,
+                                     const Clock& clock, Logger& log,
+                                     std::function<void(Duration)> wake_after)
     : settings_(std::move(settings)),
       jobs_(jobs),
       ledger_(ledger),
@@ -40,53 +42,54 @@
       wake_after_(std::move(wake_after)),
       planner_(settings_.limits, settings_.seed, clock.Now()) {
   // Numbers name kept messages for good, so none may come again, whatever the journal forgot.
-  ledger_.StartAt(static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock.Now().count())));
+  ledger_.SkipNumbersBelow(static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock.Now().count())));
 }
 
-const std::string& Keeper::ClassName(const Message& m) const {
+const std::string& DeadLetterManager::ClassName(const Message& m) const {
   static const std::string kGone = "(not configured any more)";
   if (m.request.message_class == kNoClass) return kGone;
   return settings_.review->class_names[static_cast<std::size_t>(m.request.message_class)];
 }
-double Keeper::WorthOf(const Message& m) const {
+double DeadLetterManager::WorthOf(const Message& m) const {
   if (m.request.message_class == kNoClass) return 0;
-  return settings_.review->classes[static_cast<std::size_t>(m.request.message_class)].worth;
+  return settings_.review->classes[static_cast<std::size_t>(m.request.message_class)].priority_weight;
 }
 
-void Keeper::Start(Chain chain, bool journal_lost) {
+void DeadLetterManager::Start(Pipeline chain, bool journal_lost) {
   chain_ = std::move(chain);
   lost_ = journal_lost;
   started_ = true;
   for (const auto& [number, m] : ledger_.messages()) {
-    if (m.kept_as != 0 && m.end == End::kNone) planner_.Adopt(m.request.destination);
+    if (m.redrive_number != 0 && m.final_status == FinalStatus::kPending)
+      planner_.Adopt(m.request.destination);
     const std::uint64_t identity = IdentityOf(m.request);
     if (identity == 0) continue;
-    if (m.kept_as == 0) {
+    if (m.redrive_number == 0) {
       // It may have been taken just before the process ended, with its kept twin not told yet.
       handed_in_.push_back({identity, number});
-    } else if (m.end == End::kNone) {
+    } else if (m.final_status == FinalStatus::kPending) {
       resending_.insert(identity);
     }
   }
-  Turn();
+  RunDueWork();
 }
 
-void Keeper::SetRules(std::shared_ptr<const RuleSet> rules, const std::string& text) {
+void DeadLetterManager::SetRules(std::shared_ptr<const RuleSet> rules, const std::string& text) {
   next_rules_ = std::move(rules);
   next_hash_ = Hash(text);
   fetch_at_ = Time(0);
-  if (started_) Turn();
+  if (started_) RunDueWork();
 }
 
-void Keeper::LookAgain() {
+void DeadLetterManager::ScheduleReview() {
   fetch_at_ = Time(0);
   blocked_.clear();
-  Turn();
+  RunDueWork();
 }
 
-void Keeper::WakeAt(Time at) { wake_after_(std::max(Duration(0), at - clock_.Now())); }
+void DeadLetterManager::WakeAt(Time at) { wake_after_(std::max(Duration(0), at - clock_.Now())); }
 
-void Keeper::Turn() {
+void DeadLetterManager::RunDueWork() {
   if (!started_) return;
   const Time now = clock_.Now();
   if (now < retry_at_) return WakeAt(retry_at_);
@@ -96,13 +99,13 @@
   if (reconciled_ && !stopping_) Fetch();
   // With all places taken, or an answer on its way, what ends or arrives calls Turn by itself.
   const bool waits = fetching_ || claiming_ > 0 || !reconciled_ || stopping_ || rules_ == nullptr ||
-                     planner_.out() >= planner_.MostOut();
+                     planner_.in_flight_count() >= planner_.MaxInFlight();
   Time next = waits ? Time::max() : fetch_at_;
   if (now < retry_at_) next = retry_at_;
   if (next != Time::max()) WakeAt(next);
 }
 
-void Keeper::Failed(const JobError& error) {
+void DeadLetterManager::Failed(const JobError& error) {
   ++failures_;
   ++counters_.transfers_failed;
   if (error.set_aside) {
@@ -115,46 +118,48 @@
   }
   const Duration wait = std::min(kLongestRetry, kRetry * (1 << std::min(failures_ - 1, 6)));
   retry_at_ = clock_.Now() + wait;
-  log_.Warn(
-      "kept.store_failed",
-      {{"why", error.what}, {"owed", owed()}, {"again_ms", wait.count() / 1000}, {"failures", failures_}});
+  log_.Warn("kept.store_failed", {{"why", error.what},
+                                  {"owed", pending_transfers()},
+                                  {"again_ms", wait.count() / 1000},
+                                  {"failures", failures_}});
 }
 
 // --- From the journal to the store ---
 
-void Keeper::Ending(Message& m, enum End end) {
+void DeadLetterManager::BeforeCompletion(Message& m, enum FinalStatus end) {
   const ClassSettings& c = settings_.review->classes[static_cast<std::size_t>(m.request.message_class)];
-  if (end == End::kFailed || end == End::kRefused) {
-    m.reason = ReasonOf(m, c, settings_.review->judge.max_attempts, clock_.Now());
-    if (forbidden_.erase(m.number) > 0) m.reason = Reason::kForbiddenOnRestart;
+  if (end == FinalStatus::kFailed || end == FinalStatus::kRejected) {
+    m.failure_reason = ReasonOf(m, c, settings_.review->policy.max_attempts, clock_.Now());
+    if (forbidden_.erase(m.number) > 0) m.failure_reason = FailureReason::kRedriveForbiddenAfterRestart;
   }
-  if (m.kept_as != 0) {
-    m.kept_owed = true;
+  if (m.redrive_number != 0) {
+    m.dead_letter_pending = true;
   } else {
-    m.kept_owed =
-        (end == End::kFailed && settings_.undeliverable) || (end == End::kRefused && settings_.deferred);
+    m.dead_letter_pending = (end == FinalStatus::kFailed && settings_.undeliverable) ||
+                            (end == FinalStatus::kRejected && settings_.deferred);
   }
 }
 
-void Keeper::Owed(const Message& m) {
+void DeadLetterManager::TakeOver(const Message& m) {
   if (!known_owed_.insert(m.number).second) return;
   Waiting w;
   w.number = m.number;
   w.bytes = m.request.body.size() + 600;
   w.worth = WorthOf(m);
-  w.resent = m.kept_as != 0;
+  w.resent = m.redrive_number != 0;
   const std::uint64_t identity = IdentityOf(m.request);
   if (w.resent) {
-    const bool delivered = m.end == End::kDelivered || m.end == End::kOver;
-    planner_.Ended(m.request.destination, delivered, clock_.Now());
+    const bool delivered =
+        m.final_status == FinalStatus::kDelivered || m.final_status == FinalStatus::kExpired;
+    planner_.OnMessageCompleted(m.request.destination, delivered, clock_.Now());
     if (const auto at = resending_.find(identity); at != resending_.end()) resending_.erase(at);
-    if (!delivered) w.not_before = planner_.BackoffUntil(m.kept_life + 1, clock_.Now());
+    if (!delivered) w.not_before = planner_.BackoffUntil(m.redrive_incarnation + 1, clock_.Now());
     ++(delivered ? counters_.delivered : counters_.kept_again);
     std::erase_if(blocked_, [](const auto& b) { return b.second == Time::max(); });
     fetch_at_ = Time(0);
-    log_.Info("kept.resent", {{"kept", Print(Id{m.kept_node, m.kept_as})},
-                              {"end", std::string(Name(m.end))},
-                              {"reason", std::string(Name(m.reason))},
+    log_.Info("kept.resent", {{"kept", Print(DeadLetterId{m.redrive_node, m.redrive_number})},
+                              {"end", std::string(Name(m.final_status))},
+                              {"reason", std::string(Name(m.failure_reason))},
                               {"attempts", m.attempts}});
   } else if (identity != 0) {
     identities_.insert(identity);
@@ -162,12 +167,12 @@
   owed_bytes_ += w.bytes;
   owed_.push_back(w);
   if (owed_bytes_ > settings_.owed_bytes) DropOwed();
-  if (started_) Turn();
+  if (started_) RunDueWork();
 }
 
 // The journal's room is for delivery: while the store can't take them, only so much may wait there. What a
 // resend came to is never dropped.
-void Keeper::DropOwed() {
+void DeadLetterManager::DropOwed() {
   while (owed_bytes_ > settings_.owed_bytes) {
     auto least = owed_.end();
     for (auto at = owed_.begin(); at != owed_.end(); ++at) {
@@ -183,23 +188,23 @@
       log_.Error("kept.lost", {{"number", number},
                                {"id", m->request.id},
                                {"class", ClassName(*m)},
-                               {"reason", std::string(Name(m->reason))},
+                               {"reason", std::string(Name(m->failure_reason))},
                                {"lost", counters_.owed_dropped}});
     }
-    chain_.kept(number);
+    chain_.on_dead_lettered(number);
   }
 }
 
-Database::Entry Keeper::EntryOf(const Message& m, const Waiting& w) const {
+Database::Entry DeadLetterManager::EntryOf(const Message& m, const Waiting& w) const {
   Database::Entry entry;
-  entry.kept = FromMessage(m, settings_.node, ClassName(m), w.worth);
-  entry.resent = w.resent;
+  entry.dead_letter = FromMessage(m, settings_.node, ClassName(m), w.worth);
+  entry.redriven = w.resent;
   entry.not_before = w.not_before;
   entry.identity = IdentityOf(m.request);
   return entry;
 }
 
-void Keeper::Transfer() {
+void DeadLetterManager::Transfer() {
   if (!in_transfer_.empty() || owed_.empty()) return;
   const auto entries = std::make_shared<std::vector<Database::Entry>>();
   std::size_t bytes = 0;
@@ -207,7 +212,7 @@
     const Waiting w = owed_.front();
     owed_.pop_front();
     const Message* m = ledger_.Find(w.number);
-    if (m == nullptr || !m->kept_owed) {  // its client knows its end after all
+    if (m == nullptr || !m->dead_letter_pending) {  // its client knows its end after all
       known_owed_.erase(w.number);
       owed_bytes_ -= w.bytes;
       continue;
@@ -220,7 +225,7 @@
   const auto evicted = std::make_shared<Database::Evicted>();
   const bool queued = jobs_.Run(
       [entries, evicted, now = clock_.Now()](Database& db) {
-        db.Keep(*entries);
+        db.Store(*entries);
         *evicted = db.Evict(now);
       },
       [this, evicted](const JobError* error) { Transferred(error, *evicted); });
@@ -230,21 +235,21 @@
   retry_at_ = clock_.Now() + kRetry;
 }
 
-void Keeper::Transferred(const JobError* error, const Database::Evicted& evicted) {
+void DeadLetterManager::Transferred(const JobError* error, const Database::Evicted& evicted) {
   if (error != nullptr) {
     // Taking them in twice changes nothing, so what may be in already goes again.
     owed_.insert(owed_.begin(), in_transfer_.begin(), in_transfer_.end());
     in_transfer_.clear();
     Failed(*error);
-    return Turn();
+    return RunDueWork();
   }
-  if (failures_ > 0) log_.Info("kept.store_back", {{"owed", owed()}});
+  if (failures_ > 0) log_.Info("kept.store_back", {{"owed", pending_transfers()}});
   failures_ = 0;
   for (const Waiting& w : std::exchange(in_transfer_, {})) {
     owed_bytes_ -= w.bytes;
     known_owed_.erase(w.number);
     if (!w.resent) ++counters_.kept;
-    chain_.kept(w.number);
+    chain_.on_dead_lettered(w.number);
   }
   if (evicted.messages + evicted.by_age > 0) {
     counters_.evicted += evicted.messages + evicted.by_age;
@@ -253,33 +258,33 @@
     log_.Warn("kept.evicted", fields);
   }
   fetch_at_ = Time(0);
-  Turn();
+  RunDueWork();
 }
 
 // --- The same message from its client ---
 
-void Keeper::Taken(const Message& m) {
+void DeadLetterManager::OnAccepted(const Message& m) {
   const std::uint64_t identity = IdentityOf(m.request);
   if (identity == 0 || (reconciled_ && !identities_.contains(identity))) return;
   identities_.erase(identity);
   handed_in_.push_back({identity, m.number});
-  if (started_) Turn();
+  if (started_) RunDueWork();
 }
 
-bool Keeper::BeingResent(const Request& request) const {
+bool DeadLetterManager::IsBeingRedriven(const Request& request) const {
   if (resending_.empty()) return false;
   const std::uint64_t identity = IdentityOf(request);
   return identity != 0 && resending_.contains(identity);
 }
 
-void Keeper::TellHandedIn() {
+void DeadLetterManager::TellHandedIn() {
   if (telling_ || handed_in_.empty() || !reconciled_) return;
   telling_ = true;
   const auto told = std::make_shared<std::vector<HandedIn>>(handed_in_);
   const auto changed = std::make_shared<int>(0);
   const bool queued = jobs_.Run(
       [told, changed](Database& db) {
-        for (const HandedIn& h : *told) *changed += db.HandedInAgain(h.identity, h.number);
+        for (const HandedIn& h : *told) *changed += db.MarkResubmitted(h.identity, h.number);
       },
       [this, told, changed](const JobError* error) {
         telling_ = false;
@@ -291,45 +296,47 @@
           counters_.handed_in_again += *changed;
           if (*changed > 0) log_.Info("kept.handed_in_again", {{"messages", *changed}});
         }
-        Turn();
+        RunDueWork();
       });
   if (!queued) telling_ = false;
 }
 
 // --- Sending again ---
 
-bool Keeper::MayGoOn(const Message& m) {
-  if (m.attempts == 0 || !m.may_have_run) return true;
-  KeptMessage k = FromMessage(m, settings_.node, ClassName(m), WorthOf(m));
-  k.end = End::kFailed;
-  JudgeSettings judge = settings_.review->judge;
+bool DeadLetterManager::MayContinueAfterRestart(const Message& m) {
+  if (m.attempts == 0 || !m.first_uncertain_attempt) return true;
+  DeadLetter k = FromMessage(m, settings_.node, ClassName(m), WorthOf(m));
+  k.final_status = FinalStatus::kFailed;
+  RedrivePolicySettings judge = settings_.review->policy;
   judge.max_attempts = m.attempts + 1;  // the module counts them
-  const Judgement judgement =
-      Judge(k, &settings_.review->classes[static_cast<std::size_t>(m.request.message_class)], judge,
-            clock_.Stamp());
-  const bool forbidden = m.kept_as != 0 ? judgement.ruling == Ruling::kForbidden
-                                        : !m.history.empty() && judgement.ground == Ground::kClockUnsure;
+  const RedriveDecisionResult judgement =
+      DecideRedrive(k, &settings_.review->classes[static_cast<std::size_t>(m.request.message_class)], judge,
+                    clock_.CurrentTimestamp());
+  const bool forbidden = m.redrive_number != 0
+                             ? judgement.decision == RedriveDecision::kForbidden
+                             : !m.history.empty() && judgement.reason == DecisionReason::kClockUncertain;
   if (forbidden) forbidden_.insert(m.number);
   return !forbidden;
 }
 
-void Keeper::CallEnded(const Message& m, const CallResult& result) {
-  planner_.CallEnded(m.request.destination, result.outcome, result.told_wait, clock_.Now());
+void DeadLetterManager::OnCallCompleted(const Message& m, const CallResult& result) {
+  planner_.OnCallCompleted(m.request.destination, result.outcome, result.retry_after, clock_.Now());
 }
 
-ResendPlanner::Load Keeper::Load() const {
-  ResendPlanner::Load load;
-  load.held = ledger_.held();
-  for (const auto& [number, m] : ledger_.messages()) load.calls_out += m.out ? 1 : 0;
+RedrivePlanner::Load DeadLetterManager::Load() const {
+  RedrivePlanner::Load load;
+  load.pending_messages = ledger_.pending_count();
+  for (const auto& [number, m] : ledger_.messages()) load.calls_in_flight += m.is_in_flight ? 1 : 0;
   return load;
 }
 
 // What the store says is under way and no resend carries is kept again. Only while no claim is on its way.
-void Keeper::Reconcile() {
+void DeadLetterManager::Reconcile() {
   if (reconciling_ || claiming_ > 0) return;
-  std::set<Id> under_way;
+  std::set<DeadLetterId> under_way;
   for (const auto& [number, m] : ledger_.messages()) {
-    if (m.kept_as != 0 && (m.end == End::kNone || m.kept_owed)) under_way.insert({m.kept_node, m.kept_as});
+    if (m.redrive_number != 0 && (m.final_status == FinalStatus::kPending || m.dead_letter_pending))
+      under_way.insert({m.redrive_node, m.redrive_number});
   }
   struct Found {
     int stray = 0;
@@ -348,21 +355,21 @@
         reconciling_ = false;
         if (error != nullptr) {
           Failed(*error);
-          return Turn();
+          return RunDueWork();
         }
         failures_ = 0;
         reconciled_ = true;
         lost_ = false;
         generation_ = 0;  // to be asked for
         identities_.insert(found->identities.begin(), found->identities.end());
-        ledger_.StartAt(found->highest + 1);
+        ledger_.SkipNumbersBelow(found->highest + 1);
         log_.Info("kept.reconciled", {{"taken_back", found->stray}, {"under_way", resending_.size()}});
-        Turn();
+        RunDueWork();
       });
   if (!queued) reconciling_ = false;
 }
 
-void Keeper::Fetch() {
+void DeadLetterManager::Fetch() {
   if (fetching_ || claiming_ > 0) return;
   if (next_rules_ != nullptr || (rules_ != nullptr && generation_ == 0)) {
     if (next_rules_ != nullptr) rules_ = std::exchange(next_rules_, nullptr), paces_.clear();
@@ -374,13 +381,13 @@
                     fetching_ = false;
                     generation_ = *generation;
                     if (error != nullptr) Failed(*error);
-                    Turn();
+                    RunDueWork();
                   });
     if (!queued) fetching_ = false;
     return;
   }
   const Time now = clock_.Now();
-  if (rules_ == nullptr || fetch_at_ > now || planner_.out() >= planner_.MostOut()) return;
+  if (rules_ == nullptr || fetch_at_ > now || planner_.in_flight_count() >= planner_.MaxInFlight()) return;
   std::erase_if(blocked_, [&](const auto& b) { return b.second <= now; });
   std::erase_if(paces_,
                 [&](const auto& p) { return std::max(p.second.bound_until, p.second.spread) <= now; });
@@ -394,8 +401,8 @@
   const auto work = std::make_shared<Work>();
   work->paces = paces_;
   const bool queued = jobs_.Run(
-      [work, rules = rules_, review = settings_.review, generation = generation_, at = clock_.Stamp(),
-       without](Database& db) {
+      [work, rules = rules_, review = settings_.review, generation = generation_,
+       at = clock_.CurrentTimestamp(), without](Database& db) {
         work->due = db.Due(*rules, *review, generation, at, without, kCandidates, work->paces);
       },
       [this, work](const JobError* error) {
@@ -409,10 +416,10 @@
   }
 }
 
-void Keeper::Fetched(const JobError* error, Database::Candidates due) {
+void DeadLetterManager::Fetched(const JobError* error, Database::Candidates due) {
   if (error != nullptr) {
     Failed(*error);
-    return Turn();
+    return RunDueWork();
   }
   failures_ = 0;
   const Time now = clock_.Now();
@@ -423,39 +430,39 @@
     next = now;
   }
   std::vector<Database::Candidate> granted;
-  ResendPlanner::Load load = Load();
+  RedrivePlanner::Load load = Load();
   for (Database::Candidate& candidate : due.list) {
-    const int destination = candidate.kept.request.destination;
+    const int destination = candidate.dead_letter.request.destination;
     if (stopping_) break;
     if (blocked_.contains(destination)) continue;
     if (const auto at = paces_.find(candidate.rule); at != paces_.end() && at->second.bound_until > now)
       continue;
-    const ResendPlanner::Grant grant =
-        planner_.Ask(candidate.rule, candidate.resend, destination, chain_.up(destination), load, now);
+    const RedrivePlanner::Grant grant = planner_.RequestGrant(
+        candidate.rule, candidate.redrive, destination, chain_.has_usable_endpoint(destination), load, now);
     if (grant.granted()) {
-      ++load.calls_out;
-      ++load.held;
+      ++load.calls_in_flight;
+      ++load.pending_messages;
       granted.push_back(std::move(candidate));
       continue;
     }
-    next = std::min(next, grant.again);
-    if (grant.kind == ResendPlanner::Grant::Kind::kAll) break;
-    if (grant.kind == ResendPlanner::Grant::Kind::kDestination) {
-      blocked_[destination] = grant.again;
+    next = std::min(next, grant.retry_after);
+    if (grant.kind == RedrivePlanner::Grant::Kind::kAll) break;
+    if (grant.kind == RedrivePlanner::Grant::Kind::kDestination) {
+      blocked_[destination] = grant.retry_after;
     } else {
-      paces_[candidate.rule].bound_until = grant.again;
+      paces_[candidate.rule].bound_until = grant.retry_after;
     }
   }
   for (const auto& [destination, until] : blocked_) next = std::min(next, until);
   fetch_at_ = granted.empty() && !(due.more && due.list.empty()) ? next : now;
   if (!granted.empty()) Claim(std::move(granted));
-  Turn();
+  RunDueWork();
 }
 
-void Keeper::Claim(std::vector<Database::Candidate> granted) {
+void DeadLetterManager::Claim(std::vector<Database::Candidate> granted) {
   struct Work {
     std::vector<Database::Candidate> granted;
-    std::vector<std::optional<KeptMessage>> claimed;
+    std::vector<std::optional<DeadLetter>> claimed;
   };
   const auto work = std::make_shared<Work>();
   work->granted = std::move(granted);
@@ -463,13 +470,14 @@
   const bool queued = jobs_.Run(
       [work](Database& db) {
         for (const Database::Candidate& c : work->granted)
-          work->claimed.push_back(db.Claim(c.kept.id, c.rule));
+          work->claimed.push_back(db.Claim(c.dead_letter.id, c.rule));
       },
       [this, work](const JobError* error) {
         --claiming_;
         if (error != nullptr) {
           // Which of them were claimed is not known: the store is asked once it works again.
-          for (const Database::Candidate& c : work->granted) planner_.Returned(c.kept.request.destination);
+          for (const Database::Candidate& c : work->granted)
+            planner_.Returned(c.dead_letter.request.destination);
           reconciled_ = false;
           Failed(*error);
         } else {
@@ -477,18 +485,18 @@
             Claimed(work->granted[i], std::move(work->claimed[i]));
           }
         }
-        Turn();
+        RunDueWork();
       });
   if (queued) return;
   --claiming_;
-  for (const Database::Candidate& c : work->granted) planner_.Returned(c.kept.request.destination);
+  for (const Database::Candidate& c : work->granted) planner_.Returned(c.dead_letter.request.destination);
   fetch_at_ = clock_.Now() + kRetry;
 }
 
-void Keeper::Claimed(const Database::Candidate& candidate, std::optional<KeptMessage> kept) {
-  const int destination = candidate.kept.request.destination;
+void DeadLetterManager::Claimed(const Database::Candidate& candidate, std::optional<DeadLetter> kept) {
+  const int destination = candidate.dead_letter.request.destination;
   if (!kept) return planner_.Returned(destination);
-  const Id id = kept->id;
+  const DeadLetterId id = kept->id;
   const std::uint64_t identity = [&] {
     const auto at = std::find(settings_.review->class_names.begin(), settings_.review->class_names.end(),
                               kept->class_name);
@@ -496,26 +504,26 @@
     return IdentityOf(kept->request);
   }();
   // Time has passed since the review, and its client may have come.
-  kept->state = State::kKept;
-  const Moment now = clock_.Stamp();
-  const Judgement judgement =
-      Judge(*kept, settings_.review->Class(kept->class_name), settings_.review->judge, now);
+  kept->state = DeadLetterState::kStored;
+  const Timestamp now = clock_.CurrentTimestamp();
+  const RedriveDecisionResult judgement =
+      DecideRedrive(*kept, settings_.review->Class(kept->class_name), settings_.review->policy, now);
   const bool handed_in = std::any_of(handed_in_.begin(), handed_in_.end(), [&](const HandedIn& h) {
     return h.identity == identity && h.number > id.number;
   });
-  if (stopping_ || handed_in || judgement.ruling != Ruling::kAllowed) {
+  if (stopping_ || handed_in || judgement.decision != RedriveDecision::kAllowed) {
     return GiveBack(id, destination, Time(0));
   }
   const Time deadline =
-      std::min(now.wall + candidate.resend.deadline, judgement.latest.value_or(Time::max()));
-  if (!chain_.take_again(ToMessage(*kept, deadline))) {
-    return GiveBack(id, destination, now.wall + seconds(1));
+      std::min(now.wall_time + candidate.redrive.deadline, judgement.latest_send_time.value_or(Time::max()));
+  if (!chain_.accept_redrive(ToMessage(*kept, deadline))) {
+    return GiveBack(id, destination, now.wall_time + seconds(1));
   }
   ++counters_.resends;
   if (identity != 0) resending_.insert(identity);
 }
 
-void Keeper::GiveBack(const Id& id, int destination, Time not_before) {
+void DeadLetterManager::GiveBack(const DeadLetterId& id, int destination, Time not_before) {
   planner_.Returned(destination);
   const bool queued = jobs_.Run([id, not_before](Database& db) { db.Unclaim(id, not_before); },
                                 [this](const JobError* error) {
@@ -526,4 +534,4 @@
   if (!queued) reconciled_ = false;
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/dead_letter_manager.h
+++ b/src/dead_letter/dead_letter_manager.h
@@ -18,26 +18,26 @@
 #include "dead_letter/storage/worker.h"
 #include "logging/logger.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 // Names the message behind a request over all its hand-ins: an event, or a key within class and destination;
 // 0 if nothing does.
 std::uint64_t IdentityOf(const Request& request);
 
-class Keeper : public Keep {
+class DeadLetterManager : public DeadLetterSink {
  public:
   struct Settings {
     std::string node;
     std::shared_ptr<const ReviewSettings> review;  // read by the store's threads too
-    ResendPlanner::Limits limits;
+    RedrivePlanner::Limits limits;
     bool undeliverable = true, deferred = false;
     std::size_t owed_bytes = 1'000'000;
     std::uint64_t seed = 0;
   };
-  struct Chain {  // the stages, as far as needed
-    std::function<bool(Message)> take_again;
-    std::function<bool(int destination)> up;
-    std::function<void(std::uint64_t number)> kept;
+  struct Pipeline {  // the stages, as far as needed
+    std::function<bool(Message)> accept_redrive;
+    std::function<bool(int destination)> has_usable_endpoint;
+    std::function<void(std::uint64_t number)> on_dead_lettered;
   };
   struct Counters {
     std::int64_t kept = 0, owed_dropped = 0, evicted = 0, transfers_failed = 0, resends = 0, delivered = 0,
@@ -45,30 +45,30 @@
   };
 
   // `wake_after`: calls Turn after that time; a new call replaces the last.
-  Keeper(Settings settings, Jobs& jobs, Ledger& ledger, const Clock& clock, Logger& log,
-         std::function<void(Duration)> wake_after);
+  DeadLetterManager(Settings settings, JobRunner& jobs, MessageTable& ledger, const Clock& clock, Logger& log,
+                    std::function<void(Duration)> wake_after);
 
   // `journal_lost`: the journal was empty at the start. Resends begin once the store was reconciled.
-  void Start(Chain chain, bool journal_lost);
+  void Start(Pipeline chain, bool journal_lost);
   void Stop() { stopping_ = true; }
   // New rules; their text names them.
   void SetRules(std::shared_ptr<const RuleSet> rules, const std::string& text);
-  void Turn();
+  void RunDueWork();
   // By an operator's hand something became due.
-  void LookAgain();
+  void ScheduleReview();
 
   const Counters& counters() const { return counters_; }
-  std::size_t owed() const { return owed_.size() + in_transfer_.size(); }
-  int resends_out() const { return planner_.out(); }
+  std::size_t pending_transfers() const { return owed_.size() + in_transfer_.size(); }
+  int redrives_in_flight() const { return planner_.in_flight_count(); }
   bool store_failing() const { return failures_ > 0; }
   const std::shared_ptr<const ReviewSettings>& review() const { return settings_.review; }
 
-  void Taken(const Message& message) override;
-  bool BeingResent(const Request& request) const override;
-  void CallEnded(const Message& message, const CallResult& result) override;
-  void Ending(Message& message, enum End end) override;
-  void Owed(const Message& message) override;
-  bool MayGoOn(const Message& message) override;
+  void OnAccepted(const Message& message) override;
+  bool IsBeingRedriven(const Request& request) const override;
+  void OnCallCompleted(const Message& message, const CallResult& result) override;
+  void BeforeCompletion(Message& message, enum FinalStatus end) override;
+  void TakeOver(const Message& message) override;
+  bool MayContinueAfterRestart(const Message& message) override;
 
  private:
   struct Waiting {
@@ -89,20 +89,20 @@
   void Fetch();
   void Fetched(const JobError* error, Database::Candidates due);
   void Claim(std::vector<Database::Candidate> granted);
-  void Claimed(const Database::Candidate& candidate, std::optional<KeptMessage> kept);
-  void GiveBack(const Id& id, int destination, Time not_before);
+  void Claimed(const Database::Candidate& candidate, std::optional<DeadLetter> kept);
+  void GiveBack(const DeadLetterId& id, int destination, Time not_before);
   void Failed(const JobError& error);
   void WakeAt(Time at);
-  ResendPlanner::Load Load() const;
+  RedrivePlanner::Load Load() const;
 
   const Settings settings_;
-  Jobs& jobs_;
-  Ledger& ledger_;
+  JobRunner& jobs_;
+  MessageTable& ledger_;
   const Clock& clock_;
   Logger& log_;
   std::function<void(Duration)> wake_after_;
-  Chain chain_;
-  ResendPlanner planner_;
+  Pipeline chain_;
+  RedrivePlanner planner_;
   Counters counters_;
 
   std::deque<Waiting> owed_;
@@ -132,6 +132,6 @@
   std::set<std::uint64_t> forbidden_;  // numbers, while a restart ends them
 };
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_MANAGER_H_
--- a/src/dead_letter/operator_requests.cpp
+++ b/src/dead_letter/operator_requests.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 using Json = nlohmann::json;
@@ -35,19 +35,19 @@
   return request[key].get<bool>();
 }
 
-std::optional<Id> IdOf(const Json& request, const char* key) {
+std::optional<DeadLetterId> IdOf(const Json& request, const char* key) {
   const std::string text = TextOf(request, key, "");
   if (text.empty()) return std::nullopt;
-  const std::optional<Id> id = ParseId(text);
+  const std::optional<DeadLetterId> id = ParseId(text);
   if (!id) throw std::runtime_error(std::string("/") + key + ": expected NODE/NUMBER");
   return id;
 }
 
-Json List(const Operation& o, Database& db, Time now) {
+Json List(const OperatorRequest& o, Database& db, Time now) {
   const Database::Page page = db.List(o.filter, now, o.after, o.limit);
   Json messages = Json::array();
-  for (const KeptMessage& k : page.messages) {
-    const std::optional<KeptMessage> whole = o.with_body ? db.Show(k.id, true) : std::nullopt;
+  for (const DeadLetter& k : page.messages) {
+    const std::optional<DeadLetter> whole = o.with_body ? db.Show(k.id, true) : std::nullopt;
     messages.push_back(Json::parse(ToJson(whole ? *whole : k, whole.has_value())));
   }
   return {{"messages", std::move(messages)}, {"next", page.next ? Json(Print(*page.next)) : Json(nullptr)}};
@@ -55,7 +55,7 @@
 
 std::string_view Name(Review::Kind kind) {
   switch (kind) {
-    case Review::Kind::kSend:
+    case Review::Kind::kRedrive:
       return "resend";
     case Review::Kind::kLater:
       return "later";
@@ -69,19 +69,19 @@
   return "nothing";
 }
 
-Json Try(const Operation& o, Database& db, const ReviewSettings& review, const Moment& now) {
+Json Try(const OperatorRequest& o, Database& db, const ReviewSettings& review, const Timestamp& now) {
   Condition open;  // what rules may still decide on
-  const Database::Page page = db.List(open, now.wall, o.after, kTryAtOnce);
+  const Database::Page page = db.List(open, now.wall_time, o.after, kTryAtOnce);
   Json rules = Json::object();
   for (const Rule& rule : o.rules.rules) rules[rule.name] = {{"matched", 0}, {"grounds", Json::object()}};
   std::int64_t unmatched = 0, over = 0;
   const auto count = [](Json& object, const std::string& key) { object[key] = object.value(key, 0) + 1; };
-  for (KeptMessage k : page.messages) {
-    if (k.state != State::kKept && k.state != State::kHeld) {
+  for (DeadLetter k : page.messages) {
+    if (k.state != DeadLetterState::kStored && k.state != DeadLetterState::kHeld) {
       ++over;
       continue;
     }
-    k.by_hand = false;
+    k.requested_by_operator = false;
     const Review r = ReviewOf(k, o.rules, review, now);
     if (r.rule == nullptr) {
       ++unmatched;
@@ -90,8 +90,8 @@
     Json& counts = rules[r.rule->name];
     count(counts, "matched");
     count(counts, std::string(Name(r.kind)));
-    if (r.rule->then.kind == Action::Kind::kResend && r.judgement.ruling != Ruling::kAllowed) {
-      count(counts["grounds"], std::string(Name(r.judgement.ground)));
+    if (r.rule->then.kind == RuleAction::Kind::kRedrive && r.decision.decision != RedriveDecision::kAllowed) {
+      count(counts["grounds"], std::string(Name(r.decision.reason)));
     }
   }
   return {{"rules", std::move(rules)},
@@ -103,14 +103,14 @@
 
 }  // namespace
 
-Operation ReadOperation(std::string_view line, const std::vector<std::string>& classes) {
+OperatorRequest ParseOperatorRequest(std::string_view line, const std::vector<std::string>& classes) {
   const Json request = Json::parse(line, nullptr, false);
   if (!request.is_object()) throw std::runtime_error("expected one JSON object a line");
   if (!request.contains("v") || request["v"] != kControlVersion) {
     throw std::runtime_error("/v: expected " + std::to_string(kControlVersion) +
                              ", the version of this node's control socket");
   }
-  Operation o;
+  OperatorRequest o;
   const std::string op = TextOf(request, "op", "");
   const auto filter = [&] {
     try {
@@ -120,24 +120,24 @@
     }
   };
   if (op == "status") {
-    o.kind = Operation::Kind::kStatus;
+    o.kind = OperatorRequest::Kind::kStatus;
   } else if (op == "list") {
-    o.kind = Operation::Kind::kList;
+    o.kind = OperatorRequest::Kind::kList;
     filter();
     o.with_body = FlagOf(request, "body");
-    o.limit = static_cast<int>(NumberOf(request, "limit", 1, o.with_body ? kMostBodies : kMostPage, 50));
+    o.limit = static_cast<int>(NumberOf(request, "limit", 1, o.with_body ? kMaxBodyBytes : kMaxPageSize, 50));
     o.after = IdOf(request, "after");
   } else if (op == "show") {
-    o.kind = Operation::Kind::kShow;
-    const std::optional<Id> id = IdOf(request, "id");
+    o.kind = OperatorRequest::Kind::kShow;
+    const std::optional<DeadLetterId> id = IdOf(request, "id");
     if (!id) throw std::runtime_error("/id: expected NODE/NUMBER");
     o.id = *id;
     o.with_body = FlagOf(request, "body");
   } else if (op == "stats") {
-    o.kind = Operation::Kind::kStats;
+    o.kind = OperatorRequest::Kind::kStats;
     o.by = TextOf(request, "by", o.by);
   } else if (op == "try") {
-    o.kind = Operation::Kind::kTry;
+    o.kind = OperatorRequest::Kind::kTry;
     try {
       o.rules = ParseRules(TextOf(request, "rules", ""), classes);
     } catch (const RuleError& error) {
@@ -145,15 +145,15 @@
     }
     o.after = IdOf(request, "after");
   } else if (op == "act") {
-    o.kind = Operation::Kind::kAct;
+    o.kind = OperatorRequest::Kind::kAct;
     filter();
     const std::string action = TextOf(request, "action", "");
     if (action != "resend" && action != "hold" && action != "drop") {
       throw std::runtime_error("/action: expected resend, hold or drop");
     }
-    o.action = action == "resend" ? Action::Kind::kResend
-               : action == "hold" ? Action::Kind::kHold
-                                  : Action::Kind::kDrop;
+    o.action = action == "resend" ? RuleAction::Kind::kRedrive
+               : action == "hold" ? RuleAction::Kind::kHold
+                                  : RuleAction::Kind::kDrop;
     o.cursor = NumberOf(request, "cursor", 0, INT64_MAX, 0);
     o.only_count = FlagOf(request, "only_count");
   } else {
@@ -162,33 +162,35 @@
   return o;
 }
 
-Json Perform(const Operation& o, Database& db, const ReviewSettings* review, const Moment& now) {
+Json ExecuteOperatorRequest(const OperatorRequest& o, Database& db, const ReviewSettings* review,
+                            const Timestamp& now) {
   const auto needed = [&]() -> const ReviewSettings& {
     if (review == nullptr) throw std::runtime_error("the classes are needed: give the node's configuration");
     return *review;
   };
   switch (o.kind) {
-    case Operation::Kind::kStatus:
+    case OperatorRequest::Kind::kStatus:
       return Json::object();
-    case Operation::Kind::kList:
-      return List(o, db, now.wall);
-    case Operation::Kind::kShow: {
-      const std::optional<KeptMessage> k = db.Show(o.id, o.with_body);
+    case OperatorRequest::Kind::kList:
+      return List(o, db, now.wall_time);
+    case OperatorRequest::Kind::kShow: {
+      const std::optional<DeadLetter> k = db.Show(o.id, o.with_body);
       if (!k) throw std::runtime_error("no kept message " + Print(o.id));
       return {{"message", Json::parse(ToJson(*k, o.with_body))}};
     }
-    case Operation::Kind::kStats: {
+    case OperatorRequest::Kind::kStats: {
       Json counts = Json::object();
       std::int64_t all = 0;
       for (const auto& [name, n] : db.CountBy(o.by)) counts[name] = n, all += n;
       return {{"by", o.by}, {"counts", std::move(counts)}, {"all", all}, {"used_bytes", db.UsedBytes()}};
     }
-    case Operation::Kind::kTry:
+    case OperatorRequest::Kind::kTry:
       return Try(o, db, needed(), now);
-    case Operation::Kind::kAct:
+    case OperatorRequest::Kind::kAct:
       break;
   }
-  const Database::Acted acted = db.Act(o.action, o.filter, needed(), now, o.cursor, kActAtOnce, o.only_count);
+  const Database::Acted acted =
+      db.ApplyOperatorAction(o.action, o.filter, needed(), now, o.cursor, kActAtOnce, o.only_count);
   return {{"changed", acted.changed},
           {"forbidden", acted.forbidden},
           {"grounds", acted.grounds},
@@ -206,4 +208,4 @@
   return result.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/operator_requests.h
+++ b/src/dead_letter/operator_requests.h
@@ -11,40 +11,40 @@
 
 #include "dead_letter/storage/database.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 inline constexpr int kControlVersion = 1;
-inline constexpr std::size_t kMostRequest = 512 * 1024;  // bytes of one request
-inline constexpr int kMostPage = 1000, kMostBodies = 50;
+inline constexpr std::size_t kMaxRequestBytes = 512 * 1024;  // bytes of one request
+inline constexpr int kMaxPageSize = 1000, kMaxBodyBytes = 50;
 
-struct Operation {
+struct OperatorRequest {
   enum class Kind { kStatus, kList, kShow, kStats, kTry, kAct };
   Kind kind = Kind::kStatus;
-  Condition filter;         // kList, kAct
-  std::optional<Id> after;  // kList, kTry: of the last page
-  std::int64_t cursor = 0;  // kAct
+  Condition filter;                   // kList, kAct
+  std::optional<DeadLetterId> after;  // kList, kTry: of the last page
+  std::int64_t cursor = 0;            // kAct
   int limit = 50;
-  bool with_body = false;                     // kList, kShow
-  Id id;                                      // kShow
-  std::string by = "reason";                  // kStats
-  RuleSet rules;                              // kTry
-  Action::Kind action = Action::Kind::kHold;  // kAct
-  bool only_count = false;                    // kAct
-
-  bool Writes() const { return kind == Kind::kAct && !only_count; }
+  bool with_body = false;                             // kList, kShow
+  DeadLetterId id;                                    // kShow
+  std::string by = "reason";                          // kStats
+  RuleSet rules;                                      // kTry
+  RuleAction::Kind action = RuleAction::Kind::kHold;  // kAct
+  bool only_count = false;                            // kAct
+
+  bool IsWrite() const { return kind == Kind::kAct && !only_count; }
 };
 
 // Throws std::runtime_error saying what is wrong with the request.
-Operation ReadOperation(std::string_view line, const std::vector<std::string>& classes);
+OperatorRequest ParseOperatorRequest(std::string_view line, const std::vector<std::string>& classes);
 
 // `review`: of the running node, or read from its configuration; kTry and kAct need it.
-nlohmann::json Perform(const Operation& operation, Database& database, const ReviewSettings* review,
-                       const Moment& now);
+nlohmann::json ExecuteOperatorRequest(const OperatorRequest& operation, Database& database,
+                                      const ReviewSettings* review, const Timestamp& now);
 
 // One line each, without its end.
 std::string OkLine(nlohmann::json result);
 std::string ErrorLine(std::string_view why);
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_OPERATOR_REQUESTS_H_
--- a/src/dead_letter/redrive_grammar.cpp
+++ b/src/dead_letter/redrive_grammar.cpp
@@ -25,7 +25,7 @@
 };
 }  // namespace boost::spirit::x3
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 namespace x3 = boost::spirit::x3;
@@ -99,8 +99,8 @@
 const x3::rule<struct NotTag, Condition> negation = "a condition";
 const x3::rule<struct AndTag, Condition> conjunction = "a condition";
 const x3::rule<struct OrTag, Condition> disjunction = "a condition";
-const x3::rule<struct ResendTag, Resend> resend = "resend";
-const x3::rule<struct ActionTag, Action> action = "resend, hold or drop";
+const x3::rule<struct ResendTag, RedriveAction> resend = "resend";
+const x3::rule<struct ActionTag, RuleAction> action = "resend, hold or drop";
 const x3::rule<struct RuleTag, Rule> one_rule = "a rule";
 const x3::rule<struct FileTag, RuleSet> file = "rules";
 
@@ -236,7 +236,7 @@
   if (n < 1 || n > 1000) x3::_pass(context) = false;
   x3::_val(context).times = static_cast<int>(n);
 };
-template <Duration Resend::*kMember>
+template <Duration RedriveAction::*kMember>
 struct SetDuration {
   template <typename Context>
   void operator()(Context& context) const {
@@ -250,15 +250,15 @@
 const auto resend_def = Keyword("resend")[([](auto&) {})] >>
                         *(-x3::lit(',') >>
                           ((Keyword("rate") > rate[set_rate]) | (Keyword("times") > times[set_times]) |
-                           (Keyword("window") > duration[SetDuration<&Resend::window>()]) |
-                           (Keyword("deadline") > duration[SetDuration<&Resend::deadline>()]) |
-                           (Keyword("after") > duration[SetDuration<&Resend::after>()])));
+                           (Keyword("window") > duration[SetDuration<&RedriveAction::window>()]) |
+                           (Keyword("deadline") > duration[SetDuration<&RedriveAction::deadline>()]) |
+                           (Keyword("after") > duration[SetDuration<&RedriveAction::after>()])));
 
 const auto set_resend = [](auto& context) {
-  x3::_val(context) = Action{Action::Kind::kResend, x3::_attr(context)};
+  x3::_val(context) = RuleAction{RuleAction::Kind::kRedrive, x3::_attr(context)};
 };
-const auto set_hold = [](auto& context) { x3::_val(context).kind = Action::Kind::kHold; };
-const auto set_drop = [](auto& context) { x3::_val(context).kind = Action::Kind::kDrop; };
+const auto set_hold = [](auto& context) { x3::_val(context).kind = RuleAction::Kind::kHold; };
+const auto set_drop = [](auto& context) { x3::_val(context).kind = RuleAction::Kind::kDrop; };
 const auto action_def = resend[set_resend] | Keyword("hold")[set_hold] | Keyword("drop")[set_drop];
 
 const auto set_rule_name = [](auto& context) { x3::_val(context).name = x3::_attr(context); };
@@ -350,4 +350,4 @@
   return condition;
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/redrive_planner.cpp
+++ b/src/dead_letter/redrive_planner.cpp
@@ -4,7 +4,7 @@
 #include <boost/random/uniform_real_distribution.hpp>
 #include <cmath>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 using std::chrono::seconds;
@@ -23,39 +23,42 @@
   return at == class_names.end() ? nullptr : &classes[static_cast<std::size_t>(at - class_names.begin())];
 }
 
-Review ReviewOf(const KeptMessage& k, const RuleSet& rules, const ReviewSettings& settings,
-                const Moment& now) {
+Review ReviewOf(const DeadLetter& k, const RuleSet& rules, const ReviewSettings& settings,
+                const Timestamp& now) {
   static const Rule kByHand{
-      "by-hand", {}, {Action::Kind::kResend, Resend{5, 1000, Duration::max(), seconds(20), seconds(0)}}, 0};
+      "by-hand",
+      {},
+      {RuleAction::Kind::kRedrive, RedriveAction{5, 1000, Duration::max(), seconds(20), seconds(0)}},
+      0};
   Review r;
-  r.rule = k.by_hand ? &kByHand : FirstMatch(rules, k, now.wall);
-  r.judgement = Judge(k, settings.Class(k.class_name), settings.judge, now);
-  const std::optional<Time> change = NextChange(rules, k, now.wall);
+  r.rule = k.requested_by_operator ? &kByHand : FirstMatch(rules, k, now.wall_time);
+  r.decision = DecideRedrive(k, settings.Class(k.class_name), settings.policy, now);
+  const std::optional<Time> change = NextChange(rules, k, now.wall_time);
   if (r.rule == nullptr) {
-    r.again = change;
+    r.next_review = change;
     return r;
   }
-  if (r.rule->then.kind != Action::Kind::kResend) {
-    r.kind = r.rule->then.kind == Action::Kind::kDrop ? Review::Kind::kDrop : Review::Kind::kHold;
+  if (r.rule->then.kind != RuleAction::Kind::kRedrive) {
+    r.kind = r.rule->then.kind == RuleAction::Kind::kDrop ? Review::Kind::kDrop : Review::Kind::kHold;
     return r;
   }
-  const Resend& resend = r.rule->then.resend;
-  const bool window_over = !k.by_hand && now.wall - k.ended_at > resend.window;
-  if (r.judgement.ruling == Ruling::kForbidden || k.resends >= resend.times || window_over) {
+  const RedriveAction& resend = r.rule->then.redrive;
+  const bool window_over = !k.requested_by_operator && now.wall_time - k.ended_at > resend.window;
+  if (r.decision.decision == RedriveDecision::kForbidden || k.redrives >= resend.times || window_over) {
     r.kind = Review::Kind::kHold;
     return r;
   }
-  if (r.judgement.ruling == Ruling::kNotYet || k.not_before > now.wall) {
+  if (r.decision.decision == RedriveDecision::kRetryLater || k.not_before > now.wall_time) {
     r.kind = Review::Kind::kLater;
-    r.again = std::max(k.not_before, now.wall + seconds(1));
+    r.next_review = std::max(k.not_before, now.wall_time + seconds(1));
     return r;
   }
-  r.kind = Review::Kind::kSend;
-  r.deadline = std::min(now.wall + resend.deadline, r.judgement.latest.value_or(Time::max()));
+  r.kind = Review::Kind::kRedrive;
+  r.deadline = std::min(now.wall_time + resend.deadline, r.decision.latest_send_time.value_or(Time::max()));
   return r;
 }
 
-Time ResendPlanner::Bucket::Next(double rate, double burst, Time now) {
+Time RedrivePlanner::Bucket::Next(double rate, double burst, Time now) {
   if (fresh) {
     fresh = false;
     tokens = 1;
@@ -68,7 +71,7 @@
   return now + Micro((1 - tokens) / rate);
 }
 
-ResendPlanner::Destination& ResendPlanner::At(int destination) {
+RedrivePlanner::Destination& RedrivePlanner::At(int destination) {
   const auto at = destinations_.find(destination);
   if (at != destinations_.end()) return at->second;
   Destination d;
@@ -76,14 +79,14 @@
   return destinations_.emplace(destination, d).first->second;
 }
 
-int ResendPlanner::MostOut() const {
-  const int by_slots = static_cast<int>(limits_.slots_share * limits_.slots);
-  const int by_held = static_cast<int>(limits_.held_share * limits_.most_held);
+int RedrivePlanner::MaxInFlight() const {
+  const int by_slots = static_cast<int>(limits_.concurrency_fraction * limits_.max_concurrent_calls);
+  const int by_held = static_cast<int>(limits_.held_share * limits_.max_pending_messages);
   return std::max(1, std::min(by_slots, by_held));
 }
 
-void ResendPlanner::CallEnded(int destination, Outcome outcome, Duration told_wait, Time now) {
-  if (outcome == Outcome::kMoot || outcome == Outcome::kCancelled) return;  // tell nothing of its health
+void RedrivePlanner::OnCallCompleted(int destination, Outcome outcome, Duration told_wait, Time now) {
+  if (outcome == Outcome::kNotSent || outcome == Outcome::kCancelled) return;  // tell nothing of its health
   if (outcome == Outcome::kOk && !destinations_.contains(destination)) return;
   Destination& d = At(destination);
   if (outcome == Outcome::kOk) return;
@@ -91,8 +94,8 @@
   d.wait_until = std::max(d.wait_until, now + told_wait);
 }
 
-ResendPlanner::Grant ResendPlanner::Ask(const std::string& rule, const Resend& resend, int destination,
-                                        bool up, const Load& load, Time now) {
+RedrivePlanner::Grant RedrivePlanner::RequestGrant(const std::string& rule, const RedriveAction& resend,
+                                                   int destination, bool up, const Load& load, Time now) {
   Destination& d = At(destination);
   if (!up) return {Grant::Kind::kDestination, now + seconds(5)};
   const Time well_at = d.well_since + resend.after;
@@ -107,11 +110,11 @@
   if (const Time next = bucket.Next(resend.rate, std::max(1.0, resend.rate), now); next > now) {
     return {Grant::Kind::kRule, next};
   }
-  if (out_ >= MostOut()) return {Grant::Kind::kAll, Time::max()};
-  const int free = limits_.slots - load.calls_out;
-  const int kept_free =
-      std::min(limits_.slots - 1, static_cast<int>(std::ceil(kSlotsLeftFree * limits_.slots)));
-  if (free <= kept_free || load.held + 1 >= limits_.most_held) {
+  if (out_ >= MaxInFlight()) return {Grant::Kind::kAll, Time::max()};
+  const int free = limits_.max_concurrent_calls - load.calls_in_flight;
+  const int kept_free = std::min(limits_.max_concurrent_calls - 1,
+                                 static_cast<int>(std::ceil(kSlotsLeftFree * limits_.max_concurrent_calls)));
+  if (free <= kept_free || load.pending_messages + 1 >= limits_.max_pending_messages) {
     return {Grant::Kind::kAll, now + kSlotsAgain};
   }
   bucket.tokens -= 1;
@@ -121,23 +124,23 @@
   return {Grant::Kind::kGranted, now};
 }
 
-void ResendPlanner::Adopt(int destination) {
+void RedrivePlanner::Adopt(int destination) {
   ++At(destination).out;
   ++out_;
 }
 
-void ResendPlanner::Returned(int destination) {
+void RedrivePlanner::Returned(int destination) {
   Destination& d = At(destination);
   if (d.out == 0) return;
   --d.out;
   --out_;
 }
 
-void ResendPlanner::Ended(int destination, bool delivered, Time now) {
+void RedrivePlanner::OnMessageCompleted(int destination, bool delivered, Time now) {
   Returned(destination);
   Destination& d = At(destination);
   if (delivered) {
-    d.allowed = std::min(MostOut(), d.allowed + 1);
+    d.allowed = std::min(MaxInFlight(), d.allowed + 1);
     // A short recovery does not make the rest be forgotten.
     if (now - d.well_since > std::max(kForgetPause, 4 * d.pause)) d.pause = Duration(0);
     return;
@@ -148,7 +151,7 @@
   d.pause_until = now + d.pause;
 }
 
-Time ResendPlanner::BackoffUntil(int resends, Time now) {
+Time RedrivePlanner::BackoffUntil(int resends, Time now) {
   const double doubled =
       static_cast<double>(limits_.backoff.count()) * std::pow(2.0, std::min(resends, 30) - 1);
   const double most = static_cast<double>(limits_.backoff_most.count());
@@ -156,4 +159,4 @@
   return now + Duration(static_cast<std::int64_t>(std::min(doubled, most) * jitter(random_)));
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/redrive_planner.h
+++ b/src/dead_letter/redrive_planner.h
@@ -13,21 +13,21 @@
 #include "dead_letter/redrive_policy.h"
 #include "dead_letter/redrive_rules.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 // What rules and judge make of one message, for storage, planner and dry runs alike.
 struct Review {
   enum class Kind : std::uint8_t {
-    kSend,    // now, if the planner grants it
-    kLater,   // looked at again at `again`
-    kHold,    // by a rule, or since nothing of it may be sent again
-    kDrop,    // by a rule
-    kNothing  // no rule matches; looked at again at `again` or when the rules change
+    kRedrive,  // now, if the planner grants it
+    kLater,    // looked at again at `again`
+    kHold,     // by a rule, or since nothing of it may be sent again
+    kDrop,     // by a rule
+    kNothing   // no rule matches; looked at again at `again` or when the rules change
   };
   Kind kind = Kind::kNothing;
   const Rule* rule = nullptr;
-  Judgement judgement;
-  std::optional<Time> again;
+  RedriveDecisionResult decision;
+  std::optional<Time> next_review;
   Time deadline{0};  // kSend: of the resend
   bool operator==(const Review&) const = default;
 };
@@ -35,49 +35,49 @@
 struct ReviewSettings {
   std::vector<std::string> class_names;
   std::vector<ClassSettings> classes;
-  JudgeSettings judge;
+  RedrivePolicySettings policy;
   const ClassSettings* Class(const std::string& name) const;
 };
 
-Review ReviewOf(const KeptMessage& kept, const RuleSet& rules, const ReviewSettings& settings,
-                const Moment& now);
+Review ReviewOf(const DeadLetter& kept, const RuleSet& rules, const ReviewSettings& settings,
+                const Timestamp& now);
 
-class ResendPlanner {
+class RedrivePlanner {
  public:
   struct Limits {
-    int slots = 1, most_held = 1;
-    double slots_share = 0.1, held_share = 0.1;
+    int max_concurrent_calls = 1, max_pending_messages = 1;
+    double concurrency_fraction = 0.1, held_share = 0.1;
     double destination_rate = 5;  // a second
     Duration backoff = std::chrono::seconds(2), backoff_most = std::chrono::minutes(10);
   };
   struct Load {  // of the dispatcher, now
-    int calls_out = 0;
-    int held = 0;
+    int calls_in_flight = 0;
+    int pending_messages = 0;
   };
   struct Grant {
     enum class Kind : std::uint8_t { kGranted, kDestination, kRule, kAll };  // else: what has to wait
     Kind kind = Kind::kGranted;
-    Time again{0};  // not before; Time::max(): when a resend ends
+    Time retry_after{0};  // not before; Time::max(): when a resend ends
     bool granted() const { return kind == Kind::kGranted; }
     bool operator==(const Grant&) const = default;
   };
 
-  ResendPlanner(const Limits& limits, std::uint64_t seed, Time now)
+  RedrivePlanner(const Limits& limits, std::uint64_t seed, Time now)
       : limits_(limits), random_(seed), start_(now) {}
 
   // News of a destination, from live calls and resends alike.
-  void CallEnded(int destination, Outcome outcome, Duration told_wait, Time now);
+  void OnCallCompleted(int destination, Outcome outcome, Duration told_wait, Time now);
   // Asks for a place; a grant takes it until Ended or Returned.
-  Grant Ask(const std::string& rule, const Resend& resend, int destination, bool up, const Load& load,
-            Time now);
+  Grant RequestGrant(const std::string& rule, const RedriveAction& resend, int destination, bool up,
+                     const Load& load, Time now);
   void Adopt(int destination);     // one that was under way before a restart takes its place
   void Returned(int destination);  // granted, but nothing was sent
   // A resend ended. `delivered` lets more out at once, up to the shares; a failure goes back to one.
-  void Ended(int destination, bool delivered, Time now);
+  void OnMessageCompleted(int destination, bool delivered, Time now);
   // When a message that failed its `resends`-th resend may be looked at again.
   Time BackoffUntil(int resends, Time now);
-  int out() const { return out_; }
-  int MostOut() const;
+  int in_flight_count() const { return out_; }
+  int MaxInFlight() const;
 
  private:
   struct Bucket {
@@ -103,6 +103,6 @@
   int out_ = 0;
 };
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_REDRIVE_PLANNER_H_
--- a/src/dead_letter/redrive_rules.cpp
+++ b/src/dead_letter/redrive_rules.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 struct FieldInfo {
@@ -123,16 +123,16 @@
 }
 
 // The field's value in a message; nothing where an attribute is absent.
-std::optional<Value> ValueOf(const Condition& c, const KeptMessage& k, Time now) {
+std::optional<Value> ValueOf(const Condition& c, const DeadLetter& k, Time now) {
   switch (c.field) {
     case Field::kClass:
       return std::string_view(k.class_name);
     case Field::kDestination:
       return std::int64_t{k.request.destination};
     case Field::kReason:
-      return Name(k.reason);
+      return Name(k.failure_reason);
     case Field::kEnd:
-      return Name(k.end);
+      return Name(k.final_status);
     case Field::kState:
       return Name(k.state);
     case Field::kAge:
@@ -140,9 +140,9 @@
     case Field::kAttempts:
       return std::int64_t{k.attempts};
     case Field::kResends:
-      return std::int64_t{k.resends};
+      return std::int64_t{k.redrives};
     case Field::kMayHaveRun:
-      return std::int64_t{k.may_have_run ? 1 : 0};
+      return std::int64_t{k.first_uncertain_attempt ? 1 : 0};
     case Field::kLastOutcome:
       return Name(k.LastOutcome());
     case Field::kBodySize:
@@ -150,7 +150,7 @@
     case Field::kId:
       return std::string_view(k.request.id);
     case Field::kKey:
-      return std::string_view(k.request.key);
+      return std::string_view(k.request.idempotency_key);
     case Field::kAttribute:
       break;
   }
@@ -218,8 +218,8 @@
   } else if (c.field == Field::kLastOutcome) {
     out.values.emplace_back(static_cast<std::int64_t>(*OutcomeNamed(literal.text)));
   } else if (c.field == Field::kEnd) {
-    out.values.emplace_back(
-        static_cast<std::int64_t>(literal.text == "deferred" ? End::kRefused : End::kFailed));
+    out.values.emplace_back(static_cast<std::int64_t>(literal.text == "deferred" ? FinalStatus::kRejected
+                                                                                 : FinalStatus::kFailed));
   } else if (literal.unit == Unit::kWord || literal.unit == Unit::kText) {
     out.values.emplace_back(literal.text);
   } else {
@@ -360,9 +360,9 @@
 
 std::string Print(const Rule& rule) {
   std::string out = "rule " + rule.name + ":\n  when " + Print(rule.when) + "\n  then ";
-  if (rule.then.kind == Action::Kind::kHold) return out + "hold;\n";
-  if (rule.then.kind == Action::Kind::kDrop) return out + "drop;\n";
-  const Resend& r = rule.then.resend;
+  if (rule.then.kind == RuleAction::Kind::kHold) return out + "hold;\n";
+  if (rule.then.kind == RuleAction::Kind::kDrop) return out + "drop;\n";
+  const RedriveAction& r = rule.then.redrive;
   // The rate is a whole number by second, minute, hour or day, as it was written.
   std::string rate = std::to_string(static_cast<std::int64_t>(r.rate)) + "/s";
   for (const auto& [unit, seconds] : {std::pair{"s", 1.0}, {"m", 60.0}, {"h", 3600.0}, {"d", 86400.0}}) {
@@ -382,7 +382,7 @@
   return out;
 }
 
-bool Matches(const Condition& c, const KeptMessage& k, Time now) {
+bool Matches(const Condition& c, const DeadLetter& k, Time now) {
   const auto matches = [&](const Condition& part) { return Matches(part, k, now); };
   switch (c.kind) {
     case Condition::Kind::kConstant:
@@ -400,14 +400,14 @@
   return value && Holds(c, *value);
 }
 
-const Rule* FirstMatch(const RuleSet& rules, const KeptMessage& k, Time now) {
+const Rule* FirstMatch(const RuleSet& rules, const DeadLetter& k, Time now) {
   for (const Rule& rule : rules.rules) {
     if (Matches(rule.when, k, now)) return &rule;
   }
   return nullptr;
 }
 
-std::optional<Time> NextChange(const RuleSet& rules, const KeptMessage& k, Time now) {
+std::optional<Time> NextChange(const RuleSet& rules, const DeadLetter& k, Time now) {
   std::vector<std::int64_t> ages;
   for (const Rule& rule : rules.rules) Ages(rule.when, ages);
   std::optional<Time> next;
@@ -430,4 +430,4 @@
   return out;
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/redrive_rules.h
+++ b/src/dead_letter/redrive_rules.h
@@ -19,7 +19,7 @@
 
 #include "dead_letter/dead_letter.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 enum class Field : std::uint8_t {
   kClass,
@@ -74,26 +74,26 @@
   }
 };
 
-struct Resend {
+struct RedriveAction {
   double rate = 1;                               // a second, of this rule
   int times = 3;                                 // resends of one message
   Duration window = std::chrono::hours(24);      // since its end; later it is held
   Duration deadline = std::chrono::seconds(20);  // of each resend
   Duration after = std::chrono::seconds(10);     // the destination has been well for so long
-  bool operator==(const Resend&) const = default;
+  bool operator==(const RedriveAction&) const = default;
 };
 
-struct Action {
-  enum class Kind : std::uint8_t { kResend, kHold, kDrop };
+struct RuleAction {
+  enum class Kind : std::uint8_t { kRedrive, kHold, kDrop };
   Kind kind = Kind::kHold;
-  Resend resend = {};  // kResend
-  bool operator==(const Action&) const = default;
+  RedriveAction redrive = {};  // kResend
+  bool operator==(const RuleAction&) const = default;
 };
 
 struct Rule {
   std::string name;
   Condition when;
-  Action then;
+  RuleAction then;
   std::size_t at = 0;
   bool operator==(const Rule& other) const {
     return name == other.name && when == other.when && then == other.then;
@@ -122,11 +122,11 @@
 std::string PrintDuration(Duration d);
 
 // `now`: by the wall clock.
-bool Matches(const Condition& condition, const KeptMessage& kept, Time now);
+bool Matches(const Condition& condition, const DeadLetter& kept, Time now);
 // The first rule that matches, or null.
-const Rule* FirstMatch(const RuleSet& rules, const KeptMessage& kept, Time now);
+const Rule* FirstMatch(const RuleSet& rules, const DeadLetter& kept, Time now);
 // When, after `now`, age alone may change which rule matches; none: never.
-std::optional<Time> NextChange(const RuleSet& rules, const KeptMessage& kept, Time now);
+std::optional<Time> NextChange(const RuleSet& rules, const DeadLetter& kept, Time now);
 
 // Fills `field` of every comparison and checks operators and values; throws RuleError against `text`.
 void CheckTypes(Condition& condition, std::string_view text, const std::vector<std::string>& classes);
@@ -142,6 +142,6 @@
 // Whether the condition speaks only of what the store's index of filters holds.
 bool InFilterIndex(const Condition& condition);
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_REDRIVE_RULES_H_
--- a/src/dead_letter/rule_files.cpp
+++ b/src/dead_letter/rule_files.cpp
@@ -4,46 +4,46 @@
 #include <fstream>
 #include <sstream>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
-std::string FolderOf(const KeptSettings& settings, const std::string& state_folder) {
+std::string FolderOf(const DeadLetterSettings& settings, const std::string& state_folder) {
   return settings.folder.empty() ? state_folder + "/kept" : settings.folder;
 }
 std::string DatabasePath(const std::string& folder) { return folder + "/kept.db"; }
 std::string SocketPath(const std::string& state_folder) { return state_folder + "/control.sock"; }
 
-Database::Settings DatabaseSettings(const KeptSettings& settings, const std::string& folder) {
+Database::Settings DatabaseSettings(const DeadLetterSettings& settings, const std::string& folder) {
   Database::Settings db;
   db.path = DatabasePath(folder);
   db.budget_bytes = settings.budget_bytes;
-  db.age = settings.age;
+  db.max_age = settings.max_age;
   return db;
 }
 
-ReviewSettings ReviewFrom(const SiteSettings& site, const KeptSettings& settings) {
+ReviewSettings ReviewFrom(const SiteSettings& site, const DeadLetterSettings& settings) {
   ReviewSettings review;
   review.class_names = site.classes;
-  review.classes = site.module.classes;
-  review.judge.max_attempts = site.module.max_attempts;
-  review.judge.resend_deferred = settings.resend_deferred;
+  review.classes = site.policy.classes;
+  review.policy.max_attempts = site.policy.max_attempts;
+  review.policy.redrive_deferred = settings.redrive_deferred;
   return review;
 }
 
-Keeper::Settings KeeperFrom(const Config& config, const KeptSettings& settings) {
-  Keeper::Settings keeper;
+DeadLetterManager::Settings MakeManagerSettings(const Config& config, const DeadLetterSettings& settings) {
+  DeadLetterManager::Settings keeper;
   keeper.node = config.name;
   keeper.review = std::make_shared<const ReviewSettings>(ReviewFrom(config.site, settings));
-  keeper.limits.slots = config.site.module.slots;
-  keeper.limits.most_held = config.site.module.most_held;
-  keeper.limits.slots_share = settings.slots_share;
-  keeper.limits.held_share = settings.held_share;
+  keeper.limits.max_concurrent_calls = config.site.policy.max_concurrent_calls;
+  keeper.limits.max_pending_messages = config.site.policy.max_pending_messages;
+  keeper.limits.concurrency_fraction = settings.concurrency_fraction;
+  keeper.limits.held_share = settings.pending_fraction;
   keeper.limits.destination_rate = settings.destination_rate;
-  keeper.limits.backoff = settings.backoff;
-  keeper.limits.backoff_most = settings.backoff_most;
-  keeper.undeliverable = settings.undeliverable;
-  keeper.deferred = settings.deferred;
+  keeper.limits.backoff = settings.initial_backoff;
+  keeper.limits.backoff_most = settings.max_backoff;
+  keeper.undeliverable = settings.include_undeliverable;
+  keeper.deferred = settings.include_deferred;
   // The journal keeps most of its room for delivery.
-  keeper.owed_bytes = std::min(settings.owed_bytes, config.disk_bytes / 8);
+  keeper.owed_bytes = std::min(settings.max_pending_bytes, config.disk_limit_bytes / 8);
   keeper.seed = config.seed;
   return keeper;
 }
@@ -68,4 +68,4 @@
   }
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
