--- a/src/dead_letter/storage/database.cpp
+++ b/src/dead_letter/storage/database.cpp
@@ -11,7 +11,7 @@
 
 #include "dead_letter/storage/schema.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 using Json = nlohmann::json;
@@ -47,14 +47,17 @@
 constexpr std::int64_t kHeldByHand = std::int64_t{1} << 61;  // in place of a generation
 
 // Why a message waits or is held, in one word.
-std::string GroundOf(const KeptMessage& k, const Review& review) {
-  if (review.judgement.ruling != Ruling::kAllowed) return std::string(Name(review.judgement.ground));
+std::string GroundOf(const DeadLetter& k, const Review& review) {
+  if (review.decision.decision != RedriveDecision::kAllowed) return std::string(Name(review.decision.reason));
   if (review.kind != Review::Kind::kHold) return "";
-  if (review.rule->then.kind == Action::Kind::kHold) return "rule";
-  return k.resends >= review.rule->then.resend.times ? "times_used_up" : "window_over";
+  if (review.rule->then.kind == RuleAction::Kind::kHold) return "rule";
+  return k.redrives >= review.rule->then.redrive.times ? "times_used_up" : "window_over";
 }
 
-int RankOf(State state) { return state == State::kKept || state == State::kHeld || state == State::kClaimed; }
+int RankOf(DeadLetterState state) {
+  return state == DeadLetterState::kStored || state == DeadLetterState::kHeld ||
+         state == DeadLetterState::kClaimed;
+}
 
 }  // namespace
 
@@ -226,15 +229,15 @@
 
 bool Database::StandsAtItsPath() const { return inode_ != 0 && InodeOf(settings_.path) == inode_; }
 
-KeptMessage Database::Read(Statement& row, bool with_body) {
-  KeptMessage k;
+DeadLetter Database::Read(Statement& row, bool with_body) {
+  DeadLetter k;
   k.id = {row.Text(0), static_cast<std::uint64_t>(row.Number(1))};
-  k.state = static_cast<State>(std::clamp<std::int64_t>(row.Number(2), 0, kStates - 1));
+  k.state = static_cast<DeadLetterState>(std::clamp<std::int64_t>(row.Number(2), 0, kStates - 1));
   k.request.id = row.Text(3);
-  k.request.key = row.Text(4);
+  k.request.idempotency_key = row.Text(4);
   k.class_name = row.Text(5);
   k.request.destination = static_cast<int>(row.Number(6));
-  k.request.form = row.Number(7) == 1 ? Form::kEvent : Form::kPlain;
+  k.request.protocol = row.Number(7) == 1 ? IngressProtocol::kCloudEvents : IngressProtocol::kPlatform;
   const Json attributes = Json::parse(row.Text(8), nullptr, false);
   if (attributes.is_object()) {
     for (const auto& [name, value] : attributes.items()) {
@@ -242,31 +245,31 @@
     }
   }
   k.body_size = static_cast<std::size_t>(row.Number(9));
-  k.taken_at = Time(row.Number(10));
+  k.accepted_at = Time(row.Number(10));
   k.deadline = Time(row.Number(11));
   k.ended_at = Time(row.Number(12));
-  k.end = static_cast<End>(row.Number(13));
-  k.reason = static_cast<Reason>(row.Number(14));
+  k.final_status = static_cast<FinalStatus>(row.Number(13));
+  k.failure_reason = static_cast<FailureReason>(row.Number(14));
   k.attempts = static_cast<int>(row.Number(15));
   k.history = HistoryFromJson(row.Text(16));
   if (!row.Null(17)) {
-    k.may_have_run =
-        Moment{Time(row.Number(17)), Time(row.Number(18)), static_cast<std::uint64_t>(row.Number(19))};
+    k.first_uncertain_attempt =
+        Timestamp{Time(row.Number(17)), Time(row.Number(18)), static_cast<std::uint64_t>(row.Number(19))};
   }
-  k.may_have_run_at = row.Text(20);
-  k.resends = static_cast<int>(row.Number(21));
-  k.worth = row.Real(22);
+  k.first_uncertain_endpoint = row.Text(20);
+  k.redrives = static_cast<int>(row.Number(21));
+  k.priority_weight = row.Real(22);
   k.not_before = Time(row.Number(23));
-  k.by_hand = row.Number(24) != 0;
+  k.requested_by_operator = row.Number(24) != 0;
   k.rule = row.Text(25);
-  k.ground = row.Text(26);
-  k.life = static_cast<std::int32_t>(row.Number(27));
+  k.decision_reason = row.Text(26);
+  k.incarnation = static_cast<std::int32_t>(row.Number(27));
   if (with_body) k.request.body = row.Text(kBody);
   return k;
 }
 
 bool Database::Insert(const Entry& entry) {
-  const KeptMessage& k = entry.kept;
+  const DeadLetter& k = entry.dead_letter;
   Using row(Prepare(
       "INSERT OR IGNORE INTO kept (node, number, state, id, key, class, destination, form, attributes, "
       "body_size, "
@@ -277,26 +280,30 @@
       .Bind(k.id.number)
       .Bind(static_cast<int>(k.state))
       .Bind(k.request.id)
-      .Bind(k.request.key);
-  row->Bind(k.class_name).Bind(k.request.destination).Bind(static_cast<int>(k.request.form));
+      .Bind(k.request.idempotency_key);
+  row->Bind(k.class_name).Bind(k.request.destination).Bind(static_cast<int>(k.request.protocol));
   row->Bind(Json(k.request.attributes).dump(-1, ' ', false, Json::error_handler_t::replace));
-  row->Bind(static_cast<std::int64_t>(k.body_size)).Bind(k.taken_at).Bind(k.deadline).Bind(k.ended_at);
-  row->Bind(static_cast<int>(k.end)).Bind(static_cast<int>(k.reason)).Bind(k.attempts);
+  row->Bind(static_cast<std::int64_t>(k.body_size)).Bind(k.accepted_at).Bind(k.deadline).Bind(k.ended_at);
+  row->Bind(static_cast<int>(k.final_status)).Bind(static_cast<int>(k.failure_reason)).Bind(k.attempts);
   row->Bind(HistoryToJson(k.history)).Bind(static_cast<int>(k.LastOutcome()));
-  if (k.may_have_run) {
-    row->Bind(k.may_have_run->wall);
+  if (k.first_uncertain_attempt) {
+    row->Bind(k.first_uncertain_attempt->wall_time);
   } else {
     row->BindNull();
   }
-  const Moment may = k.may_have_run.value_or(Moment());
-  row->Bind(may.steady).Bind(may.boot).Bind(k.may_have_run_at).Bind(k.worth).Bind(entry.not_before);
+  const Timestamp may = k.first_uncertain_attempt.value_or(Timestamp());
+  row->Bind(may.steady_time)
+      .Bind(may.boot_id)
+      .Bind(k.first_uncertain_endpoint)
+      .Bind(k.priority_weight)
+      .Bind(entry.not_before);
   row->BindBlob(k.request.body);
   if (entry.identity != 0) {
     row->Bind(entry.identity);
   } else {
     row->BindNull();
   }
-  row->Bind(k.resends).Bind(k.life).Bind(RankOf(k.state)).Step();
+  row->Bind(k.redrives).Bind(k.incarnation).Bind(RankOf(k.state)).Step();
   return sqlite3_changes(db_.get()) > 0;
 }
 
@@ -305,22 +312,22 @@
   // Taken in before, or a number given out twice: the clock was set back while the journal was empty.
   {
     Using row(Prepare("SELECT taken_at, ended_at FROM kept WHERE node = ? AND number = ?"));
-    row->Bind(entry.kept.id.node).Bind(entry.kept.id.number);
-    if (row->Step() && Time(row->Number(0)) == entry.kept.taken_at &&
-        Time(row->Number(1)) == entry.kept.ended_at) {
+    row->Bind(entry.dead_letter.id.node).Bind(entry.dead_letter.id.number);
+    if (row->Step() && Time(row->Number(0)) == entry.dead_letter.accepted_at &&
+        Time(row->Number(1)) == entry.dead_letter.ended_at) {
       return;
     }
   }
-  entry.kept.id.number = HighestNumber(entry.kept.id.node) + 1;
+  entry.dead_letter.id.number = HighestNumber(entry.dead_letter.id.node) + 1;
   Insert(entry);
 }
 
 // A life ended: its attempts are appended. The count of lives tells a result that was taken in before.
 void Database::Update(const Entry& entry) {
-  const KeptMessage& k = entry.kept;
-  State state = State::kKept;
-  if (k.end == End::kDelivered) state = State::kDelivered;
-  if (k.end == End::kOver) state = State::kDropped;
+  const DeadLetter& k = entry.dead_letter;
+  DeadLetterState state = DeadLetterState::kStored;
+  if (k.final_status == FinalStatus::kDelivered) state = DeadLetterState::kDelivered;
+  if (k.final_status == FinalStatus::kExpired) state = DeadLetterState::kDropped;
   Using row(
       Prepare("UPDATE kept SET state = ?, rank = ?, reason = ?, attempts = ?, history = ?, last_outcome = ?, "
               "may_have_run = COALESCE(may_have_run, ?), may_steady = CASE WHEN may_have_run IS NULL THEN ? "
@@ -331,31 +338,35 @@
               "= ?, by_hand = 0 "
               "WHERE node = ? AND number = ? AND life = ?"));
   row->Bind(static_cast<int>(state)).Bind(RankOf(state));
-  row->Bind(static_cast<int>(k.reason)).Bind(k.attempts);
+  row->Bind(static_cast<int>(k.failure_reason)).Bind(k.attempts);
   row->Bind(HistoryToJson(k.history)).Bind(static_cast<int>(k.LastOutcome()));
-  if (k.may_have_run) {
-    row->Bind(k.may_have_run->wall);
+  if (k.first_uncertain_attempt) {
+    row->Bind(k.first_uncertain_attempt->wall_time);
   } else {
     row->BindNull();
   }
-  const Moment may = k.may_have_run.value_or(Moment());
-  row->Bind(may.steady).Bind(may.boot).Bind(k.may_have_run_at).Bind(entry.not_before).Bind(entry.not_before);
-  row->Bind(k.id.node).Bind(k.id.number).Bind(k.life);
+  const Timestamp may = k.first_uncertain_attempt.value_or(Timestamp());
+  row->Bind(may.steady_time)
+      .Bind(may.boot_id)
+      .Bind(k.first_uncertain_endpoint)
+      .Bind(entry.not_before)
+      .Bind(entry.not_before);
+  row->Bind(k.id.node).Bind(k.id.number).Bind(k.incarnation);
   row->Step();
-  if (sqlite3_changes(db_.get()) > 0 || state != State::kKept) return;
+  if (sqlite3_changes(db_.get()) > 0 || state != DeadLetterState::kStored) return;
   // The file that held it was lost meanwhile: what is known is kept anew.
   Using known(Prepare("SELECT 1 FROM kept WHERE node = ? AND number = ?"));
   known->Bind(k.id.node).Bind(k.id.number);
   if (known->Step()) return;
   Entry anew = entry;
-  anew.kept.resends = anew.kept.life = k.life + 1;
+  anew.dead_letter.redrives = anew.dead_letter.incarnation = k.incarnation + 1;
   Insert(anew);
 }
 
-void Database::Keep(const std::vector<Entry>& entries) {
+void Database::Store(const std::vector<Entry>& entries) {
   Transaction([&] {
     for (const Entry& entry : entries) {
-      if (entry.resent) {
+      if (entry.redriven) {
         Update(entry);
       } else {
         InsertOnce(entry);
@@ -398,7 +409,7 @@
     });
   };
   while (remove(
-      "WHERE ended_at < ? AND state <> 2", [&](Statement& s) { s.Bind(now - settings_.age); },
+      "WHERE ended_at < ? AND state <> 2", [&](Statement& s) { s.Bind(now - settings_.max_age); },
       evicted.by_age)) {
   }
   while (UsedBytes() > settings_.budget_bytes &&
@@ -410,34 +421,34 @@
 }
 
 // One candidate, or a row marked with what rules and judge say of it.
-void Database::Decide(KeptMessage k, std::int64_t seq, const RuleSet& rules, const ReviewSettings& settings,
-                      std::int64_t generation, const Moment& now, std::map<std::string, Pace>& paces,
+void Database::Decide(DeadLetter k, std::int64_t seq, const RuleSet& rules, const ReviewSettings& settings,
+                      std::int64_t generation, const Timestamp& now, std::map<std::string, Pace>& paces,
                       Candidates& due) {
   Review review = ReviewOf(k, rules, settings, now);
-  const auto pace = review.kind == Review::Kind::kSend ? paces.find(review.rule->name) : paces.end();
-  if (pace != paces.end() && pace->second.bound_until > now.wall) {
+  const auto pace = review.kind == Review::Kind::kRedrive ? paces.find(review.rule->name) : paces.end();
+  if (pace != paces.end() && pace->second.bound_until > now.wall_time) {
     Time& spread = pace->second.spread;
     spread = std::max(spread, pace->second.bound_until);
-    review.again = spread;
-    spread += Duration(static_cast<std::int64_t>(1e6 / review.rule->then.resend.rate));
-  } else if (review.kind == Review::Kind::kSend) {
-    due.list.push_back({std::move(k), review.rule->name, review.rule->then.resend, review.deadline});
+    review.next_review = spread;
+    spread += Duration(static_cast<std::int64_t>(1e6 / review.rule->then.redrive.rate));
+  } else if (review.kind == Review::Kind::kRedrive) {
+    due.list.push_back({std::move(k), review.rule->name, review.rule->then.redrive, review.deadline});
     return;
   }
-  State state = State::kKept;
-  if (review.kind == Review::Kind::kHold) state = State::kHeld, ++due.held;
-  if (review.kind == Review::Kind::kDrop) state = State::kDropped, ++due.dropped;
+  DeadLetterState state = DeadLetterState::kStored;
+  if (review.kind == Review::Kind::kHold) state = DeadLetterState::kHeld, ++due.held;
+  if (review.kind == Review::Kind::kDrop) state = DeadLetterState::kDropped, ++due.dropped;
   Using mark(Prepare(
       "UPDATE kept SET state = ?, rank = ?, seen = ?, next_at = ?, rule = ?, ground = ? WHERE seq = ?"));
   mark->Bind(static_cast<int>(state)).Bind(RankOf(state)).Bind(generation);
-  mark->Bind(review.again ? review.again->count() : kNever);
+  mark->Bind(review.next_review ? review.next_review->count() : kNever);
   mark->Bind(review.rule == nullptr ? std::string() : review.rule->name);
   mark->Bind(GroundOf(k, review));
   mark->Bind(seq).Step();
 }
 
 Database::Candidates Database::Due(const RuleSet& rules, const ReviewSettings& settings,
-                                   std::int64_t generation, const Moment& now,
+                                   std::int64_t generation, const Timestamp& now,
                                    const std::vector<int>& without, int most,
                                    std::map<std::string, Pace>& paces) {
   constexpr int kChunk = 128, kMostChunks = 16;  // in one call, so that other work gets its turn
@@ -448,7 +459,7 @@
     if (!others.empty()) others = " AND destination NOT IN (" + others + ")";
     due.more = true;
     for (int chunk = 0; chunk < kMostChunks && due.more && due.list.empty(); ++chunk) {
-      std::vector<std::pair<KeptMessage, std::int64_t>> rows;
+      std::vector<std::pair<DeadLetter, std::int64_t>> rows;
       // Not through the cache of statements: the list of destinations differs each time.
       for (const bool unseen : {true, false}) {
         Statement row(db_.get(), std::string("SELECT ") + kColumns + " FROM kept WHERE " +
@@ -456,7 +467,7 @@
                                              : "state = 0 AND seen = ? AND next_at <= ?") +
                                      others + " LIMIT ?");
         row.Bind(generation);
-        if (!unseen) row.Bind(now.wall);
+        if (!unseen) row.Bind(now.wall_time);
         row.Bind(kChunk);
         while (row.Step()) rows.emplace_back(Read(row, false), row.Number(kSeq));
       }
@@ -473,8 +484,8 @@
   });
 }
 
-std::optional<KeptMessage> Database::Claim(const Id& id, const std::string& rule) {
-  return Transaction([&]() -> std::optional<KeptMessage> {
+std::optional<DeadLetter> Database::Claim(const DeadLetterId& id, const std::string& rule) {
+  return Transaction([&]() -> std::optional<DeadLetter> {
     {
       Using claim(
           Prepare("UPDATE kept SET state = 2, rule = ?, ground = '' WHERE node = ? AND number = ? "
@@ -489,24 +500,24 @@
   });
 }
 
-void Database::Unclaim(const Id& id, Time not_before) {
+void Database::Unclaim(const DeadLetterId& id, Time not_before) {
   Using row(
       Prepare("UPDATE kept SET state = 0, next_at = ?, not_before = ? WHERE node = ? AND number = ? "
               "AND state = 2"));
   row->Bind(not_before).Bind(not_before).Bind(id.node).Bind(id.number).Step();
 }
 
-int Database::Reconcile(const std::set<Id>& under_way, bool lost, Time now) {
+int Database::Reconcile(const std::set<DeadLetterId>& under_way, bool lost, Time now) {
   return Transaction([&] {
-    std::vector<Id> stray;
+    std::vector<DeadLetterId> stray;
     {
       Using rows(Prepare("SELECT node, number FROM kept WHERE state = 2"));
       while (rows->Step()) {
-        Id id{rows->Text(0), static_cast<std::uint64_t>(rows->Number(1))};
+        DeadLetterId id{rows->Text(0), static_cast<std::uint64_t>(rows->Number(1))};
         if (!under_way.contains(id)) stray.push_back(std::move(id));
       }
     }
-    for (const Id& id : stray) {
+    for (const DeadLetterId& id : stray) {
       if (lost) {
         // With the journal gone nobody knows what became of the claim: it may have run, at a time unknown.
         Using row(
@@ -535,7 +546,7 @@
   });
 }
 
-int Database::HandedInAgain(std::uint64_t identity, std::uint64_t number) {
+int Database::MarkResubmitted(std::uint64_t identity, std::uint64_t number) {
   Using row(
       Prepare("UPDATE kept SET state = 5, rank = 0 WHERE identity = ? AND number < ? "
               "AND state IN (0, 1)"));
@@ -566,7 +577,8 @@
   return found;
 }
 
-Database::Page Database::List(const Condition& filter, Time now, const std::optional<Id>& after, int limit) {
+Database::Page Database::List(const Condition& filter, Time now, const std::optional<DeadLetterId>& after,
+                              int limit) {
   std::int64_t from = 0;
   if (after) {
     Using row(Prepare("SELECT seq FROM kept WHERE node = ? AND number = ?"));
@@ -603,7 +615,7 @@
   return page;
 }
 
-std::optional<KeptMessage> Database::Show(const Id& id, bool with_body) {
+std::optional<DeadLetter> Database::Show(const DeadLetterId& id, bool with_body) {
   Using row(Prepare(std::string("SELECT ") + kColumns + ", body FROM kept WHERE node = ? AND number = ?"));
   row->Bind(id.node).Bind(id.number);
   if (!row->Step()) return std::nullopt;
@@ -611,7 +623,7 @@
 }
 
 void Database::ForEach(const Condition& filter, Time now, bool with_body,
-                       const std::function<bool(const KeptMessage&)>& each) {
+                       const std::function<bool(const DeadLetter&)>& each) {
   const SqlCondition where = ToSql(filter, now);
   Statement rows(db_.get(), std::string("SELECT ") + kColumns + (with_body ? ", body" : "") +
                                 " FROM kept WHERE " + where.text + " ORDER BY seq");
@@ -637,21 +649,22 @@
   while (rows.Step()) {
     std::string name = rows.Text(0);
     const std::int64_t n = rows.Number(0);
-    if (column == "reason") name = Name(static_cast<Reason>(n));
-    if (column == "state") name = Name(static_cast<State>(n));
-    if (column == "end") name = Name(static_cast<End>(n));
+    if (column == "reason") name = Name(static_cast<FailureReason>(n));
+    if (column == "state") name = Name(static_cast<DeadLetterState>(n));
+    if (column == "end") name = Name(static_cast<FinalStatus>(n));
     if (column == "destination") name = std::to_string(n);
     counts[name] += rows.Number(1);
   }
   return counts;
 }
 
-Database::Acted Database::Act(Action::Kind action, const Condition& filter, const ReviewSettings& settings,
-                              const Moment& now, std::int64_t after, int most, bool only_count) {
+Database::Acted Database::ApplyOperatorAction(RuleAction::Kind action, const Condition& filter,
+                                              const ReviewSettings& settings, const Timestamp& now,
+                                              std::int64_t after, int most, bool only_count) {
   const auto work = [&] {
     Acted acted;
-    const SqlCondition where = ToSql(filter, now.wall);
-    std::vector<std::pair<std::int64_t, KeptMessage>> rows;
+    const SqlCondition where = ToSql(filter, now.wall_time);
+    std::vector<std::pair<std::int64_t, DeadLetter>> rows;
     {
       Statement row(db_.get(), std::string("SELECT ") + kColumns + " FROM kept WHERE (" + where.text +
                                    ") AND seq > ? AND state IN (0, 1) ORDER BY seq LIMIT ?");
@@ -660,26 +673,29 @@
     }
     if (static_cast<int>(rows.size()) == most) acted.after = rows.back().first;
     for (const auto& [seq, k] : rows) {
-      if (action == Action::Kind::kResend) {
-        const Judgement judgement = Judge(k, settings.Class(k.class_name), settings.judge, now);
-        if (judgement.ruling != Ruling::kAllowed) {
+      if (action == RuleAction::Kind::kRedrive) {
+        const RedriveDecisionResult judgement =
+            DecideRedrive(k, settings.Class(k.class_name), settings.policy, now);
+        if (judgement.decision != RedriveDecision::kAllowed) {
           ++acted.forbidden;
-          ++acted.grounds[std::string(Name(judgement.ground))];
+          ++acted.grounds[std::string(Name(judgement.reason))];
           continue;
         }
       }
       ++acted.changed;
       if (only_count) continue;
-      const State state = action == Action::Kind::kDrop   ? State::kDropped
-                          : action == Action::Kind::kHold ? State::kHeld
-                                                          : State::kKept;
+      const DeadLetterState state = action == RuleAction::Kind::kDrop   ? DeadLetterState::kDropped
+                                    : action == RuleAction::Kind::kHold ? DeadLetterState::kHeld
+                                                                        : DeadLetterState::kStored;
       Using mark(
           Prepare("UPDATE kept SET state = ?, rank = ?, by_hand = ?, next_at = 0, not_before = 0, seen = ?, "
                   "rule = 'by-hand', "
                   "ground = '' WHERE seq = ?"));
-      mark->Bind(static_cast<int>(state)).Bind(RankOf(state)).Bind(action == Action::Kind::kResend ? 1 : 0);
+      mark->Bind(static_cast<int>(state))
+          .Bind(RankOf(state))
+          .Bind(action == RuleAction::Kind::kRedrive ? 1 : 0);
       // What an operator holds, no rule looks at again.
-      mark->Bind(action == Action::Kind::kHold ? kHeldByHand : 0);
+      mark->Bind(action == RuleAction::Kind::kHold ? kHeldByHand : 0);
       mark->Bind(seq).Step();
     }
     return acted;
@@ -687,4 +703,4 @@
   return only_count ? work() : Transaction(work);
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/storage/database.h
+++ b/src/dead_letter/storage/database.h
@@ -16,7 +16,7 @@
 struct sqlite3;
 struct sqlite3_stmt;
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 struct StoreError : std::runtime_error {
   enum class Kind { kBusy, kFull, kDamaged, kNewer, kOther };
@@ -31,7 +31,7 @@
   struct Settings {
     std::string path;
     std::size_t budget_bytes = 64'000'000;
-    Duration age = std::chrono::hours(720);
+    Duration max_age = std::chrono::hours(720);
     Duration busy = std::chrono::milliseconds(200);  // longest wait for another process's lock
     bool read_only = false;
     std::int64_t scan_first = 50'000;  // rows that a page looks through before it asks the index
@@ -45,13 +45,13 @@
   bool StandsAtItsPath() const;
 
   struct Entry {  // one message's end, owed to the store
-    KeptMessage kept;
-    bool resent = false;  // it ended a life of a message that is kept already
+    DeadLetter dead_letter;
+    bool redriven = false;  // it ended a life of a message that is kept already
     Time not_before{0};
     std::uint64_t identity = 0;  // 0: none
   };
   // All in one commit; an entry that is in already changes nothing.
-  void Keep(const std::vector<Entry>& entries);
+  void Store(const std::vector<Entry>& entries);
 
   struct Evicted {
     int messages = 0, by_age = 0;
@@ -61,9 +61,9 @@
   Evicted Evict(Time now);
 
   struct Candidate {
-    KeptMessage kept;  // without its body
+    DeadLetter dead_letter;  // without its body
     std::string rule;
-    Resend resend;
+    RedriveAction redrive;
     Time deadline{0};
   };
   struct Candidates {
@@ -80,31 +80,31 @@
   };
   // `without`: destinations that can take none now.
   Candidates Due(const RuleSet& rules, const ReviewSettings& settings, std::int64_t generation,
-                 const Moment& now, const std::vector<int>& without, int most,
+                 const Timestamp& now, const std::vector<int>& without, int most,
                  std::map<std::string, Pace>& paces);
   // Grows by one whenever the rules differ from the last ones, over restarts too.
   std::int64_t Generation(std::uint64_t rules_hash);
   // With its body; nothing if its state has changed. From then on one resend of it is under way.
-  std::optional<KeptMessage> Claim(const Id& id, const std::string& rule);
-  void Unclaim(const Id& id, Time not_before);
+  std::optional<DeadLetter> Claim(const DeadLetterId& id, const std::string& rule);
+  void Unclaim(const DeadLetterId& id, Time not_before);
   // After a start: claimed messages that no resend carries are kept again. If `lost`, the journal is gone and
   // they may have run.
-  int Reconcile(const std::set<Id>& under_way, bool lost, Time now);
+  int Reconcile(const std::set<DeadLetterId>& under_way, bool lost, Time now);
   // Its client handed the same event or key in anew: nothing is sent again.
   // `number`: of that later message.
-  int HandedInAgain(std::uint64_t identity, std::uint64_t number);
+  int MarkResubmitted(std::uint64_t identity, std::uint64_t number);
   std::vector<std::uint64_t> Identities();  // of all that may be sent again
   std::uint64_t HighestNumber(const std::string& node);
 
   struct Page {
-    std::vector<KeptMessage> messages;
-    std::optional<Id> next;  // of the last one, if there are more
+    std::vector<DeadLetter> messages;
+    std::optional<DeadLetterId> next;  // of the last one, if there are more
   };
-  Page List(const Condition& filter, Time now, const std::optional<Id>& after, int limit);
-  std::optional<KeptMessage> Show(const Id& id, bool with_body);
+  Page List(const Condition& filter, Time now, const std::optional<DeadLetterId>& after, int limit);
+  std::optional<DeadLetter> Show(const DeadLetterId& id, bool with_body);
   // All that match, oldest first; `each` returns false to stop. `progress` hears how many rows are done.
   void ForEach(const Condition& filter, Time now, bool with_body,
-               const std::function<bool(const KeptMessage&)>& each);
+               const std::function<bool(const DeadLetter&)>& each);
   std::int64_t Count(const Condition& filter, Time now);
   std::map<std::string, std::int64_t> CountBy(const std::string& column);
   std::size_t UsedBytes();
@@ -115,8 +115,8 @@
     std::map<std::string, std::int64_t> grounds;
     std::optional<std::int64_t> after;  // where to go on
   };
-  Acted Act(Action::Kind action, const Condition& filter, const ReviewSettings& settings, const Moment& now,
-            std::int64_t after, int most, bool only_count);
+  Acted ApplyOperatorAction(RuleAction::Kind action, const Condition& filter, const ReviewSettings& settings,
+                            const Timestamp& now, std::int64_t after, int most, bool only_count);
 
  private:
   class Statement;
@@ -131,9 +131,9 @@
   auto Transaction(F work);
   std::vector<std::int64_t> Find(const SqlCondition& where, const char* index, std::int64_t from,
                                  std::int64_t to, std::size_t most);
-  static KeptMessage Read(Statement& row, bool with_body);
-  void Decide(KeptMessage kept, std::int64_t seq, const RuleSet& rules, const ReviewSettings& settings,
-              std::int64_t generation, const Moment& now, std::map<std::string, Pace>& paces,
+  static DeadLetter Read(Statement& row, bool with_body);
+  void Decide(DeadLetter kept, std::int64_t seq, const RuleSet& rules, const ReviewSettings& settings,
+              std::int64_t generation, const Timestamp& now, std::map<std::string, Pace>& paces,
               Candidates& due);
   bool Insert(const Entry& entry);
   void InsertOnce(Entry entry);
@@ -148,6 +148,6 @@
 // Reads the schema's version without changing anything. Throws StoreError.
 int VersionOf(const std::string& path);
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_STORAGE_DATABASE_H_
--- a/src/dead_letter/storage/schema.h
+++ b/src/dead_letter/storage/schema.h
@@ -4,7 +4,7 @@
 
 #include <array>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 // Step i leads from version i to version i + 1.
 inline constexpr std::array<const char*, 2> kMigrations = {
@@ -60,6 +60,6 @@
                                   body_size, last_outcome, may_have_run);
 )sql"};
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_STORAGE_SCHEMA_H_
--- a/src/dead_letter/storage/worker.cpp
+++ b/src/dead_letter/storage/worker.cpp
@@ -9,7 +9,7 @@
 #include <thread>
 #include <utility>
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 std::string OpenStore::SetAside() const {
   for (int n = 1; n < 1000; ++n) {
@@ -22,7 +22,7 @@
   return "";
 }
 
-std::optional<JobError> OpenStore::Run(const Jobs::Job& job) {
+std::optional<JobError> OpenStore::Run(const JobRunner::Job& job) {
   try {
     bool gone = false;
     if (database_ && !database_->StandsAtItsPath()) {
@@ -115,15 +115,15 @@
   for (auto& [done, error] : results) done(error ? &*error : nullptr);
 }
 
-bool InlineJobs::Run(Job job, Done done) {
+bool InlineJobRunner::Run(Job job, Done done) {
   results_.emplace_back(std::move(done), fail ? fail : store_.Run(job));
   return true;
 }
 
-bool InlineJobs::Deliver() {
+bool InlineJobRunner::Deliver() {
   if (results_.empty()) return false;
   for (auto& [done, error] : std::exchange(results_, {})) done(error ? &*error : nullptr);
   return true;
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
--- a/src/dead_letter/storage/worker.h
+++ b/src/dead_letter/storage/worker.h
@@ -10,7 +10,7 @@
 
 #include "dead_letter/storage/database.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 struct JobError {
   StoreError::Kind kind = StoreError::Kind::kOther;
@@ -18,9 +18,9 @@
   bool set_aside = false;  // the file was damaged or gone, and a new one was begun
 };
 
-class Jobs {
+class JobRunner {
  public:
-  virtual ~Jobs() = default;
+  virtual ~JobRunner() = default;
   using Job = std::function<void(Database&)>;
   // Null: it went well. Called on the loop, later.
   using Done = std::function<void(const JobError*)>;
@@ -33,7 +33,7 @@
 class OpenStore {
  public:
   explicit OpenStore(Database::Settings settings) : settings_(std::move(settings)) {}
-  std::optional<JobError> Run(const Jobs::Job& job);
+  std::optional<JobError> Run(const JobRunner::Job& job);
 
  private:
   std::string SetAside() const;
@@ -43,7 +43,7 @@
 };
 
 // One thread. `wake` is called from it whenever results wait; Deliver, on the loop, hands them over.
-class Worker : public Jobs {
+class Worker : public JobRunner {
  public:
   static constexpr std::size_t kMostJobs = 64;
   Worker(Database::Settings settings, std::function<void()> wake);
@@ -59,9 +59,9 @@
 };
 
 // Runs each job at once, on the caller's thread, and hands results over with Deliver: for tests and models.
-class InlineJobs : public Jobs {
+class InlineJobRunner : public JobRunner {
  public:
-  explicit InlineJobs(Database::Settings settings) : store_(std::move(settings)) {}
+  explicit InlineJobRunner(Database::Settings settings) : store_(std::move(settings)) {}
   bool Run(Job job, Done done) override;
   bool Deliver();                // false if nothing waited
   std::optional<JobError> fail;  // the next jobs fail so, without running
@@ -71,6 +71,6 @@
   std::vector<std::pair<Done, std::optional<JobError>>> results_;
 };
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 #endif  // SAGETALLY_SRC_DEAD_LETTER_STORAGE_WORKER_H_
--- a/src/frontend/cloudevents/cloud_event.cpp
+++ b/src/frontend/cloudevents/cloud_event.cpp
@@ -143,7 +143,7 @@
   return out;
 }
 
-std::vector<CloudEvent> ReadEvents(const Headers& headers, const std::string& body) {
+std::vector<CloudEvent> ParseCloudEvents(const Headers& headers, const std::string& body) {
   std::string content_type;
   CloudEvent binary;
   for (const auto& [name, value] : headers) {
@@ -209,15 +209,15 @@
     return value;
   };
   Request r;
-  r.form = Form::kEvent;
+  r.protocol = IngressProtocol::kCloudEvents;
   const auto named = std::find(site.classes.begin(), site.classes.end(), find(kClassAttribute));
   if (named == site.classes.end())
     Malformed(std::string("attribute '") + kClassAttribute + "': unknown class");
   r.message_class = static_cast<int>(named - site.classes.begin());
   r.destination = whole(kDestinationAttribute);
-  r.time_left = find(kDeadlineAttribute).empty() ? site.module.classes[r.message_class].deadline
+  r.time_left = find(kDeadlineAttribute).empty() ? site.policy.classes[r.message_class].deadline
                                                  : std::chrono::milliseconds(whole(kDeadlineAttribute));
-  r.key = EncodeHeader(find(kKeyAttribute));
+  r.idempotency_key = EncodeHeader(find(kKeyAttribute));
   r.id = EncodeHeader(find("source"), "|") + "|" + EncodeHeader(find("id"), "|");
   r.body = event.data;
   for (const auto& [name, value] : BinaryHeaders(event)) {
@@ -227,13 +227,13 @@
   return r;
 }
 
-CloudEvent ToEvent(const Request& request, const SiteSettings& site) {
+CloudEvent ToCloudEvent(const Request& request, const SiteSettings& site) {
   CloudEvent event;
   for (const auto& [name, value] : request.attributes) {
     const bool type = name == "Content-Type";
     event.attributes[type ? "datacontenttype" : name.substr(3)] = type ? value : DecodeHeader(value);
   }
-  if (request.form == Form::kPlain) {
+  if (request.protocol == IngressProtocol::kPlatform) {
     event.attributes = {{"specversion", "1.0"},
                         {"id", request.id},
                         {"source", "/sagetally/plain"},
@@ -241,7 +241,7 @@
     event.attributes["datacontenttype"] = "application/octet-stream";
     event.attributes[kClassAttribute] = site.classes[request.message_class];
     event.attributes[kDestinationAttribute] = std::to_string(request.destination);
-    if (!request.key.empty()) event.attributes[kKeyAttribute] = request.key;
+    if (!request.idempotency_key.empty()) event.attributes[kKeyAttribute] = request.idempotency_key;
   }
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(request.time_left);
   event.attributes[kDeadlineAttribute] = std::to_string(std::max<std::int64_t>(1, left.count()));
--- a/src/frontend/cloudevents/cloud_event.h
+++ b/src/frontend/cloudevents/cloud_event.h
@@ -31,14 +31,14 @@
 std::string DecodeHeader(std::string_view value);
 
 // All events of one HTTP request. Throws std::runtime_error saying what is wrong.
-std::vector<CloudEvent> ReadEvents(const Headers& headers, const std::string& body);
+std::vector<CloudEvent> ParseCloudEvents(const Headers& headers, const std::string& body);
 // The headers of the binary mode, content type included.
 Headers BinaryHeaders(const CloudEvent& event);
 
 // The core request that an event asks for. Throws std::runtime_error.
 Request ToRequest(const CloudEvent& event, const SiteSettings& site);
 // The event that carries a core request onward; one of the plain form gets attributes of its own.
-CloudEvent ToEvent(const Request& request, const SiteSettings& site);
+CloudEvent ToCloudEvent(const Request& request, const SiteSettings& site);
 
 }  // namespace sagetally
 
--- a/src/frontend/cloudevents/cloudevents_frontend.cpp
+++ b/src/frontend/cloudevents/cloudevents_frontend.cpp
@@ -5,28 +5,28 @@
 
 namespace sagetally {
 
-void CloudEventsFront::Handle(const std::shared_ptr<Exchange>& exchange) {
-  if (AnsweredAside(*exchange, readiness_.Ready())) return;
+void CloudEventsFrontend::Handle(const std::shared_ptr<Exchange>& exchange) {
+  if (RespondToOtherPath(*exchange, readiness_.IsReady())) return;
   std::vector<Request> requests;
   try {
-    for (const CloudEvent& event : ReadEvents(exchange->headers(), exchange->body())) {
+    for (const CloudEvent& event : ParseCloudEvents(exchange->headers(), exchange->body())) {
       requests.push_back(ToRequest(event, site_));
     }
   } catch (const std::exception& e) {
-    exchange->Answer(400, std::string(e.what()) + "\n");
+    exchange->Respond(400, std::string(e.what()) + "\n");
     return;
   }
-  intake_.Take(std::move(requests), ReplyTo(exchange));
+  intake_.Submit(std::move(requests), MakeResponder(exchange));
 }
 
-std::string ResultEvent(const Message& message, const std::string& node) {
+std::string MakeResultEvent(const Message& message, const std::string& node) {
   const auto decoded = [&](const char* name) {
     const auto at = message.request.attributes.find(name);
     return json::Quote(at == message.request.attributes.end() ? "" : DecodeHeader(at->second));
   };
-  const bool refused = message.end == End::kRefused;
+  const bool refused = message.final_status == FinalStatus::kRejected;
   const std::string status = refused ? "deferred" : "undeliverable";
-  const auto again = std::chrono::duration_cast<std::chrono::milliseconds>(message.again).count();
+  const auto again = std::chrono::duration_cast<std::chrono::milliseconds>(message.retry_after).count();
   std::string data = "{\"source\":" + decoded("ce-source") + ",\"id\":" + decoded("ce-id");
   data += ",\"status\":\"" + status + "\"";
   if (refused && again > 0) data += ",\"again_ms\":" + std::to_string(again);
--- a/src/frontend/cloudevents/cloudevents_frontend.h
+++ b/src/frontend/cloudevents/cloudevents_frontend.h
@@ -13,21 +13,21 @@
 
 namespace sagetally {
 
-class CloudEventsFront {
+class CloudEventsFrontend {
  public:
-  static constexpr std::size_t kMostHead = 32 * 1024;  // attributes travel there
-  CloudEventsFront(const SiteSettings& site, Intake& intake, const Readiness& readiness)
+  static constexpr std::size_t kMaxHeadBytes = 32 * 1024;  // attributes travel there
+  CloudEventsFrontend(const SiteSettings& site, RequestValidator& intake, const Readiness& readiness)
       : site_(site), intake_(intake), readiness_(readiness) {}
   void Handle(const std::shared_ptr<Exchange>& exchange);
 
  private:
   const SiteSettings& site_;
-  Intake& intake_;
+  RequestValidator& intake_;
   const Readiness& readiness_;
 };
 
 // The result event (structured JSON) that tells how an event's message ended.
-std::string ResultEvent(const Message& message, const std::string& node);
+std::string MakeResultEvent(const Message& message, const std::string& node);
 
 }  // namespace sagetally
 
--- a/src/frontend/http_response.cpp
+++ b/src/frontend/http_response.cpp
@@ -6,17 +6,17 @@
 namespace sagetally {
 namespace {
 
-void Respond(Exchange& exchange, const Answer& answer) {
+void Respond(Exchange& exchange, const AdmissionResult& answer) {
   std::vector<std::pair<std::string, std::string>> headers;
-  if ((answer.verdict == Verdict::kRefused || answer.verdict == Verdict::kStopping) &&
-      answer.again > Duration(0)) {
-    headers.emplace_back("Retry-After", RetryAfter(answer.again));
+  if ((answer.status == AdmissionStatus::kRejected || answer.status == AdmissionStatus::kShuttingDown) &&
+      answer.retry_after > Duration(0)) {
+    headers.emplace_back("Retry-After", RetryAfter(answer.retry_after));
   }
   int code = 400;
-  if (answer.verdict == Verdict::kTaken) code = 202;
-  if (answer.verdict == Verdict::kRefused) code = 429;
-  if (answer.verdict == Verdict::kStopping) code = 503;
-  exchange.Answer(code, answer.why.empty() ? "" : answer.why + "\n", headers);
+  if (answer.status == AdmissionStatus::kAccepted) code = 202;
+  if (answer.status == AdmissionStatus::kRejected) code = 429;
+  if (answer.status == AdmissionStatus::kShuttingDown) code = 503;
+  exchange.Respond(code, answer.reason.empty() ? "" : answer.reason + "\n", headers);
 }
 
 }  // namespace
@@ -27,21 +27,21 @@
   return std::to_string(ms / 1000) + "." + std::string(3 - rest.size(), '0') + rest;
 }
 
-Reply ReplyTo(std::shared_ptr<Exchange> exchange) {
-  return [exchange = std::move(exchange)](const Answer& answer) {
-    if (exchange->gone()) return false;
+AdmissionCallback MakeResponder(std::shared_ptr<Exchange> exchange) {
+  return [exchange = std::move(exchange)](const AdmissionResult& answer) {
+    if (exchange->client_gone()) return false;
     Respond(*exchange, answer);
     return true;
   };
 }
 
-bool AnsweredAside(Exchange& exchange, bool ready) {
+bool RespondToOtherPath(Exchange& exchange, bool ready) {
   const std::string method = exchange.method();
   if (method == "POST") return false;
   if (method == "GET" && exchange.path() == "/healthz") {
-    exchange.Answer(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
+    exchange.Respond(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
   } else {
-    exchange.Answer(method == "GET" ? 404 : 405, "messages come by POST\n");
+    exchange.Respond(method == "GET" ? 404 : 405, "messages come by POST\n");
   }
   return true;
 }
--- a/src/frontend/http_response.h
+++ b/src/frontend/http_response.h
@@ -14,10 +14,10 @@
 // Seconds, decimal, for Retry-After.
 std::string RetryAfter(Duration d);
 // Answers with the status, text and headers of `answer`, once.
-Reply ReplyTo(std::shared_ptr<Exchange> exchange);
+AdmissionCallback MakeResponder(std::shared_ptr<Exchange> exchange);
 // Answers all that hands in no message: GET /healthz, unknown pages, other methods.
 // `ready` says what /healthz tells.
-bool AnsweredAside(Exchange& exchange, bool ready);
+bool RespondToOtherPath(Exchange& exchange, bool ready);
 
 }  // namespace sagetally
 
--- a/src/frontend/platform/platform_frontend.cpp
+++ b/src/frontend/platform/platform_frontend.cpp
@@ -34,7 +34,7 @@
   return std::nullopt;
 }
 
-std::string ReadPlain(const Exchange& exchange, const SiteSettings& site, Request& request) {
+std::string ParsePlatformRequest(const Exchange& exchange, const SiteSettings& site, Request& request) {
   const std::string name = exchange.Header("X-Class");
   const std::string path = exchange.path();
   const std::string first = path.empty() ? "" : path.substr(1, path.find('/', 1) - 1);
@@ -51,21 +51,21 @@
   const auto destination = ParseDestination(exchange.Header("X-Envelope"));
   if (!destination) return "X-Envelope names no dest";
   request.destination = *destination;
-  request.key = exchange.Header("Idempotency-Key");
+  request.idempotency_key = exchange.Header("Idempotency-Key");
   request.body = exchange.body();
   return "";
 }
 
-void PlatformFront::Handle(const std::shared_ptr<Exchange>& exchange) {
-  if (AnsweredAside(*exchange, readiness_.Ready())) return;
+void PlatformFrontend::Handle(const std::shared_ptr<Exchange>& exchange) {
+  if (RespondToOtherPath(*exchange, readiness_.IsReady())) return;
   Request request;
-  if (const std::string problem = ReadPlain(*exchange, site_, request); !problem.empty()) {
-    exchange->Answer(400, problem + "\n");
+  if (const std::string problem = ParsePlatformRequest(*exchange, site_, request); !problem.empty()) {
+    exchange->Respond(400, problem + "\n");
     return;
   }
   std::vector<Request> one;
   one.push_back(std::move(request));
-  intake_.Take(std::move(one), ReplyTo(exchange));
+  intake_.Submit(std::move(one), MakeResponder(exchange));
 }
 
 }  // namespace sagetally
--- a/src/frontend/platform/platform_frontend.h
+++ b/src/frontend/platform/platform_frontend.h
@@ -19,17 +19,17 @@
 // The `dest` of "dest=7" or "a=1,dest=7".
 std::optional<int> ParseDestination(std::string_view envelope);
 // Fills `request` from a message in the platform's form, or says what is wrong.
-std::string ReadPlain(const Exchange& exchange, const SiteSettings& site, Request& request);
+std::string ParsePlatformRequest(const Exchange& exchange, const SiteSettings& site, Request& request);
 
-class PlatformFront {
+class PlatformFrontend {
  public:
-  PlatformFront(const SiteSettings& site, Intake& intake, const Readiness& readiness)
+  PlatformFrontend(const SiteSettings& site, RequestValidator& intake, const Readiness& readiness)
       : site_(site), intake_(intake), readiness_(readiness) {}
   void Handle(const std::shared_ptr<Exchange>& exchange);
 
  private:
   const SiteSettings& site_;
-  Intake& intake_;
+  RequestValidator& intake_;
   const Readiness& readiness_;
 };
 
--- a/src/handover/handover_state.cpp
+++ b/src/handover/handover_state.cpp
@@ -7,125 +7,146 @@
 namespace sagetally {
 namespace {
 
-void Put(Writer& w, const LoadReport& load) { w.Number(load.allowance_left).Number(load.limit); }
-LoadReport ReadLoadReport(Reader& r) {
+void Put(ByteWriter& w, const LoadReport& load) {
+  w.AppendNumber(load.quota_left).AppendNumber(load.rate_limit);
+}
+LoadReport ReadLoadReport(ByteReader& r) {
   LoadReport load;
-  load.allowance_left = r.Number<double>();
-  load.limit = r.Number<double>();
+  load.quota_left = r.ReadNumber<double>();
+  load.rate_limit = r.ReadNumber<double>();
   return load;
 }
 
-Outcome ReadOutcome(Reader& r) {
-  const auto value = r.Number<std::uint8_t>();
-  if (value > static_cast<std::uint8_t>(Outcome::kMoot)) r.Fail();
+Outcome ReadOutcome(ByteReader& r) {
+  const auto value = r.ReadNumber<std::uint8_t>();
+  if (value > static_cast<std::uint8_t>(Outcome::kNotSent)) r.MarkMalformed();
   return static_cast<Outcome>(value);
 }
 
 template <typename T, typename F>
-void PutAll(Writer& w, const std::vector<T>& all, F put) {
-  w.Number(static_cast<std::uint32_t>(all.size()));
+void PutAll(ByteWriter& w, const std::vector<T>& all, F put) {
+  w.AppendNumber(static_cast<std::uint32_t>(all.size()));
   for (const T& one : all) put(one);
 }
 template <typename F>
-void ReadAllOf(Reader& r, F read) {
-  const auto count = r.Number<std::uint32_t>();
-  for (std::uint32_t i = 0; i < count && r.fine(); ++i) read();
+void ReadAllOf(ByteReader& r, F read) {
+  const auto count = r.ReadNumber<std::uint32_t>();
+  for (std::uint32_t i = 0; i < count && r.ok(); ++i) read();
 }
 
 }  // namespace
 
-std::string Encode(const HandoverState& s) {
-  Writer w;
-  w.Number(kHandoverVersion).At(s.now.wall).At(s.now.steady).Number(s.now.boot).Number(s.revision);
-  PutAll(w, s.classes, [&](const std::string& name) { w.Text(name); });
-  PutAll(w, s.endpoints, [&](const EndpointNews& n) {
-    const EndpointEntry& e = n.entry;
-    w.Text(e.endpoint).Text(n.address).Number(e.destination).Number(e.zone).Number(e.kind).Number(e.rate);
-    w.Number(static_cast<std::uint8_t>(e.state));
+std::string EncodeHandoverState(const HandoverState& s) {
+  ByteWriter w;
+  w.AppendNumber(kHandoverVersion)
+      .AppendTime(s.now.wall_time)
+      .AppendTime(s.now.steady_time)
+      .AppendNumber(s.now.boot_id)
+      .AppendNumber(s.revision);
+  PutAll(w, s.classes, [&](const std::string& name) { w.AppendString(name); });
+  PutAll(w, s.endpoints, [&](const EndpointUpdate& n) {
+    const EndpointRecord& e = n.record;
+    w.AppendString(e.endpoint)
+        .AppendString(n.address)
+        .AppendNumber(e.destination)
+        .AppendNumber(e.zone)
+        .AppendNumber(e.kind)
+        .AppendNumber(e.rate);
+    w.AppendNumber(static_cast<std::uint8_t>(e.state));
   });
-  PutAll(w, s.recent, [&](const PastAttempt& a) {
-    w.At(a.sent).At(a.ended).At(a.deadline).Number(a.destination).Number(a.message_class).Number(a.attempts);
-    w.Text(a.endpoint).Number(static_cast<std::uint8_t>(a.outcome)).At(a.told_wait);
-    Put(w, a.load);
+  PutAll(w, s.recent_attempts, [&](const CompletedAttempt& a) {
+    w.AppendTime(a.sent_at)
+        .AppendTime(a.completed_at)
+        .AppendTime(a.deadline)
+        .AppendNumber(a.destination)
+        .AppendNumber(a.message_class)
+        .AppendNumber(a.attempts);
+    w.AppendString(a.endpoint).AppendNumber(static_cast<std::uint8_t>(a.outcome)).AppendTime(a.retry_after);
+    Put(w, a.load_report);
   });
-  PutAll(w, s.out, [&](const CallOut& c) {
-    w.Number(c.number).Text(c.endpoint).At(c.sent);
-    w.Number(c.may_have_run.has_value()).At(c.may_have_run.value_or(Time(0))).Text(c.may_have_run_at);
+  PutAll(w, s.in_flight_calls, [&](const InFlightCall& c) {
+    w.AppendNumber(c.number).AppendString(c.endpoint).AppendTime(c.sent_at);
+    w.AppendNumber(c.first_uncertain_attempt.has_value())
+        .AppendTime(c.first_uncertain_attempt.value_or(Time(0)))
+        .AppendString(c.first_uncertain_endpoint);
   });
-  return w.out();
+  return w.bytes();
 }
 
-std::optional<HandoverState> DecodeHandover(std::string_view bytes) {
-  Reader r(bytes);
-  if (r.Number<std::uint32_t>() != kHandoverVersion) return {};
+std::optional<HandoverState> DecodeHandoverState(std::string_view bytes) {
+  ByteReader r(bytes);
+  if (r.ReadNumber<std::uint32_t>() != kHandoverVersion) return {};
   HandoverState s;
-  s.now.wall = r.At();
-  s.now.steady = r.At();
-  s.now.boot = r.Number<std::uint64_t>();
-  s.revision = r.Number<std::int64_t>();
-  ReadAllOf(r, [&] { s.classes.push_back(r.Text()); });
+  s.now.wall_time = r.ReadTime();
+  s.now.steady_time = r.ReadTime();
+  s.now.boot_id = r.ReadNumber<std::uint64_t>();
+  s.revision = r.ReadNumber<std::int64_t>();
+  ReadAllOf(r, [&] { s.classes.push_back(r.ReadString()); });
   ReadAllOf(r, [&] {
-    EndpointNews& n = s.endpoints.emplace_back();
-    EndpointEntry& e = n.entry;
-    e.endpoint = r.Text();
-    n.address = r.Text();
-    e.destination = r.Number<int>();
-    e.zone = r.Number<int>();
-    e.kind = r.Number<int>();
-    e.rate = r.Number<double>();
-    const auto state = r.Number<std::uint8_t>();
-    if (state > static_cast<std::uint8_t>(EndpointEntry::State::kRemoved)) r.Fail();
-    e.state = static_cast<EndpointEntry::State>(state);
+    EndpointUpdate& n = s.endpoints.emplace_back();
+    EndpointRecord& e = n.record;
+    e.endpoint = r.ReadString();
+    n.address = r.ReadString();
+    e.destination = r.ReadNumber<int>();
+    e.zone = r.ReadNumber<int>();
+    e.kind = r.ReadNumber<int>();
+    e.rate = r.ReadNumber<double>();
+    const auto state = r.ReadNumber<std::uint8_t>();
+    if (state > static_cast<std::uint8_t>(EndpointRecord::State::kRemoved)) r.MarkMalformed();
+    e.state = static_cast<EndpointRecord::State>(state);
   });
   ReadAllOf(r, [&] {
-    PastAttempt& a = s.recent.emplace_back();
-    a.sent = r.At();
-    a.ended = r.At();
-    a.deadline = r.At();
-    a.destination = r.Number<int>();
-    a.message_class = r.Number<int>();
-    a.attempts = r.Number<int>();
-    a.endpoint = r.Text();
+    CompletedAttempt& a = s.recent_attempts.emplace_back();
+    a.sent_at = r.ReadTime();
+    a.completed_at = r.ReadTime();
+    a.deadline = r.ReadTime();
+    a.destination = r.ReadNumber<int>();
+    a.message_class = r.ReadNumber<int>();
+    a.attempts = r.ReadNumber<int>();
+    a.endpoint = r.ReadString();
     a.outcome = ReadOutcome(r);
-    a.told_wait = r.At();
-    a.load = ReadLoadReport(r);
+    a.retry_after = r.ReadTime();
+    a.load_report = ReadLoadReport(r);
   });
   ReadAllOf(r, [&] {
-    CallOut& c = s.out.emplace_back();
-    c.number = r.Number<std::uint64_t>();
-    c.endpoint = r.Text();
-    c.sent = r.At();
-    const bool may = r.Flag();
-    const Time may_at = r.At();
-    if (may) c.may_have_run = may_at;
-    c.may_have_run_at = r.Text();
+    InFlightCall& c = s.in_flight_calls.emplace_back();
+    c.number = r.ReadNumber<std::uint64_t>();
+    c.endpoint = r.ReadString();
+    c.sent_at = r.ReadTime();
+    const bool may = r.ReadBool();
+    const Time may_at = r.ReadTime();
+    if (may) c.first_uncertain_attempt = may_at;
+    c.first_uncertain_endpoint = r.ReadString();
   });
-  if (!r.fine() || !r.empty()) return {};
+  if (!r.ok() || !r.empty()) return {};
   return s;
 }
 
-std::string EncodeResult(const CallResult& result) {
-  Writer w;
-  w.Number(result.number).Number(static_cast<std::uint8_t>(result.outcome)).Number(result.over);
-  w.At(result.told_wait);
-  Put(w, result.load);
-  return w.out();
+std::string EncodeCallResult(const CallResult& result) {
+  ByteWriter w;
+  w.AppendNumber(result.number)
+      .AppendNumber(static_cast<std::uint8_t>(result.outcome))
+      .AppendNumber(result.completed);
+  w.AppendTime(result.retry_after);
+  Put(w, result.load_report);
+  return w.bytes();
 }
 
-std::optional<CallResult> DecodeResult(std::string_view bytes) {
-  Reader r(bytes);
+std::optional<CallResult> DecodeCallResult(std::string_view bytes) {
+  ByteReader r(bytes);
   CallResult result;
-  result.number = r.Number<std::uint64_t>();
+  result.number = r.ReadNumber<std::uint64_t>();
   result.outcome = ReadOutcome(r);
-  result.over = r.Flag();
-  result.told_wait = r.At();
-  result.load = ReadLoadReport(r);
-  if (!r.fine() || !r.empty()) return {};
+  result.completed = r.ReadBool();
+  result.retry_after = r.ReadTime();
+  result.load_report = ReadLoadReport(r);
+  if (!r.ok() || !r.empty()) return {};
   return result;
 }
 
-void AttemptMemory::Add(PastAttempt attempt) {
-  while (!recent_.empty() && (recent_.size() >= kMost || recent_.front().ended + kKept < attempt.ended)) {
+void AttemptHistory::Add(CompletedAttempt attempt) {
+  while (!recent_.empty() && (recent_.size() >= kMaxAttempts ||
+                              recent_.front().completed_at + kRetention < attempt.completed_at)) {
     recent_.pop_front();
   }
   recent_.push_back(std::move(attempt));
--- a/src/handover/state_replay.h
+++ b/src/handover/state_replay.h
@@ -16,9 +16,9 @@
 // late, and each message of the ledger whose call is out (Message::out), as taken with that call out.
 // Attempts of classes that are not in `classes`, and kinds from `kinds` on, are passed over or taken for the
 // first. The module's actions of these steps mean nothing but the time to wake it.
-void Rehearse(const HandoverState& state, const std::vector<std::string>& classes, std::size_t kinds,
-              const Ledger& ledger,
-              const std::function<void(Time at, const std::vector<Event>& events)>& step);
+void ReplayHandoverState(const HandoverState& state, const std::vector<std::string>& classes,
+                         std::size_t kinds, const MessageTable& ledger,
+                         const std::function<void(Time at, const std::vector<Event>& events)>& step);
 
 }  // namespace sagetally
 
--- a/src/journal/file_system/fault_injecting_file_system.cpp
+++ b/src/journal/file_system/fault_injecting_file_system.cpp
@@ -12,17 +12,19 @@
 
 }  // namespace
 
-class FaultyFile : public File {
+class FaultInjectingFile : public File {
  public:
-  FaultyFile(FaultyFileSystem& disk, std::shared_ptr<FaultyFileSystem::Node> node, bool writes)
+  FaultInjectingFile(FaultInjectingFileSystem& disk, std::shared_ptr<FaultInjectingFileSystem::Node> node,
+                     bool writes)
       : disk_(disk), life_(disk.life_), node_(std::move(node)), writes_(writes) {}
 
   std::size_t Append(std::string_view bytes, int& error) override {
     const auto step = Next("append");
-    error = step.fault == FaultyFileSystem::Fault::kError ? step.error : writes_ ? 0 : EBADF;
+    error = step.fault == FaultInjectingFileSystem::Fault::kError ? step.error : writes_ ? 0 : EBADF;
     if (error != 0) return 0;
     std::size_t size = bytes.size();
-    if (step.fault == FaultyFileSystem::Fault::kShort || step.fault == FaultyFileSystem::Fault::kTorn) {
+    if (step.fault == FaultInjectingFileSystem::Fault::kShort ||
+        step.fault == FaultInjectingFileSystem::Fault::kTorn) {
       size = (size + 1) / 2;
     }
     size = std::min<std::uint64_t>(size, RoomHere());
@@ -33,7 +35,7 @@
   }
   std::size_t ReadAt(std::uint64_t offset, char* to, std::size_t most, int& error) override {
     const auto step = Next("read");
-    error = step.fault == FaultyFileSystem::Fault::kError ? step.error : 0;
+    error = step.fault == FaultInjectingFileSystem::Fault::kError ? step.error : 0;
     if (error != 0 || offset >= node_->bytes.size()) return 0;
     const std::size_t size = std::min<std::uint64_t>(most, node_->bytes.size() - offset);
     std::copy_n(node_->bytes.data() + offset, size, to);
@@ -42,13 +44,13 @@
   }
   std::uint64_t Size(int& error) override {
     const auto step = Next("size");
-    error = step.fault == FaultyFileSystem::Fault::kError ? step.error : 0;
+    error = step.fault == FaultInjectingFileSystem::Fault::kError ? step.error : 0;
     disk_.Ended(step);
     return error == 0 ? node_->bytes.size() : 0;
   }
   int Sync() override {
     const auto step = Next("sync");
-    if (step.fault == FaultyFileSystem::Fault::kError) {
+    if (step.fault == FaultInjectingFileSystem::Fault::kError) {
       // As on Linux: what could not be written is marked clean, and a second sync would pretend.
       node_->bytes = node_->synced;
       return step.error;
@@ -59,14 +61,14 @@
   }
   int Truncate(std::uint64_t size) override {
     const auto step = Next("truncate");
-    if (step.fault == FaultyFileSystem::Fault::kError) return step.error;
+    if (step.fault == FaultInjectingFileSystem::Fault::kError) return step.error;
     node_->bytes.resize(size);
     disk_.Ended(step);
     return 0;
   }
   int Allocate(std::uint64_t size) override {
     const auto step = Next("allocate");
-    if (step.fault == FaultyFileSystem::Fault::kError) return step.error;
+    if (step.fault == FaultInjectingFileSystem::Fault::kError) return step.error;
     if (size > node_->bytes.size() && size - node_->bytes.size() > RoomHere()) return ENOSPC;
     node_->bytes.resize(std::max<std::size_t>(node_->bytes.size(), size));
     disk_.Ended(step);
@@ -74,7 +76,7 @@
   }
 
  private:
-  FaultyFileSystem::Step Next(const char* what) {
+  FaultInjectingFileSystem::Step Next(const char* what) {
     if (life_ != disk_.life_) throw Crash();  // of a process that is gone
     return disk_.Next(what);
   }
@@ -83,27 +85,27 @@
     if (disk_.capacity == UINT64_MAX) return UINT64_MAX;
     return Blocks(node_->bytes.size()) - node_->bytes.size() + disk_.Room();
   }
-  FaultyFileSystem& disk_;
+  FaultInjectingFileSystem& disk_;
   const std::uint64_t life_;
-  std::shared_ptr<FaultyFileSystem::Node> node_;
+  std::shared_ptr<FaultInjectingFileSystem::Node> node_;
   const bool writes_;
 };
 
-class FaultyLock : public FileLock {
+class FaultInjectingLock : public FileLock {
  public:
-  FaultyLock(FaultyFileSystem& disk, std::string path)
+  FaultInjectingLock(FaultInjectingFileSystem& disk, std::string path)
       : disk_(disk), life_(disk.life_), path_(std::move(path)) {}
-  ~FaultyLock() override {
+  ~FaultInjectingLock() override {
     if (life_ == disk_.life_) disk_.locks_.erase(path_);
   }
 
  private:
-  FaultyFileSystem& disk_;
+  FaultInjectingFileSystem& disk_;
   const std::uint64_t life_;
   const std::string path_;
 };
 
-FaultyFileSystem::FaultyFileSystem(const FaultyFileSystem& other)
+FaultInjectingFileSystem::FaultInjectingFileSystem(const FaultInjectingFileSystem& other)
     : plan(other.plan),
       capacity(other.capacity),
       folders_(other.folders_),
@@ -123,18 +125,18 @@
   copy(other.synced_names_, synced_names_);
 }
 
-std::uint64_t FaultyFileSystem::Used() const {
+std::uint64_t FaultInjectingFileSystem::Used() const {
   std::uint64_t used = 0;
   for (const auto& [name, node] : names_) used += Blocks(node->bytes.size());
   return used;
 }
 
-std::uint64_t FaultyFileSystem::Room() const {
+std::uint64_t FaultInjectingFileSystem::Room() const {
   const std::uint64_t used = Used();
   return used >= capacity ? 0 : (capacity - used) / kBlock * kBlock;
 }
 
-FaultyFileSystem::Step FaultyFileSystem::Next(const char* what) {
+FaultInjectingFileSystem::Step FaultInjectingFileSystem::Next(const char* what) {
   if (dead_) throw Crash();
   const Step step = plan ? plan(++calls_, what) : Step{};
   if (!plan) ++calls_;
@@ -145,19 +147,19 @@
   return step;
 }
 
-void FaultyFileSystem::Ended(const Step& step) {
+void FaultInjectingFileSystem::Ended(const Step& step) {
   if (step.fault != Fault::kCrashAfter && step.fault != Fault::kTorn) return;
   dead_ = true;
   throw Crash();
 }
 
-void FaultyFileSystem::Restart() {
+void FaultInjectingFileSystem::Restart() {
   dead_ = false;
   ++life_;
   locks_.clear();
 }
 
-void FaultyFileSystem::LosePower() {
+void FaultInjectingFileSystem::LosePower() {
   names_ = synced_names_;
   for (auto& [name, node] : names_) {
     node = std::make_shared<Node>(Node{node->synced, node->synced});
@@ -166,21 +168,23 @@
   Restart();
 }
 
-void FaultyFileSystem::FlipBit(const std::string& path, std::uint64_t byte, int bit) {
+void FaultInjectingFileSystem::FlipBit(const std::string& path, std::uint64_t byte, int bit) {
   names_.at(path)->bytes.at(byte) ^= static_cast<char>(1 << bit);
 }
 
-void FaultyFileSystem::CutOut(const std::string& path, std::uint64_t from, std::uint64_t size) {
+void FaultInjectingFileSystem::CutOut(const std::string& path, std::uint64_t from, std::uint64_t size) {
   names_.at(path)->bytes.erase(from, size);
 }
 
-std::string FaultyFileSystem::Content(const std::string& path) const { return names_.at(path)->bytes; }
+std::string FaultInjectingFileSystem::Content(const std::string& path) const {
+  return names_.at(path)->bytes;
+}
 
-void FaultyFileSystem::Put(const std::string& path, std::string content) {
+void FaultInjectingFileSystem::Put(const std::string& path, std::string content) {
   names_[path] = synced_names_[path] = std::make_shared<Node>(Node{content, content});
 }
 
-std::unique_ptr<File> FaultyFileSystem::Open(const std::string& path, Mode mode, int& error) {
+std::unique_ptr<File> FaultInjectingFileSystem::Open(const std::string& path, Mode mode, int& error) {
   const Step step = Next(mode == Mode::kCreate ? "create" : "open");
   error = step.fault == Fault::kError ? step.error : 0;
   if (error != 0) return nullptr;
@@ -197,10 +201,10 @@
     return nullptr;
   }
   Ended(step);
-  return std::make_unique<FaultyFile>(*this, at->second, mode != Mode::kRead);
+  return std::make_unique<FaultInjectingFile>(*this, at->second, mode != Mode::kRead);
 }
 
-int FaultyFileSystem::MakeFolder(const std::string& path) {
+int FaultInjectingFileSystem::MakeFolder(const std::string& path) {
   const Step step = Next("mkdir");
   if (step.fault == Fault::kError) return step.error;
   folders_.insert(path);
@@ -208,7 +212,7 @@
   return 0;
 }
 
-std::vector<std::string> FaultyFileSystem::List(const std::string& folder, int& error) {
+std::vector<std::string> FaultInjectingFileSystem::List(const std::string& folder, int& error) {
   const Step step = Next("list");
   error = step.fault == Fault::kError ? step.error : 0;
   std::vector<std::string> names;
@@ -223,7 +227,7 @@
   return names;
 }
 
-int FaultyFileSystem::Rename(const std::string& from, const std::string& to) {
+int FaultInjectingFileSystem::Rename(const std::string& from, const std::string& to) {
   const Step step = Next("rename");
   if (step.fault == Fault::kError) return step.error;
   const auto at = names_.find(from);
@@ -234,7 +238,7 @@
   return 0;
 }
 
-int FaultyFileSystem::Remove(const std::string& path) {
+int FaultInjectingFileSystem::Remove(const std::string& path) {
   const Step step = Next("remove");
   if (step.fault == Fault::kError) return step.error;
   const int error = names_.erase(path) == 0 ? ENOENT : 0;
@@ -242,7 +246,7 @@
   return error;
 }
 
-int FaultyFileSystem::SyncFolder(const std::string& path) {
+int FaultInjectingFileSystem::SyncFolder(const std::string& path) {
   const Step step = Next("sync folder");
   if (step.fault == Fault::kError) return step.error;
   const auto inside = [&](const std::string& name) { return name.starts_with(path + "/"); };
@@ -254,13 +258,13 @@
   return 0;
 }
 
-std::unique_ptr<FileLock> FaultyFileSystem::Lock(const std::string& path, int& error) {
+std::unique_ptr<FileLock> FaultInjectingFileSystem::Lock(const std::string& path, int& error) {
   const Step step = Next("lock");
   error = step.fault == Fault::kError ? step.error : 0;
   if (error == 0 && !locks_.insert(path).second) error = EWOULDBLOCK;
   if (error != 0) return nullptr;
   Ended(step);
-  return std::make_unique<FaultyLock>(*this, path);
+  return std::make_unique<FaultInjectingLock>(*this, path);
 }
 
 }  // namespace sagetally
--- a/src/journal/file_system/fault_injecting_file_system.h
+++ b/src/journal/file_system/fault_injecting_file_system.h
@@ -17,11 +17,11 @@
 
 struct Crash {};  // thrown by the call at which the process ends; from then on every call throws it
 
-class FaultyFileSystem : public FileSystem {
+class FaultInjectingFileSystem : public FileSystem {
  public:
-  FaultyFileSystem() = default;
-  FaultyFileSystem(const FaultyFileSystem& other);  // a disk of its own with the same content
-  FaultyFileSystem& operator=(const FaultyFileSystem&) = delete;
+  FaultInjectingFileSystem() = default;
+  FaultInjectingFileSystem(const FaultInjectingFileSystem& other);  // a disk of its own with the same content
+  FaultInjectingFileSystem& operator=(const FaultInjectingFileSystem&) = delete;
 
   enum class Fault {
     kNone,
@@ -60,8 +60,8 @@
   std::unique_ptr<FileLock> Lock(const std::string& path, int& error) override;
 
  private:
-  friend class FaultyFile;
-  friend class FaultyLock;
+  friend class FaultInjectingFile;
+  friend class FaultInjectingLock;
   struct Node {
     std::string bytes;
     std::string synced;  // what a loss of power leaves
--- a/src/journal/file_system/posix_file_system.cpp
+++ b/src/journal/file_system/posix_file_system.cpp
@@ -19,7 +19,7 @@
 
 class RealFile : public File {
  public:
-  explicit RealFile(Fd fd) : fd_(std::move(fd)) {}
+  explicit RealFile(FileDescriptor fd) : fd_(std::move(fd)) {}
   std::size_t Append(std::string_view bytes, int& error) override {
     const ssize_t n = ::write(fd_.get(), bytes.data(), bytes.size());
     error = n < 0 ? errno : 0;
@@ -47,40 +47,40 @@
   }
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
 };
 
 class RealLock : public FileLock {
  public:
-  explicit RealLock(Fd fd) : fd_(std::move(fd)) {}
+  explicit RealLock(FileDescriptor fd) : fd_(std::move(fd)) {}
   int descriptor() const override { return fd_.get(); }
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
 };
 
-Fd OpenFd(const std::string& path, int flags, int& error) {
-  Fd fd(::open(path.c_str(), flags | O_CLOEXEC, 0600));
+FileDescriptor OpenFd(const std::string& path, int flags, int& error) {
+  FileDescriptor fd(::open(path.c_str(), flags | O_CLOEXEC, 0600));
   error = fd.get() < 0 ? errno : 0;
   return fd;
 }
 
 }  // namespace
 
-std::unique_ptr<File> RealFileSystem::Open(const std::string& path, Mode mode, int& error) {
+std::unique_ptr<File> PosixFileSystem::Open(const std::string& path, Mode mode, int& error) {
   const int flags = mode == Mode::kRead     ? O_RDONLY
                     : mode == Mode::kAppend ? O_RDWR | O_APPEND
                                             : O_RDWR | O_APPEND | O_CREAT | O_TRUNC;
-  Fd fd = OpenFd(path, flags, error);
+  FileDescriptor fd = OpenFd(path, flags, error);
   return error == 0 ? std::make_unique<RealFile>(std::move(fd)) : nullptr;
 }
 
-int RealFileSystem::MakeFolder(const std::string& path) {
+int PosixFileSystem::MakeFolder(const std::string& path) {
   const int error = ErrorOf(::mkdir(path.c_str(), 0700));
   return error == EEXIST ? 0 : error;
 }
 
-std::vector<std::string> RealFileSystem::List(const std::string& folder, int& error) {
+std::vector<std::string> PosixFileSystem::List(const std::string& folder, int& error) {
   std::vector<std::string> names;
   std::error_code code;
   for (std::filesystem::directory_iterator at(folder, code), end; !code && at != end; at.increment(code)) {
@@ -91,22 +91,22 @@
   return names;
 }
 
-int RealFileSystem::Rename(const std::string& from, const std::string& to) {
+int PosixFileSystem::Rename(const std::string& from, const std::string& to) {
   return ErrorOf(std::rename(from.c_str(), to.c_str()));
 }
 
-int RealFileSystem::Remove(const std::string& path) { return ErrorOf(::unlink(path.c_str())); }
+int PosixFileSystem::Remove(const std::string& path) { return ErrorOf(::unlink(path.c_str())); }
 
-int RealFileSystem::SyncFolder(const std::string& path) {
+int PosixFileSystem::SyncFolder(const std::string& path) {
   int error = 0;
-  const Fd fd = OpenFd(path, O_RDONLY | O_DIRECTORY, error);
+  const FileDescriptor fd = OpenFd(path, O_RDONLY | O_DIRECTORY, error);
   return error == 0 ? ErrorOf(::fsync(fd.get())) : error;
 }
 
-std::unique_ptr<FileLock> RealFileSystem::Lock(const std::string& path, int& error) {
+std::unique_ptr<FileLock> PosixFileSystem::Lock(const std::string& path, int& error) {
   error = 0;
   if (adopted_.get() >= 0) return std::make_unique<RealLock>(std::move(adopted_));
-  Fd fd = OpenFd(path, O_RDWR | O_CREAT, error);
+  FileDescriptor fd = OpenFd(path, O_RDWR | O_CREAT, error);
   if (error != 0) return nullptr;
   error = ErrorOf(::flock(fd.get(), LOCK_EX | LOCK_NB));
   return error == 0 ? std::make_unique<RealLock>(std::move(fd)) : nullptr;
--- a/src/journal/file_system/posix_file_system.h
+++ b/src/journal/file_system/posix_file_system.h
@@ -9,7 +9,7 @@
 
 namespace sagetally {
 
-class RealFileSystem : public FileSystem {  // new files and folders are the owner's alone
+class PosixFileSystem : public FileSystem {  // new files and folders are the owner's alone
  public:
   std::unique_ptr<File> Open(const std::string& path, Mode mode, int& error) override;
   int MakeFolder(const std::string& path) override;
@@ -19,10 +19,10 @@
   int SyncFolder(const std::string& path) override;
   std::unique_ptr<FileLock> Lock(const std::string& path, int& error) override;
   // A lock that another process has passed on is the one that the next Lock gives.
-  void Adopt(Fd lock) { adopted_ = std::move(lock); }
+  void Adopt(FileDescriptor lock) { adopted_ = std::move(lock); }
 
  private:
-  Fd adopted_;
+  FileDescriptor adopted_;
 };
 
 }  // namespace sagetally
--- a/src/journal/format1_reader.h
+++ b/src/journal/format1_reader.h
@@ -10,13 +10,13 @@
 
 namespace sagetally {
 
-struct LegacyReport {
+struct Format1Report {
   bool found = false;
   std::uint64_t records = 0, torn_bytes = 0;
 };
 
 // Throws std::runtime_error naming the file if it can't be read.
-LegacyReport ReadLegacy(FileSystem& files, const std::string& path, Ledger& ledger);
+Format1Report ReadFormat1(FileSystem& files, const std::string& path, MessageTable& ledger);
 
 }  // namespace sagetally
 
--- a/src/journal/manifest.cpp
+++ b/src/journal/manifest.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::string ManifestText(const Manifest& m) {
+std::string EncodeManifest(const Manifest& m) {
   Json json = {{"format", kJournalFormat},
                {"node", m.node},
                {"epoch", m.epoch},
@@ -26,13 +26,13 @@
                {"migrating", m.migrating},
                {"salt", m.salt},
                {"classes", m.classes},
-               {"written", {m.written.wall.count(), m.written.steady.count(), m.written.boot}}};
+               {"written", {m.written.wall_time.count(), m.written.steady_time.count(), m.written.boot_id}}};
   const auto text = [&] { return json.dump(-1, ' ', false, Json::error_handler_t::replace); };
   json["crc32c"] = Crc32c(text());
   return text() + "\n";
 }
 
-std::optional<Manifest> ReadManifest(const std::string& text) {
+std::optional<Manifest> DecodeManifest(const std::string& text) {
   Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) return std::nullopt;
   try {
@@ -67,7 +67,7 @@
   const auto file = files.Open(folder + "/" + kManifestName, FileSystem::Mode::kRead, error);
   if (!file) return std::nullopt;
   const std::string text = ReadAll(*file, kMostManifest, error);
-  return error == 0 ? ReadManifest(text) : std::nullopt;
+  return error == 0 ? DecodeManifest(text) : std::nullopt;
 }
 
 int WriteManifest(FileSystem& files, const std::string& folder, const Manifest& manifest, bool synced) {
@@ -75,7 +75,7 @@
   int error = 0;
   const auto file = files.Open(beside, FileSystem::Mode::kCreate, error);
   if (!file) return error;
-  WriteAll(*file, ManifestText(manifest), error);
+  WriteAll(*file, EncodeManifest(manifest), error);
   if (error == 0 && synced) error = file->Sync();
   if (error == 0) error = files.Rename(beside, path);
   if (error != 0) {
--- a/src/journal/manifest.h
+++ b/src/journal/manifest.h
@@ -22,14 +22,14 @@
   bool migrating = false;  // a log of format 1 is being taken over: until it is whole, that one counts
   std::uint64_t salt = 0;  // SegmentHeader::salt of all its segments
   std::vector<std::string> classes;  // names, by the numbers that messages carry
-  Moment written;
+  Timestamp written;
 };
 
 constexpr char kManifestName[] = "MANIFEST";
 
-std::string ManifestText(const Manifest& manifest);
+std::string EncodeManifest(const Manifest& manifest);
 // None: it can't be read. Throws std::runtime_error naming a newer format.
-std::optional<Manifest> ReadManifest(const std::string& text);
+std::optional<Manifest> DecodeManifest(const std::string& text);
 // None, too, if there is no file; `error` then is ENOENT.
 std::optional<Manifest> ReadManifestFile(FileSystem& files, const std::string& folder, int& error);
 // Writes it beside and renames it into place; `synced`: so that a loss of power leaves the old or the new
--- a/src/journal/replay.cpp
+++ b/src/journal/replay.cpp
@@ -25,7 +25,7 @@
     int error = 0;
     SegmentHeader header;
     const auto file = files.Open(folder + "/" + SegmentName(number), FileSystem::Mode::kRead, error);
-    if (!file || !ReadHeader(ReadAll(*file, 8192, error), header)) continue;
+    if (!file || !DecodeSegmentHeader(ReadAll(*file, 8192, error), header)) continue;
     m.node = header.node;
     m.salt = header.salt;
     m.epoch = std::max(m.epoch, header.epoch);
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-std::vector<std::uint64_t> SegmentsIn(FileSystem& files, const std::string& folder) {
+std::vector<std::uint64_t> ListSegments(FileSystem& files, const std::string& folder) {
   std::vector<std::uint64_t> numbers;
   int error = 0;
   for (const std::string& name : files.List(folder, error)) {
@@ -45,7 +45,7 @@
   return numbers;
 }
 
-ReplayReport Replay(FileSystem& files, const std::string& folder, Applier& applier,
+ReplayReport Replay(FileSystem& files, const std::string& folder, RecordApplier& applier,
                     const ReplayOptions& options) {
   ReplayReport report;
   int error = 0;
@@ -56,7 +56,7 @@
   if (manifest) {
     report.manifest = *manifest;
   } else {
-    const std::vector<std::uint64_t> numbers = SegmentsIn(files, folder);
+    const std::vector<std::uint64_t> numbers = ListSegments(files, folder);
     if (numbers.empty()) return report;
     report.manifest = FromSegments(files, folder, numbers);
     report.manifest_lost = true;
@@ -78,11 +78,11 @@
     SegmentHeader header;
     std::optional<std::size_t> head;
     try {
-      head = ReadHeader(bytes, header);
+      head = DecodeSegmentHeader(bytes, header);
     } catch (const std::runtime_error& newer) {
       throw std::runtime_error(path + ": " + newer.what());
     }
-    segment.no_header = !head;
+    segment.header_missing = !head;
     segment.epoch = header.epoch;
     const std::uint64_t salt = head ? header.salt : report.manifest.salt;
     std::uint64_t next = std::max(expected, head ? header.first : expected);
@@ -93,16 +93,18 @@
                                       [&](std::string_view record, std::uint64_t sequence) {
                                         if (next != 0 && sequence > next) {
                                           report.missing.push_back({next, sequence});
-                                          applier.Gap(next, sequence);
+                                          applier.AddMissingRange(next, sequence);
                                         }
                                         next = sequence + 1;
                                         ++report.records;
-                                        if (!applier.Apply(record, sequence, number)) ++report.rejected;
+                                        if (!applier.Apply(record, sequence, number))
+                                          ++report.invalid_records;
                                       });
-    if (expected != 0 && std::max(expected, header.first) > expected) applier.Gap(expected, header.first);
+    if (expected != 0 && std::max(expected, header.first) > expected)
+      applier.AddMissingRange(expected, header.first);
     expected = std::max(next, scanned);
     segment.frames = scan.frames;
-    for (Unreadable u : scan.unreadable) {
+    for (UnreadableRange u : scan.unreadable) {
       u.offset += head.value_or(0);
       report.unreadable_bytes += u.bytes;
       if (options.on_unreadable) {
@@ -116,16 +118,16 @@
   if (report.records == 0 && report.unreadable_bytes == 0) report.manifest_lost = false;
   report.next_sequence = std::max<std::uint64_t>(1, expected);
   if (report.manifest.unknown_from != 0) {
-    applier.Gap(report.manifest.unknown_from, report.manifest.unknown_from + 1);
+    applier.AddMissingRange(report.manifest.unknown_from, report.manifest.unknown_from + 1);
   }
-  report.suspects = applier.Finish();
-  report.lost = applier.lost();
-  report.last_moment = applier.last_moment();
-  const Moment& written = report.manifest.written;
-  if (report.last_moment.boot == 0 && written.wall > Time(0)) {
+  report.incomplete_histories = applier.Finish();
+  report.lost_messages = applier.lost_message_count();
+  report.latest_timestamp = applier.latest_timestamp();
+  const Timestamp& written = report.manifest.written;
+  if (report.latest_timestamp.boot_id == 0 && written.wall_time > Time(0)) {
     // Attempts that are noted by the wall's clock alone: the process that wrote them wrote the manifest too.
-    const Duration since = std::max(Duration(0), report.last_moment.wall - written.wall);
-    report.last_moment = {written.wall + since, written.steady + since, written.boot};
+    const Duration since = std::max(Duration(0), report.latest_timestamp.wall_time - written.wall_time);
+    report.latest_timestamp = {written.wall_time + since, written.steady_time + since, written.boot_id};
   }
   return report;
 }
--- a/src/journal/segment.cpp
+++ b/src/journal/segment.cpp
@@ -23,12 +23,12 @@
 // The frame that begins here, if its checksum holds and its number may come next.
 std::optional<Frame> FrameAt(std::string_view bytes, std::uint64_t salt, std::uint64_t expected) {
   if (bytes.size() < kFrameBytes) return std::nullopt;
-  Reader in(bytes.substr(0, kFrameBytes));
-  const auto length = in.Number<std::uint32_t>();
-  const auto crc = in.Number<std::uint32_t>();
-  const auto sequence = in.Number<std::uint64_t>();
-  if (length == 0 || length > kMostRecord || length > bytes.size() - kFrameBytes) return std::nullopt;
-  if (sequence > expected + kMostSkipped) return std::nullopt;
+  ByteReader in(bytes.substr(0, kFrameBytes));
+  const auto length = in.ReadNumber<std::uint32_t>();
+  const auto crc = in.ReadNumber<std::uint32_t>();
+  const auto sequence = in.ReadNumber<std::uint64_t>();
+  if (length == 0 || length > kMaxRecordBytes || length > bytes.size() - kFrameBytes) return std::nullopt;
+  if (sequence > expected + kMaxSkippedBytes) return std::nullopt;
   const std::string_view record = bytes.substr(kFrameBytes, length);
   if (Crc32c(bytes.substr(8, 8 + length), salt) != crc) return std::nullopt;
   return Frame{record, sequence, kFrameBytes + length};
@@ -36,43 +36,50 @@
 
 }  // namespace
 
-std::string HeaderBytes(const SegmentHeader& h) {
-  Writer body;
-  body.Number(h.format).Number(h.number).Number(h.epoch).Number(h.first).Number(h.salt).Text(h.node);
-  Writer w;
-  w.Number(static_cast<std::uint32_t>(body.out().size())).Number(Crc32c(body.out()));
-  return std::string(kMagic) + w.out() + body.out();
+std::string EncodeSegmentHeader(const SegmentHeader& h) {
+  ByteWriter body;
+  body.AppendNumber(h.format)
+      .AppendNumber(h.number)
+      .AppendNumber(h.epoch)
+      .AppendNumber(h.first)
+      .AppendNumber(h.salt)
+      .AppendString(h.node);
+  ByteWriter w;
+  w.AppendNumber(static_cast<std::uint32_t>(body.bytes().size())).AppendNumber(Crc32c(body.bytes()));
+  return std::string(kMagic) + w.bytes() + body.bytes();
 }
 
-std::optional<std::size_t> ReadHeader(std::string_view bytes, SegmentHeader& h) {
+std::optional<std::size_t> DecodeSegmentHeader(std::string_view bytes, SegmentHeader& h) {
   if (!bytes.starts_with(kMagic)) return std::nullopt;
-  Reader in(bytes.substr(kMagic.size()));
-  const auto size = in.Number<std::uint32_t>();
-  const auto crc = in.Number<std::uint32_t>();
+  ByteReader in(bytes.substr(kMagic.size()));
+  const auto size = in.ReadNumber<std::uint32_t>();
+  const auto crc = in.ReadNumber<std::uint32_t>();
   const std::size_t before = kMagic.size() + 8;
-  if (!in.fine() || size > kMostNode + 64 || size > bytes.size() - before) return std::nullopt;
+  if (!in.ok() || size > kMostNode + 64 || size > bytes.size() - before) return std::nullopt;
   const std::string_view body = bytes.substr(before, size);
   if (Crc32c(body) != crc) return std::nullopt;
-  Reader fields(body);
-  h.format = fields.Number<std::uint32_t>();
+  ByteReader fields(body);
+  h.format = fields.ReadNumber<std::uint32_t>();
   if (h.format > kJournalFormat) {
     throw std::runtime_error(fmt::format("the journal has format {}; this program reads formats up to {}",
                                          h.format, kJournalFormat));
   }
-  h.number = fields.Number<std::uint64_t>();
-  h.epoch = fields.Number<std::uint64_t>();
-  h.first = fields.Number<std::uint64_t>();
-  h.salt = fields.Number<std::uint64_t>();
-  h.node = fields.Text();
-  if (!fields.fine()) return std::nullopt;
+  h.number = fields.ReadNumber<std::uint64_t>();
+  h.epoch = fields.ReadNumber<std::uint64_t>();
+  h.first = fields.ReadNumber<std::uint64_t>();
+  h.salt = fields.ReadNumber<std::uint64_t>();
+  h.node = fields.ReadString();
+  if (!fields.ok()) return std::nullopt;
   return before + size;
 }
 
-std::string Framed(std::string_view record, std::uint64_t sequence, std::uint64_t salt) {
-  std::string checked = Writer().Number(sequence).out();
+std::string EncodeFrame(std::string_view record, std::uint64_t sequence, std::uint64_t salt) {
+  std::string checked = ByteWriter().AppendNumber(sequence).bytes();
   checked += record;
-  std::string out =
-      Writer().Number(static_cast<std::uint32_t>(record.size())).Number(Crc32c(checked, salt)).out();
+  std::string out = ByteWriter()
+                        .AppendNumber(static_cast<std::uint32_t>(record.size()))
+                        .AppendNumber(Crc32c(checked, salt))
+                        .bytes();
   out += checked;
   return out;
 }
--- a/src/journal/segment.h
+++ b/src/journal/segment.h
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t kJournalFormat = 2;  // 1 was the single file `log`
 constexpr std::size_t kFrameBytes = 16;      // length, checksum, sequence number
-constexpr std::size_t kMostRecord = 16 * 1024 * 1024;
+constexpr std::size_t kMaxRecordBytes = 16 * 1024 * 1024;
 
 struct SegmentHeader {
   std::uint32_t format = kJournalFormat;
@@ -23,24 +23,24 @@
   std::uint64_t salt = 0;
   std::string node;
 };
-std::string HeaderBytes(const SegmentHeader& header);
+std::string EncodeSegmentHeader(const SegmentHeader& header);
 // Its size in the file, or none if there is no whole header. Throws std::runtime_error naming a newer format.
-std::optional<std::size_t> ReadHeader(std::string_view bytes, SegmentHeader& header);
+std::optional<std::size_t> DecodeSegmentHeader(std::string_view bytes, SegmentHeader& header);
 
-std::string Framed(std::string_view record, std::uint64_t sequence, std::uint64_t salt);
+std::string EncodeFrame(std::string_view record, std::uint64_t sequence, std::uint64_t salt);
 
 std::string SegmentName(std::uint64_t number);  // "0000000000000007.seg"
 std::optional<std::uint64_t> SegmentNumber(std::string_view name);
 
-struct Unreadable {  // a stretch of a segment
+struct UnreadableRange {  // a stretch of a segment
   std::uint64_t offset = 0, bytes = 0;
 };
 
 // Walks the frames of `bytes` (without the header) in order. After a frame that can't be read it looks for
 // the next one whose checksum holds and whose sequence number is at most `kMostSkipped` ahead.
-constexpr std::uint64_t kMostSkipped = 1'000'000;
+constexpr std::uint64_t kMaxSkippedBytes = 1'000'000;
 struct FrameScan {
-  std::vector<Unreadable> unreadable;  // offsets in `bytes`
+  std::vector<UnreadableRange> unreadable;  // offsets in `bytes`
   std::uint64_t frames = 0;
 };
 // `expected`: the next sequence number, moved on. A frame with an older one is passed over. `found` is told
--- a/src/journal/segment_journal.cpp
+++ b/src/journal/segment_journal.cpp
@@ -31,19 +31,20 @@
 
 // An eighth of the budget at most, so that two segments' room for copies leaves enough for what lives.
 std::uint64_t SegmentBytes(const JournalSettings& s) {
-  const std::uint64_t wanted =
-      s.segment_bytes != 0 ? s.segment_bytes : std::clamp(s.budget / 24, kLeastSegment, kMostSegmentBytes);
-  return std::min(wanted, s.budget / 8);
+  const std::uint64_t wanted = s.segment_bytes != 0
+                                   ? s.segment_bytes
+                                   : std::clamp(s.disk_budget / 24, kLeastSegment, kMostSegmentBytes);
+  return std::min(wanted, s.disk_budget / 8);
 }
 
 }  // namespace
 
-SegmentJournal::SegmentJournal(FileSystem& files, JournalSettings settings, Ledger& ledger,
+SegmentJournal::SegmentJournal(FileSystem& files, JournalSettings settings, MessageTable& ledger,
                                const Clock& clock, Logger& log, JournalHost& host)
     : files_(files),
       settings_(std::move(settings)),
       segment_bytes_(SegmentBytes(settings_)),
-      ledger_(ledger),
+      messages_(ledger),
       clock_(clock),
       log_(log),
       host_(host) {
@@ -58,40 +59,41 @@
   }
   check(error);
   Read();
-  host_.Begins();
+  host_.BeforeFirstWrite();
   Begin();
-  ledger_.on_removed = [this](const Message& message) { Removed(message); };
+  messages_.on_message_removed = [this](const Message& message) { Removed(message); };
 }
 
 SegmentJournal::~SegmentJournal() {
-  ledger_.on_removed = nullptr;
+  messages_.on_message_removed = nullptr;
   *alive_ = false;
 }
 
 // What is on record, into the ledger.
 void SegmentJournal::Read() {
   std::vector<std::pair<std::string, std::string>> pieces;  // names and bytes of what can't be read
-  const std::uint64_t most = std::max(kReserveStep, settings_.budget / 20);
+  const std::uint64_t most = std::max(kReserveStep, settings_.disk_budget / 20);
   std::uint64_t held = 0;
   int error = 0;
   const auto there = ReadManifestFile(files_, settings_.folder, error);
   const bool none = !there && error == ENOENT;
   const bool old_log =
-      !settings_.legacy.empty() && files_.Open(settings_.legacy, FileSystem::Mode::kRead, error);
+      !settings_.format1_path.empty() && files_.Open(settings_.format1_path, FileSystem::Mode::kRead, error);
   if ((there && there->migrating) || (none && old_log)) {
     // The process ended while it took over the old log, which is still whole.
-    for (const std::uint64_t number : SegmentsIn(files_, settings_.folder)) {
+    for (const std::uint64_t number : ListSegments(files_, settings_.folder)) {
       files_.Remove(Path(SegmentName(number)));
     }
     files_.Remove(Path(kManifestName));
   }
-  Applier applier(ledger_);
-  report_ = Replay(files_, settings_.folder, applier,
-                   {.on_unreadable = [&](std::uint64_t segment, const Unreadable& u, std::string_view bytes) {
-                     if (held + bytes.size() > most) return;
-                     held += bytes.size();
-                     pieces.emplace_back(fmt::format("{}{}-{}", kQuarantine, segment, u.offset), bytes);
-                   }});
+  RecordApplier applier(messages_);
+  report_ =
+      Replay(files_, settings_.folder, applier,
+             {.on_unreadable = [&](std::uint64_t segment, const UnreadableRange& u, std::string_view bytes) {
+               if (held + bytes.size() > most) return;
+               held += bytes.size();
+               pieces.emplace_back(fmt::format("{}{}-{}", kQuarantine, segment, u.offset), bytes);
+             }});
   manifest_ = report_.manifest;
   sequence_ = report_.next_sequence;
   // Files that the manifest does not name: begun and never used, or dropped and not yet removed.
@@ -114,27 +116,27 @@
   for (const auto& [number, trace] : applier.traces()) {
     Info& info = infos_[number];
     info.ordinal = trace.ordinal;
-    info.last = trace.last;
+    info.last = trace.last_sequence;
     info.segment = trace.segment;
     const auto at = std::find_if(segments_.begin(), segments_.end(),
                                  [&](const Segment& s) { return s.number == trace.segment; });
     at->live += 1;
     at->based.push_back(number);
-    Count(*ledger_.Find(number), info);
+    Count(*messages_.Find(number), info);
   }
-  if (report_.damaged()) {
+  if (report_.is_damaged()) {
     std::uint64_t missing = 0;
     for (const MissingRecords& m : report_.missing) missing += m.to - m.from;
     log_.Error("journal.damaged", {{"folder", settings_.folder},
                                    {"missing_records", missing},
                                    {"unreadable_bytes", report_.unreadable_bytes},
-                                   {"rejected_records", report_.rejected},
+                                   {"rejected_records", report_.invalid_records},
                                    {"manifest_lost", report_.manifest_lost},
-                                   {"messages_lost", report_.lost},
-                                   {"may_have_run", report_.suspects.size()}});
+                                   {"messages_lost", report_.lost_messages},
+                                   {"may_have_run", report_.incomplete_histories.size()}});
     Quarantine(pieces);
   }
-  note_ = fmt::format("{} records read, {} messages owed", report_.records, ledger_.held());
+  note_ = fmt::format("{} records read, {} messages owed", report_.records, messages_.pending_count());
   if (report_.unreadable_bytes > 0) note_ += fmt::format(", cut off {} torn bytes", report_.unreadable_bytes);
 }
 
@@ -155,11 +157,11 @@
 
 // A new epoch, a new segment, and what the reading found out goes on record.
 void SegmentJournal::Begin() {
-  LegacyReport legacy;
-  if (report_.segments.empty() && !settings_.legacy.empty()) {
-    legacy = ReadLegacy(files_, settings_.legacy, ledger_);
+  Format1Report legacy;
+  if (report_.segments.empty() && !settings_.format1_path.empty()) {
+    legacy = ReadFormat1(files_, settings_.format1_path, messages_);
     manifest_.migrating = legacy.found;
-    note_ = fmt::format("{} records read, {} messages owed", legacy.records, ledger_.held());
+    note_ = fmt::format("{} records read, {} messages owed", legacy.records, messages_.pending_count());
     if (legacy.torn_bytes > 0) note_ += fmt::format(", cut off {} torn bytes", legacy.torn_bytes);
   }
   fresh_ = report_.records == 0 && legacy.records == 0;
@@ -168,13 +170,13 @@
     manifest_.salt = random() | 1;
   }
   TakeOverClasses();
-  manifest_.node = settings_.node;
+  manifest_.node = settings_.node_name;
   manifest_.epoch += 1;
   int error = 0;
   if (auto file = files_.Open(Path(kReserveName), FileSystem::Mode::kAppend, error)) {
     reserve_bytes_ = file->Size(error);
     reserve_ = std::move(file);
-    if (!settings_.reserve) {
+    if (!settings_.reserve_disk_space) {
       reserve_.reset();
       if (files_.Remove(Path(kReserveName)) == 0) reserve_bytes_ = 0;
     }
@@ -182,18 +184,19 @@
   error = Roll();
   while (error == ENOSPC && ReleaseReserve(kReserveStep)) error = Roll();
   if (error != 0) throw std::runtime_error(settings_.folder + ": " + ErrorText(error));
-  std::vector<std::uint64_t> anew = report_.suspects;
-  const bool all = legacy.found || report_.damaged();  // what is damaged goes, once all that lives is copied
+  std::vector<std::uint64_t> anew = report_.incomplete_histories;
+  const bool all =
+      legacy.found || report_.is_damaged();  // what is damaged goes, once all that lives is copied
   if (all) {
     anew.clear();
-    for (const auto& [number, message] : ledger_.messages()) anew.push_back(number);
+    for (const auto& [number, message] : messages_.messages()) anew.push_back(number);
   }
   for (const std::uint64_t number : anew) {
-    const Message& m = *ledger_.Find(number);
+    const Message& m = *messages_.Find(number);
     Info& info = infos_[number];
     info.ordinal += 1;
-    const bool needed =
-        legacy.found || std::binary_search(report_.suspects.begin(), report_.suspects.end(), number);
+    const bool needed = legacy.found || std::binary_search(report_.incomplete_histories.begin(),
+                                                           report_.incomplete_histories.end(), number);
     if (!WriteState(m, info, true) && needed) {
       throw std::runtime_error(settings_.folder + ": what was read could not be written anew");
     }
@@ -208,37 +211,38 @@
     if (error != 0) throw std::runtime_error(settings_.folder + ": " + ErrorText(error));
   }
   if (legacy.found) {
-    log_.Info("journal.migrated", {{"from", settings_.legacy}, {"records", legacy.records}});
+    log_.Info("journal.migrated", {{"from", settings_.format1_path}, {"records", legacy.records}});
   }
   while (all && segments_.size() > 1 && segments_.front().live == 0 && Drop()) {
   }
-  if (!settings_.legacy.empty()) files_.Remove(settings_.legacy);  // taken over, now or by an earlier process
-  if (settings_.reserve && !GrowReserve(to_come_)) Failed(ENOSPC, false);
+  if (!settings_.format1_path.empty())
+    files_.Remove(settings_.format1_path);  // taken over, now or by an earlier process
+  if (settings_.reserve_disk_space && !GrowReserve(to_come_)) Failed(ENOSPC, false);
   Schedule();
 }
 
 // Messages carry their class by number; the numbers of this configuration may be others.
 void SegmentJournal::TakeOverClasses() {
-  if (!manifest_.classes.empty() && manifest_.classes != settings_.classes) {
+  if (!manifest_.classes.empty() && manifest_.classes != settings_.class_names) {
     std::vector<std::uint64_t> numbers;
-    for (const auto& [number, message] : ledger_.messages()) numbers.push_back(number);
+    for (const auto& [number, message] : messages_.messages()) numbers.push_back(number);
     for (const std::uint64_t number : numbers) {
-      Message& m = *ledger_.Find(number);
+      Message& m = *messages_.Find(number);
       const auto was = static_cast<std::size_t>(m.request.message_class);
       const auto at =
           was < manifest_.classes.size()
-              ? std::find(settings_.classes.begin(), settings_.classes.end(), manifest_.classes[was])
-              : settings_.classes.end();
+              ? std::find(settings_.class_names.begin(), settings_.class_names.end(), manifest_.classes[was])
+              : settings_.class_names.end();
       // One that is not configured any more can't be sent: its end is owed.
       m.request.message_class =
-          at == settings_.classes.end() ? kNoClass : static_cast<int>(at - settings_.classes.begin());
-      if (at == settings_.classes.end() && m.end == End::kNone) {
+          at == settings_.class_names.end() ? kNoClass : static_cast<int>(at - settings_.class_names.begin());
+      if (at == settings_.class_names.end() && m.final_status == FinalStatus::kPending) {
         log_.Warn("journal.class_gone", {{"number", number}, {"id", m.request.id}});
       }
     }
-    report_.suspects = numbers;  // written anew, under the new numbers
+    report_.incomplete_histories = numbers;  // written anew, under the new numbers
   }
-  manifest_.classes = settings_.classes;
+  manifest_.classes = settings_.class_names;
 }
 
 std::uint64_t SegmentJournal::disk_bytes() const {
@@ -248,43 +252,43 @@
 // Where ordinary records stop; copies may go on for two segments more, so that compaction can always end.
 std::uint64_t SegmentJournal::SoftLimit() const {
   const std::uint64_t taken = other_blocks_ + Blocks(reserve_bytes_) + 2 * segment_bytes_ + 4 * kBlock;
-  return settings_.budget > taken ? settings_.budget - taken : 0;
+  return settings_.disk_budget > taken ? settings_.disk_budget - taken : 0;
 }
 
 Durability SegmentJournal::DurabilityOf(const Message& m) const {
-  const auto at = settings_.durability_of.find(m.request.message_class);
-  return at == settings_.durability_of.end() ? settings_.durability : at->second;
+  const auto at = settings_.class_durability.find(m.request.message_class);
+  return at == settings_.class_durability.end() ? settings_.default_durability : at->second;
 }
 
 bool SegmentJournal::AnySynced() const {
-  return settings_.durability == Durability::kSynced ||
-         std::any_of(settings_.durability_of.begin(), settings_.durability_of.end(),
+  return settings_.default_durability == Durability::kSynced ||
+         std::any_of(settings_.class_durability.begin(), settings_.class_durability.end(),
                      [](const auto& entry) { return entry.second == Durability::kSynced; });
 }
 
-bool SegmentJournal::Safe(const Message& m) const {
+bool SegmentJournal::IsDurable(const Message& m) const {
   const auto at = infos_.find(m.number);
   if (at == infos_.end()) return true;
   if (at->second.dirty || broken_ || fenced_) return false;
   return DurabilityOf(m) == Durability::kWritten || at->second.last <= synced_;
 }
 
-bool SegmentJournal::Taken(std::span<const Message* const> messages) {
-  if (!writable() || full_) return false;
+bool SegmentJournal::AppendAccepted(std::span<const Message* const> messages) {
+  if (!is_writable() || full_) return false;
   std::uint64_t live = 0, to_come = 0;
   std::vector<std::string> states;
   for (const Message* m : messages) {
-    live += LiveBytes(*m);
-    to_come += RecordsToCome(*m);
-    states.push_back(StateRecord(*m, 1));
+    live += MaxLiveBytes(*m);
+    to_come += MaxFutureRecordBytes(*m);
+    states.push_back(EncodeState(*m, 1));
   }
   // All that lives must fit well under the budget, or compaction would copy the same bytes over and over.
-  const std::uint64_t limit =
-      std::min(settings_.budget / 100 * (settings_.reserve ? 30 : 45), SoftLimit() / 100 * 60);
+  const std::uint64_t limit = std::min(settings_.disk_budget / 100 * (settings_.reserve_disk_space ? 30 : 45),
+                                       SoftLimit() / 100 * 60);
   if (live_bytes_ + live > limit) return false;
-  if (settings_.reserve && !GrowReserve(to_come_ + to_come)) return Failed(ENOSPC, false);
-  const std::string record = states.size() == 1 ? std::move(states.front()) : BatchRecord(states);
-  if (record.size() > kMostRecord || !Write(record, false)) return false;
+  if (settings_.reserve_disk_space && !GrowReserve(to_come_ + to_come)) return Failed(ENOSPC, false);
+  const std::string record = states.size() == 1 ? std::move(states.front()) : EncodeBatch(states);
+  if (record.size() > kMaxRecordBytes || !Write(record, false)) return false;
   for (const Message* m : messages) {
     Info& info = infos_[m->number];
     info.ordinal = 1;
@@ -296,20 +300,23 @@
   return true;
 }
 
-void SegmentJournal::Attempted(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) { return AttemptRecord(m, ordinal); });
+void SegmentJournal::AppendAttempt(const Message& m) {
+  Record(m, [&](std::uint32_t ordinal) { return EncodeAttempt(m, ordinal); });
 }
-void SegmentJournal::Outcame(const Message& m, Outcome outcome) {
-  Record(m, [&](std::uint32_t ordinal) { return OutcomeRecord(m, ordinal, outcome); });
+void SegmentJournal::AppendOutcome(const Message& m, Outcome outcome) {
+  Record(m, [&](std::uint32_t ordinal) { return EncodeOutcome(m, ordinal, outcome); });
 }
-void SegmentJournal::Ended(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) { return EndRecord(m, ordinal); });
+void SegmentJournal::AppendCompletion(const Message& m) {
+  Record(m, [&](std::uint32_t ordinal) { return EncodeCompletion(m, ordinal); });
 }
-void SegmentJournal::Told(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) { return BareRecord(RecordKind::kTold, m.number, ordinal); });
+void SegmentJournal::AppendNotified(const Message& m) {
+  Record(m,
+         [&](std::uint32_t ordinal) { return EncodeBareRecord(RecordKind::kNotified, m.number, ordinal); });
 }
-void SegmentJournal::Kept(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) { return BareRecord(RecordKind::kKept, m.number, ordinal); });
+void SegmentJournal::AppendDeadLettered(const Message& m) {
+  Record(m, [&](std::uint32_t ordinal) {
+    return EncodeBareRecord(RecordKind::kDeadLettered, m.number, ordinal);
+  });
 }
 
 void SegmentJournal::Record(const Message& m, const std::function<std::string(std::uint32_t)>& make) {
@@ -332,8 +339,8 @@
 
 void SegmentJournal::Count(const Message& m, Info& info) {
   Uncount(info);
-  info.live = static_cast<std::uint32_t>(LiveBytes(m));
-  info.to_come = static_cast<std::uint32_t>(RecordsToCome(m));
+  info.live = static_cast<std::uint32_t>(MaxLiveBytes(m));
+  info.to_come = static_cast<std::uint32_t>(MaxFutureRecordBytes(m));
   live_bytes_ += info.live;
   to_come_ += info.to_come;
 }
@@ -362,9 +369,9 @@
 }
 
 bool SegmentJournal::WriteState(const Message& m, Info& info, bool copy) {
-  const std::string record = StateRecord(m, info.ordinal);
+  const std::string record = EncodeState(m, info.ordinal);
   if (!Write(record, !copy, copy)) return false;
-  if (copy) counters_.copied += kFrameBytes + record.size();
+  if (copy) counters_.bytes_copied += kFrameBytes + record.size();
   Base(m.number, info);
   if (DurabilityOf(m) == Durability::kSynced) WantSync();
   return true;
@@ -405,7 +412,7 @@
 
 int SegmentJournal::AppendFrame(std::string_view record) {
   Segment& head = segments_.back();
-  const std::string frame = Framed(record, sequence_, manifest_.salt);
+  const std::string frame = EncodeFrame(record, sequence_, manifest_.salt);
   int error = 0;
   const std::size_t done = WriteAll(*head_, frame, error);
   const bool torn = error != 0 && done > 0 && head_->Truncate(head.bytes) != 0;
@@ -415,7 +422,7 @@
     segment_blocks_ += Blocks(head.bytes);
   }
   if (error != 0) return error;
-  counters_.appended += frame.size();
+  counters_.bytes_appended += frame.size();
   written_in_ = head.number;
   ++sequence_;
   return 0;
@@ -424,7 +431,7 @@
 bool SegmentJournal::Failed(int error, bool must) {
   ++counters_.failures;
   if (!full_ && error == ENOSPC)
-    log_.Error("journal.full", {{"folder", settings_.folder}, {"held", ledger_.held()}});
+    log_.Error("journal.full", {{"folder", settings_.folder}, {"held", messages_.pending_count()}});
   full_ = full_ || error == ENOSPC;
   if (must && !unwritable_) {
     unwritable_ = true;
@@ -450,8 +457,8 @@
   const std::uint64_t number = segments_.empty() ? manifest_.newest + 1 : segments_.back().number + 1;
   std::shared_ptr<File> file = files_.Open(Path(SegmentName(number)), FileSystem::Mode::kCreate, error);
   if (!file) return error;
-  const std::string header =
-      HeaderBytes({kJournalFormat, number, manifest_.epoch, sequence_, manifest_.salt, manifest_.node});
+  const std::string header = EncodeSegmentHeader(
+      {kJournalFormat, number, manifest_.epoch, sequence_, manifest_.salt, manifest_.node});
   // On an error the file stays: no manifest names it, and the next try begins it anew.
   WriteAll(*file, header, error);
   if (error != 0) return error;
@@ -459,14 +466,14 @@
   Manifest next = manifest_;
   next.newest = number;
   if (segments_.empty()) next.oldest = number;
-  next.written = clock_.Stamp();
+  next.written = clock_.CurrentTimestamp();
   if ((error = WriteManifest(files_, settings_.folder, next, synced)) != 0) return error;
   manifest_ = std::move(next);
   segments_.push_back({number, header.size(), 0, {}, 0});
   segment_blocks_ += Blocks(header.size());
   head_ = std::move(file);
   head_untrusted_ = false;
-  ++counters_.rolls;
+  ++counters_.segments_started;
   if (sync_error != 0) SyncFailed(sync_error);
   return 0;
 }
@@ -480,11 +487,11 @@
   fenced_ = true;
   log_.Error("journal.fenced",
              {{"folder", settings_.folder}, {"epoch", manifest_.epoch}, {"newer", there->epoch}});
-  host_.Fenced();
+  host_.OnFenced();
   return true;
 }
 
-bool SegmentJournal::TakeBack() {
+bool SegmentJournal::Reclaim() {
   int error = 0;
   const auto there = ReadManifestFile(files_, settings_.folder, error);
   if (!there || (there->epoch != manifest_.epoch && !GoAbove(*there))) return false;
@@ -508,7 +515,8 @@
   const std::string bytes = ReadAll(*begun, kLeastSegment, error);
   SegmentHeader header;
   // A record in it would bear a number that the next of ours bears, too.
-  if (error != 0 || ReadHeader(bytes, header) != bytes.size() || header.first != sequence_) return false;
+  if (error != 0 || DecodeSegmentHeader(bytes, header) != bytes.size() || header.first != sequence_)
+    return false;
   manifest_ = there;
   manifest_.epoch += 1;
   segments_.push_back({there.newest, bytes.size(), 0, {}, 0});
@@ -534,7 +542,7 @@
   if (error == 0) manifest_ = std::move(next);
   segment_blocks_ -= Blocks(oldest.bytes);
   segments_.pop_front();
-  ++counters_.drops;
+  ++counters_.segments_dropped;
   return true;
 }
 
@@ -563,9 +571,9 @@
       oldest.based.pop_back();
       continue;
     }
-    const std::uint64_t before = counters_.copied;
-    if (!WriteState(*ledger_.Find(number), info->second, true)) break;
-    most -= std::min(most, counters_.copied - before);
+    const std::uint64_t before = counters_.bytes_copied;
+    if (!WriteState(*messages_.Find(number), info->second, true)) break;
+    most -= std::min(most, counters_.bytes_copied - before);
     moved = true;
   }
   compacting_ = false;
@@ -576,11 +584,11 @@
 // Ordinary records go up to the soft limit; compaction makes room below it at once, if it must.
 bool SegmentJournal::MakeRoom(std::uint64_t size, bool copy) {
   const std::uint64_t room = Blocks(size) + kBlock;
-  if (copy) return disk_bytes() + room <= settings_.budget;
+  if (copy) return disk_bytes() + room <= settings_.disk_budget;
   // Once round at most: a second time it would copy the same bytes again.
-  const std::uint64_t enough = counters_.copied + segment_blocks_;
+  const std::uint64_t enough = counters_.bytes_copied + segment_blocks_;
   while (segment_blocks_ + room > SoftLimit()) {
-    if (counters_.copied > enough || !CompactSome(kStep)) return segment_blocks_ + room <= SoftLimit();
+    if (counters_.bytes_copied > enough || !CompactSome(kStep)) return segment_blocks_ + room <= SoftLimit();
   }
   return true;
 }
@@ -597,7 +605,7 @@
 bool SegmentJournal::GrowReserve(std::uint64_t need) {
   if (need <= reserve_bytes_) return true;
   const std::uint64_t size = RoundUp(need, kReserveStep);
-  if (disk_bytes() - Blocks(reserve_bytes_) + size > settings_.budget) return false;
+  if (disk_bytes() - Blocks(reserve_bytes_) + size > settings_.disk_budget) return false;
   int error = 0;
   if (!reserve_) reserve_ = files_.Open(Path(kReserveName), FileSystem::Mode::kCreate, error);
   if (reserve_) error = reserve_->Allocate(size);
@@ -623,21 +631,21 @@
 
 void SegmentJournal::WantSync() {
   if (sync_out_ || sync_due_ != Time::max()) return;
-  sync_due_ = clock_.Now() + settings_.group;
+  sync_due_ = clock_.Now() + settings_.group_commit_delay;
   Schedule();
 }
 
 void SegmentJournal::StartSync() {
   sync_due_ = Time::max();
   if (sync_out_ || broken_ || fenced_) return;
-  if (synced_ + 1 >= sequence_) return host_.Progress();  // a roll has synced it all
+  if (synced_ + 1 >= sequence_) return host_.OnProgress();  // a roll has synced it all
   if (head_untrusted_) {
     SyncFailed(EIO);
-    return host_.Progress();
+    return host_.OnProgress();
   }
   sync_out_ = true;
   ++counters_.syncs;
-  host_.Sync(head_, [this, until = sequence_ - 1, alive = alive_](int error) {
+  host_.SyncInBackground(head_, [this, until = sequence_ - 1, alive = alive_](int error) {
     if (*alive) Synced(until, error);
   });
 }
@@ -654,7 +662,7 @@
   }
   while (!recent_.empty() && recent_.front().sequence <= synced_) recent_.pop_front();
   if (synced_ + 1 < sequence_) WantSync();
-  host_.Progress();
+  host_.OnProgress();
 }
 
 // The file is not trusted any more, and not synced a second time. What it may not hold is written to a new
@@ -671,10 +679,10 @@
   }
   std::sort(anew.begin(), anew.end());
   for (const std::uint64_t number : anew) {
-    whole = whole && WriteState(*ledger_.Find(number), infos_.at(number), true);
+    whole = whole && WriteState(*messages_.Find(number), infos_.at(number), true);
   }
   for (const Gone& gone : recent_) {
-    whole = whole && Write(BareRecord(RecordKind::kGone, gone.number, gone.ordinal), true, true);
+    whole = whole && Write(EncodeBareRecord(RecordKind::kRemoved, gone.number, gone.ordinal), true, true);
   }
   if (whole && head_->Sync() == 0) {
     synced_ = sequence_ - 1;
@@ -682,7 +690,7 @@
     return;
   }
   broken_ = true;
-  log_.Error("journal.broken", {{"folder", settings_.folder}, {"held", ledger_.held()}});
+  log_.Error("journal.broken", {{"folder", settings_.folder}, {"held", messages_.pending_count()}});
 }
 
 // What could not be written, once more: whole states, and ends of what is forgotten.
@@ -693,14 +701,14 @@
   bool whole = true;
   for (auto at = dirty_.begin(); whole && at != dirty_.end();) {
     Info& info = infos_.at(*at);
-    whole = WriteState(*ledger_.Find(*at), info, false);
+    whole = WriteState(*messages_.Find(*at), info, false);
     if (!whole) break;
     info.dirty = false;
     at = dirty_.erase(at);
   }
   while (whole && !tombstones_.empty()) {
     const auto [number, ordinal] = *tombstones_.begin();
-    whole = Write(BareRecord(RecordKind::kGone, number, ordinal), true);
+    whole = Write(EncodeBareRecord(RecordKind::kRemoved, number, ordinal), true);
     if (whole) tombstones_.erase(tombstones_.begin());
   }
   retrying_ = false;
@@ -709,7 +717,7 @@
     unwritable_ = false;
     log_.Info("journal.writable", {{"folder", settings_.folder}});
   }
-  if (whole && full_ && (!settings_.reserve || GrowReserve(to_come_))) {
+  if (whole && full_ && (!settings_.reserve_disk_space || GrowReserve(to_come_))) {
     full_ = false;
     log_.Info("journal.room", {{"disk_bytes", disk_bytes()}});
   }
@@ -717,10 +725,10 @@
     retry_after_ = std::min(kRetryMost, std::max(kRetryFirst, retry_after_ * 2));
     retry_due_ = clock_.Now() + retry_after_;
   }
-  if (was_unwritable && !unwritable_) host_.Progress();
+  if (was_unwritable && !unwritable_) host_.OnProgress();
 }
 
-void SegmentJournal::Turn() {
+void SegmentJournal::RunDueWork() {
   if (fenced_) return;
   const Time now = clock_.Now();
   if (sync_due_ <= now) StartSync();
@@ -738,7 +746,7 @@
 
 void SegmentJournal::Schedule() {
   const Time due = std::min({compact_due_, sync_due_, retry_due_});
-  if (due != Time::max()) host_.TurnAfter(std::max(Duration(0), due - clock_.Now()));
+  if (due != Time::max()) host_.ScheduleTurn(std::max(Duration(0), due - clock_.Now()));
 }
 
 }  // namespace sagetally
--- a/src/journal/segment_journal.h
+++ b/src/journal/segment_journal.h
@@ -31,74 +31,77 @@
 };
 
 struct JournalSettings {
-  std::string folder;  // the journal's own; made if it isn't there
-  std::string legacy;  // a log of format 1 to take over; need not exist
-  std::string node;
-  std::uint64_t budget = 3'000'000;         // bytes of all its files, each counted in whole 512 bytes
-  std::uint64_t segment_bytes = 0;          // 0: a twenty-fourth of the budget, from 32 KiB to 8 MiB
-  std::vector<std::string> classes;         // names, by number
-  std::map<int, Durability> durability_of;  // of classes that differ
-  Durability durability = Durability::kWritten;
-  Duration group = std::chrono::milliseconds(2);  // longest that a group commit waits for company
-  bool reserve = false;                           // holds blocks of the disk for the records to come
+  std::string folder;        // the journal's own; made if it isn't there
+  std::string format1_path;  // a log of format 1 to take over; need not exist
+  std::string node_name;
+  std::uint64_t disk_budget = 3'000'000;       // bytes of all its files, each counted in whole 512 bytes
+  std::uint64_t segment_bytes = 0;             // 0: a twenty-fourth of the budget, from 32 KiB to 8 MiB
+  std::vector<std::string> class_names;        // names, by number
+  std::map<int, Durability> class_durability;  // of classes that differ
+  Durability default_durability = Durability::kWritten;
+  Duration group_commit_delay =
+      std::chrono::milliseconds(2);  // longest that a group commit waits for company
+  bool reserve_disk_space = false;   // holds blocks of the disk for the records to come
   std::uint64_t seed = 1;
 };
 
 class JournalHost {  // the loop that the journal runs in
  public:
   virtual ~JournalHost() = default;
-  virtual void TurnAfter(Duration d) = 0;  // call Turn; one at a time, a new one replaces the last
-  virtual void Progress() = 0;  // what was not Safe may be so now; not from within a call of the journal
+  virtual void ScheduleTurn(Duration d) = 0;  // call Turn; one at a time, a new one replaces the last
+  virtual void OnProgress() = 0;  // what was not Safe may be so now; not from within a call of the journal
   // Syncs the file away from the loop and calls back on it, later.
-  virtual void Sync(std::shared_ptr<File> file, std::function<void(int error)> done) = 0;
+  virtual void SyncInBackground(std::shared_ptr<File> file, std::function<void(int error)> done) = 0;
   // All has been read and nothing written. May throw: the journal is given back to whom it was taken from.
-  virtual void Begins() {}
-  virtual void Fenced() = 0;  // a newer process has the journal: this one must end, saying nothing more
+  virtual void BeforeFirstWrite() {}
+  virtual void OnFenced() = 0;  // a newer process has the journal: this one must end, saying nothing more
 };
 
 class SegmentJournal : public Journal {
  public:
   // Reads what the folder holds into `ledger`, which tells it of messages that go. Throws std::runtime_error
   // naming folder or file: held by another process, read-only, of a newer format, no room to begin.
-  SegmentJournal(FileSystem& files, JournalSettings settings, Ledger& ledger, const Clock& clock, Logger& log,
-                 JournalHost& host);
+  SegmentJournal(FileSystem& files, JournalSettings settings, MessageTable& ledger, const Clock& clock,
+                 Logger& log, JournalHost& host);
   ~SegmentJournal() override;
   SegmentJournal(const SegmentJournal&) = delete;
   SegmentJournal& operator=(const SegmentJournal&) = delete;
 
-  bool Taken(std::span<const Message* const> messages) override;
-  void Attempted(const Message& message) override;
-  void Outcame(const Message& message, Outcome outcome) override;
-  void Ended(const Message& message) override;
-  void Told(const Message& message) override;
-  void Kept(const Message& message) override;
-  bool Safe(const Message& message) const override;
+  bool AppendAccepted(std::span<const Message* const> messages) override;
+  void AppendAttempt(const Message& message) override;
+  void AppendOutcome(const Message& message, Outcome outcome) override;
+  void AppendCompletion(const Message& message) override;
+  void AppendNotified(const Message& message) override;
+  void AppendDeadLettered(const Message& message) override;
+  bool IsDurable(const Message& message) const override;
 
   // Another process goes on with it: nothing is written any more.
   void Retire() { fenced_ = true; }
   // One that was to go on with it has died. True: all is as it was, in an epoch above any that it began.
   // False: it wrote more than the beginning of an epoch, or there is no room for another.
-  bool TakeBack();
+  bool Reclaim();
   int lock_descriptor() const { return lock_->descriptor(); }
-  bool dirty() const { return !dirty_.empty() || !tombstones_.empty(); }  // records could not be written
+  bool has_unwritten_records() const {
+    return !dirty_.empty() || !tombstones_.empty();
+  }  // records could not be written
 
-  void Turn();  // steps that are due: compaction, group commit, trying again after an error
+  void RunDueWork();  // steps that are due: compaction, group commit, trying again after an error
 
   struct Counters {
-    std::uint64_t appended = 0, copied = 0;  // bytes, frames included
-    std::uint64_t rolls = 0, drops = 0, syncs = 0, failures = 0;
+    std::uint64_t bytes_appended = 0, bytes_copied = 0;  // bytes, frames included
+    std::uint64_t segments_started = 0, segments_dropped = 0, syncs = 0, failures = 0;
     Duration longest_step{0};  // of compaction
   };
   const Counters& counters() const { return counters_; }
   const ReplayReport& report() const { return report_; }
-  bool fresh() const { return fresh_; }              // nothing was on record
-  const std::string& note() const { return note_; }  // of the reading, for the log
-  std::uint64_t disk_bytes() const;                  // as the budget counts them
+  bool is_new() const { return fresh_; }                    // nothing was on record
+  const std::string& replay_note() const { return note_; }  // of the reading, for the log
+  std::uint64_t disk_bytes() const;                         // as the budget counts them
   std::uint64_t live_bytes() const { return live_bytes_; }
   std::uint64_t segments() const { return segments_.size(); }
   std::uint64_t epoch() const { return manifest_.epoch; }
-  bool full() const { return full_; }
-  bool writable() const { return !unwritable_ && !broken_ && !fenced_; }
+  bool is_full() const { return full_; }
+  bool is_writable() const { return !unwritable_ && !broken_ && !fenced_; }
 
  private:
   struct Segment {
@@ -162,7 +165,7 @@
   FileSystem& files_;
   const JournalSettings settings_;
   const std::uint64_t segment_bytes_;
-  Ledger& ledger_;
+  MessageTable& messages_;
   const Clock& clock_;
   Logger& log_;
   JournalHost& host_;
--- a/src/journal/snapshot.cpp
+++ b/src/journal/snapshot.cpp
@@ -78,10 +78,10 @@
 
 }  // namespace
 
-ReplayReport ReplayLive(FileSystem& files, const std::string& folder, Ledger& ledger) {
+ReplayReport ReplayLive(FileSystem& files, const std::string& folder, MessageTable& ledger) {
   for (int tries = 0;; ++tries) {
-    ledger = Ledger();
-    Applier applier(ledger);
+    ledger = MessageTable();
+    RecordApplier applier(ledger);
     ReplayReport report = Replay(files, folder, applier);
     int error = 0;
     const auto after = ReadManifestFile(files, folder, error);
@@ -89,8 +89,8 @@
   }
 }
 
-Copied TakeSnapshot(FileSystem& files, const std::string& from, const std::string& to) {
-  Copied copied;
+SnapshotResult WriteSnapshot(FileSystem& files, const std::string& from, const std::string& to) {
+  SnapshotResult copied;
   const std::vector<OpenSegment> all = OpenAll(files, from, copied.manifest);
   int error = files.MakeFolder(to);
   if (error != 0) Raise(to, error);
@@ -103,13 +103,13 @@
   return copied;
 }
 
-Copied RestoreSnapshot(FileSystem& files, const std::string& from, const std::string& to,
-                       const RestoreOptions& options) {
-  Ledger ledger;
-  Applier applier(ledger);
+SnapshotResult RestoreSnapshot(FileSystem& files, const std::string& from, const std::string& to,
+                               const RestoreOptions& options) {
+  MessageTable ledger;
+  RecordApplier applier(ledger);
   const ReplayReport report = Replay(files, from, applier);
   if (report.segments.empty()) throw std::runtime_error(from + ": expected a snapshot of a journal");
-  if (report.damaged() && !options.damaged) {
+  if (report.is_damaged() && !options.allow_damaged) {
     throw std::runtime_error(from +
                              ": this snapshot is damaged (sagetally journal verify); --damaged takes it");
   }
@@ -121,11 +121,11 @@
     Raise(to, error);
   }
   const auto there = ReadManifestFile(files, to, error);
-  const std::vector<std::uint64_t> numbers = SegmentsIn(files, to);
+  const std::vector<std::uint64_t> numbers = ListSegments(files, to);
   if ((there || !numbers.empty()) && !options.replace) {
     throw std::runtime_error(to + ": holds a journal already; --replace puts the snapshot in its place");
   }
-  Copied copied;
+  SnapshotResult copied;
   const std::vector<OpenSegment> all = OpenAll(files, from, copied.manifest);
   Manifest& m = copied.manifest;
   const std::uint64_t first = std::max(m.oldest, numbers.empty() ? 0 : numbers.back() + 1);
--- a/src/journal/snapshot.h
+++ b/src/journal/snapshot.h
@@ -11,9 +11,9 @@
 namespace sagetally {
 
 // As Replay, but begun anew while a process drops segments under it.
-ReplayReport ReplayLive(FileSystem& files, const std::string& folder, Ledger& ledger);
+ReplayReport ReplayLive(FileSystem& files, const std::string& folder, MessageTable& ledger);
 
-struct Copied {
+struct SnapshotResult {
   std::uint64_t segments = 0, bytes = 0;
   Manifest manifest;
 };
@@ -21,17 +21,17 @@
 // Copies the journal in `from` to the folder `to`, which must not hold one. A process may write to it
 // meanwhile: its segments only grow, and one that is dropped is read on through its open file. Throws
 // std::runtime_error.
-Copied TakeSnapshot(FileSystem& files, const std::string& from, const std::string& to);
+SnapshotResult WriteSnapshot(FileSystem& files, const std::string& from, const std::string& to);
 
 struct RestoreOptions {
   bool replace = false;  // the journal that is there goes
   bool exact = false;    // nothing has happened since the snapshot: its node was stopped before it was taken
-  bool damaged = false;  // although the snapshot is
+  bool allow_damaged = false;  // although the snapshot is
 };
 // Makes the snapshot the journal in `to`, under an epoch above both. Until the manifest is switched the one
 // that was there counts. Throws std::runtime_error naming what is in the way.
-Copied RestoreSnapshot(FileSystem& files, const std::string& from, const std::string& to,
-                       const RestoreOptions& options);
+SnapshotResult RestoreSnapshot(FileSystem& files, const std::string& from, const std::string& to,
+                               const RestoreOptions& options);
 
 }  // namespace sagetally
 
--- a/src/loadtest/cli.cpp
+++ b/src/loadtest/cli.cpp
@@ -17,7 +17,7 @@
 #include "loadtest/stub/stub_set.h"
 #include "logging/logger.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr int kWrongUsage = 2;
@@ -157,7 +157,7 @@
   if (wanted("partner") && settings.partners.empty()) settings.partners.emplace_back();
   settings.serve_partners = wanted("partner");
   Logger log;
-  Loop loop;
+  EventLoop loop;
   const Signal term(loop, SIGTERM, [&] { loop.Break(); });
   const Signal interrupt(loop, SIGINT, [&] { loop.Break(); });
   std::ofstream record;
@@ -176,9 +176,9 @@
   std::unique_ptr<Timer> flush;  // so that a reader need not wait for the end
   flush = std::make_unique<Timer>(loop, [&] {
     record.flush();
-    flush->After(std::chrono::milliseconds(200));
+    flush->Schedule(std::chrono::milliseconds(200));
   });
-  if (record.is_open()) flush->After(std::chrono::milliseconds(200));
+  if (record.is_open()) flush->Schedule(std::chrono::milliseconds(200));
   for (const auto& p : standins.partners)
     log.Info("partner.ready",
              {{"uid", p->settings().uid}, {"destination", p->settings().destination}, {"port", p->port()}});
@@ -395,4 +395,4 @@
   return CompareRuns(compare);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/clock.h
+++ b/src/loadtest/clock.h
@@ -5,13 +5,13 @@
 #include <chrono>
 #include <cstdint>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 inline std::int64_t NowUs() {
   const auto now = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_CLOCK_H_
--- a/src/loadtest/demo/child.cpp
+++ b/src/loadtest/demo/child.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 int Code(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
@@ -75,4 +75,4 @@
   return code_ = Code(status);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/demo/child.h
+++ b/src/loadtest/demo/child.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class Child {
  public:
@@ -36,6 +36,6 @@
 // The port for clients that a node's log names once it is ready (a planner has none: 0); nothing until then.
 std::optional<std::uint16_t> ReadyPort(const std::string& log);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_DEMO_CHILD_H_
--- a/src/loadtest/demo/demo.cpp
+++ b/src/loadtest/demo/demo.cpp
@@ -16,7 +16,7 @@
 #include "loadtest/report/html.h"
 #include "loadtest/stub/thread.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace fs = std::filesystem;
@@ -310,4 +310,4 @@
   return result;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/demo/demo.h
+++ b/src/loadtest/demo/demo.h
@@ -8,7 +8,7 @@
 
 #include "loadtest/report/result.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct TryOptions {
   bool two_levels = false;
@@ -24,6 +24,6 @@
 // Throws std::runtime_error if a part doesn't start; its log is named.
 Result Try(const TryOptions& options, std::ostream& out);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_DEMO_DEMO_H_
--- a/src/loadtest/interrupt.h
+++ b/src/loadtest/interrupt.h
@@ -5,7 +5,7 @@
 #include <csignal>
 #include <ctime>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class Interrupt {
  public:
@@ -28,6 +28,6 @@
   bool asked_ = false;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
--- a/src/loadtest/load/client.cpp
+++ b/src/loadtest/load/client.cpp
@@ -17,7 +17,7 @@
 
 #include "base/file_descriptor.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace http = boost::beast::http;
@@ -61,9 +61,9 @@
     heard_ = false;
     parser_.emplace();
     parser_->eager(true);
-    if (clients_.answer_.count() > 0) give_up_.After(clients_.answer_);
+    if (clients_.answer_.count() > 0) give_up_.Schedule(clients_.answer_);
     if (socket_.get() < 0 || failed_) {
-      give_up_.After(Duration(0));  // heard of from the loop, as any other failure is
+      give_up_.Schedule(Duration(0));  // heard of from the loop, as any other failure is
       return;
     }
     if (connecting_) {
@@ -151,7 +151,7 @@
   }
 
   Clients& clients_;
-  const Fd socket_{::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
+  const FileDescriptor socket_{::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
   EventPtr read_, write_;
   Timer give_up_;
   std::string request_, partial_;
@@ -161,7 +161,7 @@
   bool connecting_ = false, failed_ = false, used_ = false, again_ = false, heard_ = false;
 };
 
-Clients::Clients(Loop& loop, const std::vector<Address>& targets, int most, Duration answer)
+Clients::Clients(EventLoop& loop, const std::vector<Address>& targets, int most, Duration answer)
     : loop_(loop), targets_(targets), most_(most), answer_(answer), sweep_(loop, [this] {
         closed_.clear();
       }) {}
@@ -196,7 +196,7 @@
   closed_.push_back(std::move(*at));  // freed once its own code has returned
   *at = std::move(all_.back());
   all_.pop_back();
-  sweep_.After(Duration(0));
+  sweep_.Schedule(Duration(0));
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/client.h
+++ b/src/loadtest/load/client.h
@@ -11,7 +11,7 @@
 #include "config/config.h"
 #include "net/event_loop.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Reply {
   int code = 0;            // 0: none
@@ -25,7 +25,7 @@
  public:
   using Done = std::function<void(const Reply&)>;
   // `most`: connections at once, dealt out over the targets. `answer`: wait for one; 0: for ever.
-  Clients(Loop& loop, const std::vector<Address>& targets, int most, Duration answer);
+  Clients(EventLoop& loop, const std::vector<Address>& targets, int most, Duration answer);
   ~Clients();
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
@@ -43,7 +43,7 @@
   ClientConnection* Open();
   void Free(ClientConnection& connection, bool keep);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const std::vector<Address> targets_;
   const int most_;
   const Duration answer_;
@@ -54,6 +54,6 @@
   Timer sweep_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_CLIENT_H_
--- a/src/loadtest/load/distribution.cpp
+++ b/src/loadtest/load/distribution.cpp
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace math = boost::math;
@@ -121,4 +121,4 @@
                     form_);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/distribution.h
+++ b/src/loadtest/load/distribution.h
@@ -14,7 +14,7 @@
 
 #include "loadtest/random.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Always {  // one value
   double value = 0;
@@ -46,6 +46,6 @@
   Form form_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_DISTRIBUTION_H_
--- a/src/loadtest/load/import.cpp
+++ b/src/loadtest/load/import.cpp
@@ -12,7 +12,7 @@
 
 #include "loadtest/load/import_grammar.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr std::size_t kMostProblems = 10;
@@ -221,4 +221,4 @@
 
 Imported ImportTrace(std::istream& in, const ImportOptions& options) { return Importing(options).Run(in); }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/import.h
+++ b/src/loadtest/load/import.h
@@ -9,7 +9,7 @@
 
 #include "loadtest/load/plan.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 enum class TraceForm { kCsv, kJsonLines, kCombined };
 
@@ -52,6 +52,6 @@
 // std::runtime_error naming line and column if strict, or if no line can be read.
 Imported ImportTrace(std::istream& in, const ImportOptions& options);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_H_
--- a/src/loadtest/load/import_grammar.cpp
+++ b/src/loadtest/load/import_grammar.cpp
@@ -5,10 +5,10 @@
 #include <boost/spirit/home/x3.hpp>
 #include <chrono>
 
-BOOST_FUSION_ADAPT_STRUCT(sagetally::lab::CombinedLine, host, ident, user, time, request, status, bytes,
+BOOST_FUSION_ADAPT_STRUCT(sagetally::loadtest::CombinedLine, host, ident, user, time, request, status, bytes,
                           referer, agent)
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace x3 = boost::spirit::x3;
@@ -114,4 +114,4 @@
   throw LineError(1, "a time: a number, ISO 8601 or day/Mon/year:hour:minute:second zone");
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/import_grammar.h
+++ b/src/loadtest/load/import_grammar.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct LineError : std::runtime_error {
   LineError(std::size_t column, const std::string& expected) : std::runtime_error(expected), column(column) {}
@@ -25,6 +25,6 @@
 // access log's "07/Jan/2026:12:00:00 -0300".
 double ParseTime(std::string_view text, double unit_s);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_GRAMMAR_H_
--- a/src/loadtest/load/limit.cpp
+++ b/src/loadtest/load/limit.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 Limit FindLimit(const LimitOptions& o, const std::function<Probe(double, double)>& run) {
   Limit limit;
@@ -29,4 +29,4 @@
   return limit;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/limit.h
+++ b/src/loadtest/load/limit.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Probe {
   double rate = 0, seconds = 0;
@@ -31,6 +31,6 @@
 // judges.
 Limit FindLimit(const LimitOptions& options, const std::function<Probe(double rate, double seconds)>& run);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_LIMIT_H_
--- a/src/loadtest/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -8,7 +8,7 @@
 #include <boost/spirit/home/x3.hpp>
 #include <cmath>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace x3 = boost::spirit::x3;
@@ -138,4 +138,4 @@
   return id;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/plan.h
+++ b/src/loadtest/load/plan.h
@@ -13,7 +13,7 @@
 #include "loadtest/load/rate.h"
 #include "loadtest/load/scenario.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Planned {
   std::int64_t number = 0;  // one identity through all its hand-ins
@@ -65,6 +65,6 @@
 // Nothing if it is none of ours. What a CloudEvents front puts before it (source and '|') is passed over.
 std::optional<HandInId> ParseHandInId(std::string_view text);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
--- a/src/loadtest/load/rate.cpp
+++ b/src/loadtest/load/rate.cpp
@@ -7,7 +7,7 @@
 #include <numeric>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr double kForEver = std::numeric_limits<double>::infinity();
@@ -138,4 +138,4 @@
   }
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/rate.h
+++ b/src/loadtest/load/rate.h
@@ -9,7 +9,7 @@
 
 #include "loadtest/load/distribution.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 // One piece; the rate goes straight from `from` to `to` (messages a second) in `seconds`. The last piece of a
 // curve lasts for ever at one rate.
@@ -58,6 +58,6 @@
   double into_ = 0;   // seconds of it that are used up
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_RATE_H_
--- a/src/loadtest/load/run.cpp
+++ b/src/loadtest/load/run.cpp
@@ -10,7 +10,7 @@
 #include "loadtest/clock.h"
 #include "loadtest/load/trace.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr std::int64_t kOtherDescriptors = 64;
@@ -136,4 +136,4 @@
   return run;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/run.h
+++ b/src/loadtest/load/run.h
@@ -10,7 +10,7 @@
 
 #include "loadtest/load/sender.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct RunOptions {
   std::string record;          // a file for the plan as it was offered; empty: none
@@ -37,6 +37,6 @@
 // Throws std::runtime_error before anything is sent if descriptors or memory won't do.
 RunRecords RunLoad(const Scenario& scenario, const RunOptions& options = RunOptions());
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
--- a/src/loadtest/load/scenario.cpp
+++ b/src/loadtest/load/scenario.cpp
@@ -6,7 +6,7 @@
 #include "loadtest/load/distribution.h"
 #include "loadtest/schemas.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -115,11 +115,11 @@
 Scenario ReadScenario(const std::string& path, const Overrides& overrides) {
   Json json = ReadJsonFile(path);
   try {
-    Override(ScenarioSchema(), json, overrides);
+    ApplyOverrides(ScenarioSchema(), json, overrides);
     return ScenarioFromJson(json);
   } catch (const std::exception& error) {
     throw std::runtime_error((path.empty() ? "scenario" : path) + ": " + error.what());
   }
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/scenario.h
+++ b/src/loadtest/load/scenario.h
@@ -11,7 +11,7 @@
 #include "config/config.h"
 #include "config/schema.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 enum class Front { kPlatform, kEvents };
 enum class EventMode { kBinary, kStructured, kBatched };
@@ -80,6 +80,6 @@
 
 const char* Name(Repeat repeat);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_SCENARIO_H_
--- a/src/loadtest/load/self_watch.cpp
+++ b/src/loadtest/load/self_watch.cpp
@@ -10,7 +10,7 @@
 #include "loadtest/clock.h"
 #include "loadtest/report/histogram.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr std::int64_t kJumpUs = 50'000;
@@ -71,4 +71,4 @@
   return why;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/self_watch.h
+++ b/src/loadtest/load/self_watch.h
@@ -8,7 +8,7 @@
 
 #include "loadtest/load/scenario.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class LatencyHistogram;
 
@@ -35,6 +35,6 @@
 std::vector<std::string> Invalid(const Validity& limits, const LatencyHistogram& lag,
                                  const std::vector<SelfReport>& threads);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_SELF_WATCH_H_
--- a/src/loadtest/load/sender.cpp
+++ b/src/loadtest/load/sender.cpp
@@ -4,7 +4,7 @@
 
 #include "loadtest/clock.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr Duration kPlanLate = std::chrono::microseconds(200);
@@ -51,7 +51,7 @@
   SelfWatch watch;
   watch_ = &watch;
   Watch();
-  next_.After(Us(0));
+  next_.Schedule(Us(0));
   loop_.Run();
   self_ = watch.Report();
   watch_ = nullptr;
@@ -65,7 +65,7 @@
 void Sender::Watch() {
   watch_->Sample();
   if (Over(NowUs())) return loop_.Break();
-  watch_timer_.After(kWatch);
+  watch_timer_.Schedule(kWatch);
 }
 
 // Sends all that is due, and sets the timer for what comes next.
@@ -100,10 +100,10 @@
     next = now;
   } else if (!feed_.done) {
     ++waits_for_plan_;
-    return next_.After(kPlanLate);
+    return next_.Schedule(kPlanLate);
   }
   if (!again_.empty()) next = std::min(next, again_.top().at_us);
-  if (next != INT64_MAX) next_.After(Us(next - now));
+  if (next != INT64_MAX) next_.Schedule(Us(next - now));
 }
 
 void Sender::Due() {
@@ -122,7 +122,7 @@
   if (scenario_.front != Front::kEvents || scenario_.mode != EventMode::kBatched) return Post({record});
   batch_open_.push_back(record);
   if (static_cast<int>(batch_open_.size()) >= scenario_.batch) return CloseBatch();
-  if (batch_open_.size() == 1) batch_.After(Us(static_cast<std::int64_t>(scenario_.batch_wait_ms * 1000)));
+  if (batch_open_.size() == 1) batch_.Schedule(Us(static_cast<std::int64_t>(scenario_.batch_wait_ms * 1000)));
 }
 
 void Sender::CloseBatch() {
@@ -196,4 +196,4 @@
   (refused ? progress_.refused : progress_.unanswered).fetch_add(1, std::memory_order_relaxed);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/sender.h
+++ b/src/loadtest/load/sender.h
@@ -15,7 +15,7 @@
 #include "loadtest/load/wire.h"
 #include "loadtest/report/record.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 // From the thread that draws the plan to one that sends.
 struct Feed {
@@ -68,7 +68,7 @@
   const std::int64_t start_us_;
   Progress& progress_;
   const std::atomic<bool>& stop_;
-  Loop loop_;
+  EventLoop loop_;
   Clients clients_;
   Timer next_, batch_, watch_timer_;
   std::vector<Record> records_;
@@ -82,6 +82,6 @@
   SelfWatch* watch_ = nullptr;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
--- a/src/loadtest/load/trace.cpp
+++ b/src/loadtest/load/trace.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 std::vector<std::string> NamesOf(const Scenario& scenario) {
@@ -78,4 +78,4 @@
   }
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/trace.h
+++ b/src/loadtest/load/trace.h
@@ -10,7 +10,7 @@
 
 #include "loadtest/load/plan.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class TraceWriter {
  public:
@@ -41,6 +41,6 @@
   std::int64_t line_ = 0, number_ = 0, last_us_ = 0;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
--- a/src/loadtest/load/wire.cpp
+++ b/src/loadtest/load/wire.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 // The same for each message, so that a body costs the generator a copy and no more.
@@ -88,4 +88,4 @@
       batched ? "-batch" : "", body.size(), body);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/load/wire.h
+++ b/src/loadtest/load/wire.h
@@ -7,7 +7,7 @@
 
 #include "loadtest/load/plan.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct HandIn {  // one message, once
   const Planned* message = nullptr;
@@ -23,6 +23,6 @@
 // Several only in a batch of events.
 std::string RequestText(const Scenario& scenario, std::uint32_t run, std::span<const HandIn> hand_ins);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -8,7 +8,7 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    return sagetally::lab::RunLab(argc, argv);
+    return sagetally::loadtest::RunLab(argc, argv);
   } catch (const std::exception& error) {
     std::cerr << "sagetally-loadtest: " << error.what() << "\n";
     return 1;
--- a/src/loadtest/random.h
+++ b/src/loadtest/random.h
@@ -9,7 +9,7 @@
 #include <pcg_random.hpp>
 #include <string_view>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 using Random = pcg64;  // PCG XSL RR 128/64 (O'Neill, 2014)
 
@@ -18,6 +18,6 @@
   return Random(hash.low64, hash.high64);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_RANDOM_H_
--- a/src/loadtest/report/account.cpp
+++ b/src/loadtest/report/account.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 // The protocol's leeway: a message is lost 300 ms after its time is up.
@@ -233,4 +233,4 @@
   return settling.Take();
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/account.h
+++ b/src/loadtest/report/account.h
@@ -13,7 +13,7 @@
 #include "loadtest/report/record.h"
 #include "loadtest/stub/timeline.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 // The one end of a message, seen from outside.
 enum class Fate {
@@ -73,6 +73,6 @@
 Account Settle(const Scenario& scenario, std::span<const Record> records, std::span<const Sighting> sightings,
                bool watched, std::int64_t over_us, std::uint32_t run, std::span<const FaultSpan> faults = {});
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_ACCOUNT_H_
--- a/src/loadtest/report/histogram.cpp
+++ b/src/loadtest/report/histogram.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr double kLeast = 10, kMost = 600e6;
@@ -91,4 +91,4 @@
   return h;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/histogram.h
+++ b/src/loadtest/report/histogram.h
@@ -11,7 +11,7 @@
 #include <tuple>
 #include <vector>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class LatencyHistogram {
  public:
@@ -45,6 +45,6 @@
   double min_ = 0, max_ = 0, sum_ = 0;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_HISTOGRAM_H_
--- a/src/loadtest/report/html.cpp
+++ b/src/loadtest/report/html.cpp
@@ -12,7 +12,7 @@
 #include "loadtest/report/plots.h"
 #include "loadtest/report/statistics.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -156,4 +156,4 @@
   table.Print(out);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/html.h
+++ b/src/loadtest/report/html.h
@@ -9,7 +9,7 @@
 
 #include "loadtest/report/result.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 // Writes report.html, report.json, plots and their data into `folder`. Throws std::runtime_error.
 void WriteReport(const std::vector<Result>& runs, const std::string& folder);
@@ -18,6 +18,6 @@
 nlohmann::json Compare(const std::vector<Result>& a, const std::vector<Result>& b);
 void PrintComparison(const nlohmann::json& comparison, std::ostream& out);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_HTML_H_
--- a/src/loadtest/report/plots.cpp
+++ b/src/loadtest/report/plots.cpp
@@ -10,7 +10,7 @@
 
 #include "loadtest/demo/child.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace fs = std::filesystem;
@@ -123,4 +123,4 @@
   return plots;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/plots.h
+++ b/src/loadtest/report/plots.h
@@ -7,7 +7,7 @@
 
 #include "loadtest/report/result.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Plot {
   std::string name, title;  // files NAME.svg and NAME.png
@@ -18,6 +18,6 @@
 // is there. Throws std::runtime_error if the folder can't be written.
 std::vector<Plot> DrawPlots(const Result& result, const std::string& folder, const std::string& prefix);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
--- a/src/loadtest/report/record.cpp
+++ b/src/loadtest/report/record.cpp
@@ -7,7 +7,7 @@
 #include <ostream>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 const char* Name(SeenKind kind) {
   static constexpr const char* kNames[] = {"delivered", "effect", "undeliverable", "deferred"};
@@ -55,4 +55,4 @@
   return observed;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/record.h
+++ b/src/loadtest/report/record.h
@@ -11,7 +11,7 @@
 #include "loadtest/load/plan.h"
 #include "loadtest/stub/timeline.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 inline constexpr std::int64_t kNever = -1;
 
@@ -49,6 +49,6 @@
 // Throws std::runtime_error naming file and line.
 Observed ReadObserved(const std::string& path);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_RECORD_H_
--- a/src/loadtest/report/result.cpp
+++ b/src/loadtest/report/result.cpp
@@ -10,7 +10,7 @@
 #include "config/schema.h"
 #include "loadtest/schemas.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -247,4 +247,4 @@
   for (const std::string& why : r.why_invalid) out << "NOT VALID: " << why << "\n";
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/result.h
+++ b/src/loadtest/report/result.h
@@ -11,7 +11,7 @@
 #include "loadtest/report/account.h"
 #include "loadtest/stub/timeline.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Result {
   std::string name;
@@ -37,6 +37,6 @@
 // The table that ends a run, and what is wrong with it in plain words.
 void PrintResult(const Result& result, std::ostream& out);
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_RESULT_H_
--- a/src/loadtest/report/statistics.cpp
+++ b/src/loadtest/report/statistics.cpp
@@ -9,7 +9,7 @@
 #include <cmath>
 #include <vector>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 namespace acc = boost::accumulators;
@@ -62,4 +62,4 @@
   return Interval{ratio, std::exp(y.mean - x.mean - half), std::exp(y.mean - x.mean + half)};
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/report/statistics.h
+++ b/src/loadtest/report/statistics.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <span>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Interval {
   double middle = 0, low = 0, high = 0;  // 95%
@@ -18,6 +18,6 @@
 std::optional<Interval> RatioInterval(std::span<const double> a, std::span<const double> b);
 double Mean(std::span<const double> values);  // 0 if there are none
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_REPORT_STATISTICS_H_
--- a/src/loadtest/schemas.h
+++ b/src/loadtest/schemas.h
@@ -4,10 +4,10 @@
 
 #include <string_view>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 extern const std::string_view kScenarioSchema, kStandInSchema, kResultSchema;
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
--- a/src/loadtest/stub/agent.cpp
+++ b/src/loadtest/stub/agent.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -25,11 +25,11 @@
 
 std::string ToJson(const Target& target) { return AsJson(target).dump(); }
 
-Agent::Agent(Loop& loop, const Address& at)
+Agent::Agent(EventLoop& loop, const Address& at)
     : loop_(loop),
       beat_(loop, [this] { Beat(); }),
       listener_(loop, at, [this](const auto& call) { Asked(call); }) {
-  beat_.After(kBeat);
+  beat_.Schedule(kBeat);
 }
 Agent::~Agent() = default;
 
@@ -44,7 +44,7 @@
   if (!how.silent) {
     for (const auto& call : watches_) call->Chunk("\n");
   }
-  beat_.After(kBeat);
+  beat_.Schedule(kBeat);
 }
 
 void Agent::Put(const Target& target) {
@@ -54,7 +54,7 @@
   if (how.lost || how.silent) return;
   if (how.late_ms <= 0) return TellChange(target);
   late_.push_back(std::make_unique<Timer>(loop_, [this, target] { TellChange(target); }));
-  late_.back()->After(Duration(static_cast<std::int64_t>(how.late_ms * 1000)));
+  late_.back()->Schedule(Duration(static_cast<std::int64_t>(how.late_ms * 1000)));
 }
 
 void Agent::SetState(const std::string& uid, const std::string& state) {
@@ -124,4 +124,4 @@
   call.Answer(code);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/agent.h
+++ b/src/loadtest/stub/agent.h
@@ -11,7 +11,7 @@
 
 #include "loadtest/stub/listener.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Target {  // an entry of the list
   std::string uid, endpoint, zone = "a", model = "partner", state = "in_service";
@@ -30,7 +30,7 @@
 
 class Agent {
  public:
-  explicit Agent(Loop& loop, const Address& at = {"127.0.0.1", 0});
+  explicit Agent(EventLoop& loop, const Address& at = {"127.0.0.1", 0});
   ~Agent();
 
   std::uint16_t port() const { return listener_.port(); }
@@ -61,7 +61,7 @@
   std::string List(const std::map<std::string, Target>& targets, std::int64_t revision) const;
   void Beat();
 
-  Loop& loop_;
+  EventLoop& loop_;
   std::int64_t revision_ = 1;
   std::map<std::string, Target> targets_, first_;
   std::vector<std::shared_ptr<Call>> watches_;
@@ -70,6 +70,6 @@
   Listener listener_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_AGENT_H_
--- a/src/loadtest/stub/checker.cpp
+++ b/src/loadtest/stub/checker.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr std::size_t kMostFindings = 100;
@@ -103,4 +103,4 @@
   }
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/checker.h
+++ b/src/loadtest/stub/checker.h
@@ -12,7 +12,7 @@
 #include "loadtest/load/plan.h"
 #include "loadtest/report/account.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Rules {
   int slots = 0;  // calls out at once of one dispatcher; 0: not judged
@@ -84,6 +84,6 @@
   std::map<std::string, std::int64_t> draining_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_CHECKER_H_
--- a/src/loadtest/stub/frontend.cpp
+++ b/src/loadtest/stub/frontend.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 // The ids of all that a request hands in, at either front.
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-FrontStandIn::FrontStandIn(Loop& loop, const Address& at, const Timeline& timeline, Random random,
+FrontStandIn::FrontStandIn(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
                            std::int64_t started_us)
     : timeline_(timeline),
       random_(random),
@@ -63,4 +63,4 @@
   call->Answer(202);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/frontend.h
+++ b/src/loadtest/stub/frontend.h
@@ -11,12 +11,12 @@
 #include "loadtest/stub/listener.h"
 #include "loadtest/stub/listener_script.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class FrontStandIn {
  public:
   static constexpr const char* kUid = "front";  // in the timeline
-  FrontStandIn(Loop& loop, const Address& at, const Timeline& timeline, Random random,
+  FrontStandIn(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
                std::int64_t started_us);
   std::uint16_t port() const { return listener_.port(); }
   Listener& listener() { return listener_; }
@@ -31,6 +31,6 @@
   ListenerScript script_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
--- a/src/loadtest/stub/listener.cpp
+++ b/src/loadtest/stub/listener.cpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 namespace http = boost::beast::http;
 
@@ -165,7 +165,7 @@
   if (!gone()) peer_->Reset();
 }
 
-Listener::Listener(Loop& loop, const Address& at, Handler handler)
+Listener::Listener(EventLoop& loop, const Address& at, Handler handler)
     : loop_(loop), at_(at), handler_(std::move(handler)), sweep_(loop, [this] { dropped_.clear(); }) {
   Listen();
 }
@@ -203,7 +203,7 @@
   dropped_.push_back(std::move(at->second));
   peers_.erase(at);
   peer.Leave();
-  sweep_.After(Duration(0));
+  sweep_.Schedule(Duration(0));
 }
 
 void Listener::SetUp(bool up) {
@@ -220,4 +220,4 @@
   for (const auto& [key, peer] : peers_) peer->Pause(paused);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/listener.h
+++ b/src/loadtest/stub/listener.h
@@ -15,7 +15,7 @@
 #include "config/config.h"
 #include "net/event_loop.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class Peer;
 
@@ -50,7 +50,7 @@
  public:
   using Handler = std::function<void(std::shared_ptr<Call>)>;
   // Port 0: any. Throws std::runtime_error if it can't listen.
-  Listener(Loop& loop, const Address& at, Handler handler);
+  Listener(EventLoop& loop, const Address& at, Handler handler);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -71,7 +71,7 @@
   void Listen();
   void Drop(Peer& peer);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Address at_;
   Handler handler_;
   std::unique_ptr<evconnlistener, Free<evconnlistener_free>> listener_;
@@ -82,6 +82,6 @@
   Timer sweep_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_LISTENER_H_
--- a/src/loadtest/stub/listener_script.cpp
+++ b/src/loadtest/stub/listener_script.cpp
@@ -5,9 +5,9 @@
 
 #include "loadtest/clock.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
-ListenerScript::ListenerScript(Loop& loop, Listener& listener, const Timeline& timeline, std::string uid,
+ListenerScript::ListenerScript(EventLoop& loop, Listener& listener, const Timeline& timeline, std::string uid,
                                int destination, std::int64_t started_us)
     : listener_(listener),
       timeline_(timeline),
@@ -38,7 +38,7 @@
     if (!shut) up_since_us_ = NowUs();
   }
   listener_.SetPaused(paused);
-  if (next < 1e12) next_.After(Duration(static_cast<std::int64_t>(std::ceil((next - now) * 1000))));
+  if (next < 1e12) next_.Schedule(Duration(static_cast<std::int64_t>(std::ceil((next - now) * 1000))));
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/listener_script.h
+++ b/src/loadtest/stub/listener_script.h
@@ -7,13 +7,13 @@
 #include "loadtest/stub/listener.h"
 #include "loadtest/stub/timeline.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class ListenerScript {
  public:
   // All outlive it. `started_us`: time 0 of the timeline, on the monotonic clock.
-  ListenerScript(Loop& loop, Listener& listener, const Timeline& timeline, std::string uid, int destination,
-                 std::int64_t started_us);
+  ListenerScript(EventLoop& loop, Listener& listener, const Timeline& timeline, std::string uid,
+                 int destination, std::int64_t started_us);
   double NowMs() const;                                      // of the timeline
   std::int64_t up_since_us() const { return up_since_us_; }  // the last start
 
@@ -28,6 +28,6 @@
   Timer next_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_LISTENER_SCRIPT_H_
--- a/src/loadtest/stub/partner.cpp
+++ b/src/loadtest/stub/partner.cpp
@@ -5,7 +5,7 @@
 
 #include "loadtest/clock.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct Partner::Work {
   std::shared_ptr<Call> call;
@@ -26,7 +26,7 @@
   return who;
 }
 
-Partner::Partner(Loop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker,
+Partner::Partner(EventLoop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker,
                  Random random, std::int64_t started_us)
     : loop_(loop),
       settings_(std::move(settings)),
@@ -53,10 +53,10 @@
   timers_[number] = std::make_unique<Timer>(loop_, [this, number, then = std::move(then)] {
     fired_.push_back(std::move(timers_[number]));  // freed once its own code has returned
     timers_.erase(number);
-    sweep_.After(Duration(0));
+    sweep_.Schedule(Duration(0));
     then();
   });
-  timers_[number]->After(Duration(static_cast<std::int64_t>(ms * 1000)));
+  timers_[number]->Schedule(Duration(static_cast<std::int64_t>(ms * 1000)));
 }
 
 void Partner::Called(std::shared_ptr<Call> call) {
@@ -197,4 +197,4 @@
   checker_.CallOver(NowUs(), work->seen, end, wait_us);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/partner.h
+++ b/src/loadtest/stub/partner.h
@@ -16,7 +16,7 @@
 #include "loadtest/stub/listener_script.h"
 #include "loadtest/stub/timeline.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct PartnerSettings {
   std::string uid = "s-0";
@@ -44,8 +44,8 @@
 class Partner {
  public:
   // `started`: time 0 of the timeline. Timeline and checker outlive the partner.
-  Partner(Loop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker, Random random,
-          std::int64_t started_us);
+  Partner(EventLoop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker,
+          Random random, std::int64_t started_us);
   ~Partner();
   Partner(const Partner&) = delete;
   Partner& operator=(const Partner&) = delete;
@@ -77,7 +77,7 @@
   void After(double ms, std::function<void()> then);
   double NowMs() const;
 
-  Loop& loop_;
+  EventLoop& loop_;
   const PartnerSettings settings_;
   const Timeline& timeline_;
   Checker& checker_;
@@ -97,6 +97,6 @@
   ListenerScript script_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_PARTNER_H_
--- a/src/loadtest/stub/registry.cpp
+++ b/src/loadtest/stub/registry.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr std::size_t kMostChanges = 100;
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Registry::Registry(Loop& loop, const Address& at)
+Registry::Registry(EventLoop& loop, const Address& at)
     : listener_(loop, at, [this](const std::shared_ptr<Call>& call) { Asked(*call); }) {}
 
 void Registry::Put(const std::string& app, const std::string& id, std::uint16_t port,
@@ -96,4 +96,4 @@
   }
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/registry.h
+++ b/src/loadtest/stub/registry.h
@@ -10,11 +10,11 @@
 
 #include "loadtest/stub/listener.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class Registry {
  public:
-  explicit Registry(Loop& loop, const Address& at = {"127.0.0.1", 0});
+  explicit Registry(EventLoop& loop, const Address& at = {"127.0.0.1", 0});
   std::uint16_t port() const { return listener_.port(); }
   // `more`: further JSON members of the instance, with a comma in front.
   void Put(const std::string& app, const std::string& id, std::uint16_t port, const std::string& more = "");
@@ -36,6 +36,6 @@
   std::string stale_list_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_REGISTRY_H_
--- a/src/loadtest/stub/sink.cpp
+++ b/src/loadtest/stub/sink.cpp
@@ -2,9 +2,9 @@
 
 #include <nlohmann/json.hpp>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
-Sink::Sink(Loop& loop, const Address& at)
+Sink::Sink(EventLoop& loop, const Address& at)
     : listener_(loop, at, [this](const std::shared_ptr<Call>& call) { Asked(*call); }) {}
 
 void Sink::Asked(Call& call) {
@@ -29,4 +29,4 @@
   call.Answer(code);
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/sink.h
+++ b/src/loadtest/stub/sink.h
@@ -8,11 +8,11 @@
 
 #include "loadtest/stub/listener.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class Sink {
  public:
-  explicit Sink(Loop& loop, const Address& at = {"127.0.0.1", 0});
+  explicit Sink(EventLoop& loop, const Address& at = {"127.0.0.1", 0});
   std::uint16_t port() const { return listener_.port(); }
   // An event's type and the id of the message that it speaks of (its subject).
   std::function<void(const std::string& type, const std::string& id)> on_event;
@@ -24,6 +24,6 @@
   Listener listener_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_SINK_H_
--- a/src/loadtest/stub/stub_set.cpp
+++ b/src/loadtest/stub/stub_set.cpp
@@ -6,7 +6,7 @@
 #include "loadtest/load/scenario.h"
 #include "loadtest/schemas.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -76,14 +76,14 @@
 StandInSettings ReadStandIns(const std::string& path, const Overrides& overrides) {
   Json json = ReadJsonFile(path);
   try {
-    Override(StandInSchema(), json, overrides);
+    ApplyOverrides(StandInSchema(), json, overrides);
     return StandInSettingsFromJson(json);
   } catch (const std::exception& error) {
     throw std::runtime_error((path.empty() ? "stand-ins" : path) + ": " + error.what());
   }
 }
 
-StandIns::StandIns(Loop& loop, const StandInSettings& settings)
+StandIns::StandIns(EventLoop& loop, const StandInSettings& settings)
     : checker(settings.rules),
       loop_(loop),
       listed_(settings.partners),
@@ -110,7 +110,7 @@
     for (const ListChange& change : settings.list_changes) {
       changes_.push_back(
           std::make_unique<Timer>(loop, [this, change] { agent->SetState(change.uid, change.state); }));
-      changes_.back()->After(Duration(static_cast<std::int64_t>(change.at_ms * 1000)));
+      changes_.back()->Schedule(Duration(static_cast<std::int64_t>(change.at_ms * 1000)));
     }
   }
   if (settings.registry) {
@@ -156,4 +156,4 @@
   sightings.push_back(std::move(sighting));
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/stub_set.h
+++ b/src/loadtest/stub/stub_set.h
@@ -17,7 +17,7 @@
 #include "loadtest/stub/registry.h"
 #include "loadtest/stub/sink.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 struct ListChange {  // what the agent is to say, and when
   double at_ms = 0;
@@ -41,7 +41,7 @@
 
 class StandIns {
  public:
-  StandIns(Loop& loop, const StandInSettings& settings);
+  StandIns(EventLoop& loop, const StandInSettings& settings);
   ~StandIns();
 
   Checker checker;  // outlives those who tell it
@@ -58,13 +58,13 @@
 
  private:
   void See(SeenKind kind, const std::string& id);
-  Loop& loop_;
+  EventLoop& loop_;
   const std::vector<PartnerSettings> listed_;
   const Timeline timeline_;
   const std::int64_t started_us_;
   std::vector<std::unique_ptr<Timer>> changes_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_STUB_SET_H_
--- a/src/loadtest/stub/thread.cpp
+++ b/src/loadtest/stub/thread.cpp
@@ -3,7 +3,7 @@
 #include <chrono>
 #include <stdexcept>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr Duration kLook = std::chrono::milliseconds(20);
@@ -23,7 +23,7 @@
 
 void StandInThread::Run(const StandInSettings& settings) {
   try {  // guards against an address in use: the constructor tells of it
-    loop_ = std::make_unique<Loop>();
+    loop_ = std::make_unique<EventLoop>();
     standins_ = std::make_unique<StandIns>(*loop_, settings);
   } catch (const std::exception& error) {
     error_ = error.what();
@@ -44,9 +44,9 @@
   look = std::make_unique<Timer>(*loop_, [&] {
     if (stop_) return loop_->Break();
     if (standins_->registry) planners_ = standins_->registry->Count("SAGETALLY");
-    look->After(kLook);
+    look->Schedule(kLook);
   });
-  look->After(kLook);
+  look->Schedule(kLook);
   ready_ = true;
   loop_->Run();
 }
@@ -62,4 +62,4 @@
   return *standins_;
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/thread.h
+++ b/src/loadtest/stub/thread.h
@@ -10,7 +10,7 @@
 
 #include "loadtest/stub/stub_set.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 class StandInThread {
  public:
@@ -37,11 +37,11 @@
   mutable std::mutex mutex_;
   std::vector<Sighting> sightings_;
   std::string error_;
-  std::unique_ptr<Loop> loop_;
+  std::unique_ptr<EventLoop> loop_;
   std::unique_ptr<StandIns> standins_;
   std::thread thread_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_THREAD_H_
--- a/src/loadtest/stub/timeline.cpp
+++ b/src/loadtest/stub/timeline.cpp
@@ -3,7 +3,7 @@
 #include <boost/random/uniform_01.hpp>
 #include <nlohmann/json.hpp>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 constexpr const char* kNames[] = {"well",  "slow",   "silent", "late",  "refuse", "full", "error",
@@ -60,4 +60,4 @@
   return {};
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
--- a/src/loadtest/stub/timeline.h
+++ b/src/loadtest/stub/timeline.h
@@ -10,7 +10,7 @@
 
 #include "loadtest/random.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 enum class Fault {
   kWell,
@@ -58,6 +58,6 @@
   std::vector<FaultSpan> spans_;
 };
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_SRC_LOADTEST_STUB_TIMELINE_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,7 @@
 namespace sagetally {
 namespace {
 
-Needs NeedsOf(const DeployFile& deploy) {
+ConfigRequirements NeedsOf(const NodeFile& deploy) {
   return {.discovery = deploy.role == Role::kBoth, .state = deploy.role != Role::kForwarder};
 }
 
@@ -24,11 +24,11 @@
 
 // Signals are heard from before the node says that it is ready.
 template <typename Node>
-void Run(const Options& options, const Config& config, const DeployFile& deploy, Needs needs) {
+void Run(const Options& options, const Config& config, const NodeFile& deploy, ConfigRequirements needs) {
   Logger log(options.log);
-  Loop loop;
+  EventLoop loop;
   Node* running = nullptr;
-  const auto stop = [&] { running->Stop(); };  // the loop runs only once there is a node
+  const auto stop = [&] { running->Shutdown(); };  // the loop runs only once there is a node
   const Signal term(loop, SIGTERM, stop);
   const Signal interrupt(loop, SIGINT, stop);
   needs.again = true;
@@ -43,7 +43,7 @@
   for (int tries_left = kHandoverTries; !node;) {
     try {
       node = std::make_unique<Node>(loop, log, config, deploy);
-    } catch (const HandoverGivenUp& error) {
+    } catch (const HandoverAborted& error) {
       if (--tries_left == 0) throw;
       log.Warn("handover.again", {{"why", error.what()}});
     }
@@ -56,8 +56,8 @@
 }
 
 void Serve(const Options& options) {
-  const DeployFile deploy = options.ReadNode();
-  const Needs needs = NeedsOf(deploy);
+  const NodeFile deploy = options.ReadNode();
+  const ConfigRequirements needs = NeedsOf(deploy);
   const Config config = options.ReadConfiguration(needs);
   if (deploy.role == Role::kForwarder) {
     if (config.admin) throw std::runtime_error("admin: expected none, a forwarder has no door");
@@ -68,11 +68,11 @@
 }
 
 void CheckConfig(const Options& options) {
-  const DeployFile deploy = options.ReadNode();
+  const NodeFile deploy = options.ReadNode();
   const Config config = options.ReadConfiguration(NeedsOf(deploy));
-  JournalFrom(config, deploy.journal);
-  if (deploy.kept && !deploy.kept->rules_path.empty())
-    kept::ReadRules(deploy.kept->rules_path, config.site.classes);
+  MakeJournalSettings(config, deploy.journal);
+  if (deploy.dead_letters && !deploy.dead_letters->rules_path.empty())
+    dead_letter::ReadRules(deploy.dead_letters->rules_path, config.site.classes);
   std::cout << "configuration can be used: node " << config.name << "\n";
 }
 
@@ -91,12 +91,12 @@
       case CommandLine::Command::kCheckConfig:
         CheckConfig(line.options);
         return 0;
-      case CommandLine::Command::kKept:
-        return RunKept(line.kept, line.options, std::cout, std::cerr);
+      case CommandLine::Command::kDeadLetter:
+        return RunDeadLetterCommand(line.dead_letter, line.options, std::cout, std::cerr);
       case CommandLine::Command::kJournal:
-        return RunJournal(line.journal, std::cout);
-      case CommandLine::Command::kOperate:
-        return RunOperate(line.operate, line.options.admin, std::cout, std::cerr);
+        return RunJournalCommand(line.journal, std::cout);
+      case CommandLine::Command::kAdmin:
+        return RunAdminCommand(line.admin, line.options.admin, std::cout, std::cerr);
       case CommandLine::Command::kServe:
         Serve(line.options);
         return 0;
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -23,17 +23,17 @@
 
 }  // namespace
 
-class Door::Caller {
+class AdminServer::Client {
  public:
-  Caller(Door& door, int fd)
+  Client(AdminServer& door, int fd)
       : door_(door),
         buffers_(bufferevent_socket_new(door.loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE)),
         timer_(door.loop_, [this] { door_.Close(*this); }) {
     bufferevent_setcb(buffers_.get(), Readable, Written, Happened, this);
-    bufferevent_setwatermark(buffers_.get(), EV_READ, 0, 2 * kMostOperatorLine);
+    bufferevent_setwatermark(buffers_.get(), EV_READ, 0, 2 * kMaxAdminLineBytes);
     bufferevent_priority_set(buffers_.get(), kFirst);
     bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
-    timer_.After(kLongestCall);
+    timer_.Schedule(kLongestCall);
   }
   void Leave() {
     buffers_.reset();
@@ -49,34 +49,35 @@
       return;
     }
     const std::size_t size = evbuffer_get_length(in);
-    const ReadCall call = ReadOperatorCall({reinterpret_cast<const char*>(evbuffer_pullup(in, -1)), size});
-    if (call.state == ReadCall::State::kUnfinished) return;
+    const AdminRequest call =
+        ParseAdminRequest({reinterpret_cast<const char*>(evbuffer_pullup(in, -1)), size});
+    if (call.state == AdminRequest::State::kIncomplete) return;
     answered_ = true;
     evbuffer_drain(in, size);
-    const std::string answer = AnswerTo(call, door_.answers_);
+    const std::string answer = HandleAdminRequest(call, door_.answers_);
     bufferevent_write(buffers_.get(), answer.data(), answer.size());
-    timer_.After(kLinger);
+    timer_.Schedule(kLinger);
   }
-  static void Readable(bufferevent*, void* self) { static_cast<Caller*>(self)->Read(); }
+  static void Readable(bufferevent*, void* self) { static_cast<Client*>(self)->Read(); }
   static void Written(bufferevent*, void* self) {
-    auto* c = static_cast<Caller*>(self);
+    auto* c = static_cast<Client*>(self);
     if (c->answered_) ::shutdown(bufferevent_getfd(c->buffers_.get()), SHUT_WR);
   }
   static void Happened(bufferevent* b, short, void* self) {
-    auto* c = static_cast<Caller*>(self);
+    auto* c = static_cast<Client*>(self);
     // One who has ended its sending may still read; the timer ends it.
     if (c->answered_ && evbuffer_get_length(bufferevent_get_output(b)) > 0) return;
     c->door_.Close(*c);
   }
 
-  Door& door_;
+  AdminServer& door_;
   std::unique_ptr<bufferevent, Free<bufferevent_free>> buffers_;
   Timer timer_;
   bool answered_ = false;
 };
 
-Fd Door::Listen(const Address& at) {
-  Fd listener(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+FileDescriptor AdminServer::Listen(const Address& at) {
+  FileDescriptor listener(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(at.port);
@@ -91,7 +92,8 @@
   return listener;
 }
 
-Door::Door(Loop& loop, Fd listener, std::size_t most_connections, OperatorAnswers answers)
+AdminServer::AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t most_connections,
+                         AdminHandlers answers)
     : loop_(loop),
       most_(std::max<std::size_t>(1, most_connections)),
       answers_(std::move(answers)),
@@ -107,18 +109,20 @@
   event_add(accepts_.get(), nullptr);
 }
 
-Door::~Door() = default;
+AdminServer::~AdminServer() = default;
 
-void Door::Acceptable(evutil_socket_t, short, void* self) { static_cast<Door*>(self)->Accept(); }
+void AdminServer::Acceptable(evutil_socket_t, short, void* self) {
+  static_cast<AdminServer*>(self)->Accept();
+}
 
-void Door::Accept() {
+void AdminServer::Accept() {
   // Not all at once: callers who come by the thousand must not keep the clients waiting.
   for (std::size_t i = 0; i < most_; ++i) {
     const int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
         event_del(accepts_.get());  // else the loop would turn round and round
-        accept_again_.After(kAcceptAgain);
+        accept_again_.Schedule(kAcceptAgain);
       }
       return;
     }
@@ -127,17 +131,17 @@
                                          [](const auto& caller) { return caller->answered(); });
       Close(answered == callers_.end() ? *callers_.front() : **answered);
     }
-    callers_.push_back(std::make_unique<Caller>(*this, fd));
+    callers_.push_back(std::make_unique<Client>(*this, fd));
   }
 }
 
-void Door::Close(Caller& caller) {
+void AdminServer::Close(Client& caller) {
   const auto at = std::find_if(callers_.begin(), callers_.end(),
                                [&](const auto& owned) { return owned.get() == &caller; });
   if (at == callers_.end()) return;
   caller.Leave();
   closed_.splice(closed_.end(), callers_, at);
-  sweep_.After(Duration(0));
+  sweep_.Schedule(Duration(0));
 }
 
 }  // namespace sagetally
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -14,33 +14,33 @@
 
 namespace sagetally {
 
-class Door {
+class AdminServer {
  public:
   // A listening socket. Throws std::runtime_error naming the address if it can't listen.
-  static Fd Listen(const Address& at);
+  static FileDescriptor Listen(const Address& at);
   // Each connection takes a descriptor; over `most_connections` the caller that has waited longest without a
   // whole line gives way.
-  Door(Loop& loop, Fd listener, std::size_t most_connections, OperatorAnswers answers);
-  ~Door();
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t most_connections, AdminHandlers answers);
+  ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
   std::uint16_t port() const { return port_; }
 
  private:
-  class Caller;
+  class Client;
   static void Acceptable(evutil_socket_t, short, void* self);
   void Accept();
-  void Close(Caller& caller);
+  void Close(Client& caller);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const std::size_t most_;
-  const OperatorAnswers answers_;
-  Fd listener_;
+  const AdminHandlers answers_;
+  FileDescriptor listener_;
   EventPtr accepts_;
   std::uint16_t port_ = 0;
-  std::list<std::unique_ptr<Caller>> callers_;  // oldest first
-  std::list<std::unique_ptr<Caller>> closed_;   // freed once libevent is out of them
+  std::list<std::unique_ptr<Client>> callers_;  // oldest first
+  std::list<std::unique_ptr<Client>> closed_;   // freed once libevent is out of them
   Timer sweep_, accept_again_;
 };
 
--- a/src/net/control_server.cpp
+++ b/src/net/control_server.cpp
@@ -26,7 +26,7 @@
   bool asked = false;  // one request at a time
 };
 
-ControlServer::ControlServer(Loop& loop, std::string path, std::size_t most_request, Handler handler)
+ControlServer::ControlServer(EventLoop& loop, std::string path, std::size_t most_request, Handler handler)
     : loop_(loop), path_(std::move(path)), most_request_(most_request), handler_(std::move(handler)) {
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
@@ -36,7 +36,7 @@
   }
   std::memcpy(at.sun_path, path_.data(), path_.size());
   ::unlink(path_.c_str());
-  Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const mode_t before = ::umask(0177);  // from the first moment nobody else may connect
   const bool bound = ::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0;
   ::umask(before);
--- a/src/net/control_server.h
+++ b/src/net/control_server.h
@@ -18,11 +18,11 @@
 class ControlServer {
  public:
   static constexpr std::size_t kMostConnections = 8;
-  using Answer = std::function<void(std::string line)>;  // at most once; the client may have gone
-  using Handler = std::function<void(std::string_view line, Answer answer)>;
+  using Responder = std::function<void(std::string line)>;  // at most once; the client may have gone
+  using Handler = std::function<void(std::string_view line, Responder answer)>;
 
   // The socket gets mode 0600; one that a dead process left is replaced. Throws std::runtime_error.
-  ControlServer(Loop& loop, std::string path, std::size_t most_request, Handler handler);
+  ControlServer(EventLoop& loop, std::string path, std::size_t most_request, Handler handler);
   ~ControlServer();
 
  private:
@@ -33,7 +33,7 @@
   void Next(Client& client);
   void Close(Client& client);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const std::string path_;
   const std::size_t most_request_;
   Handler handler_;
--- a/src/net/endpoint_list_watcher.cpp
+++ b/src/net/endpoint_list_watcher.cpp
@@ -35,8 +35,9 @@
 
 }  // namespace
 
-Watch::Watch(Loop& loop, const Address& discovery, const SiteSettings& site, std::int64_t known,
-             std::uint64_t seed, std::function<void(const ListNews&)> news, Logger& log)
+EndpointListWatcher::EndpointListWatcher(EventLoop& loop, const Address& discovery, const SiteSettings& site,
+                                         std::int64_t known, std::uint64_t seed,
+                                         std::function<void(const EndpointListUpdate&)> news, Logger& log)
     : loop_(loop),
       discovery_(discovery),
       site_(site),
@@ -44,8 +45,8 @@
       news_(std::move(news)),
       log_(log),
       stream_(kLongestList),
-      back_off_(FirstWait(site.module.senders),
-                std::min(kMostTimes * FirstWait(site.module.senders), kLongestWait), seed),
+      back_off_(FirstWait(site.policy.dispatcher_count),
+                std::min(kMostTimes * FirstWait(site.policy.dispatcher_count), kLongestWait), seed),
       silent_(loop, [this] { Lost("silent"); }),
       again_(loop, [this] { Ask(); }),
       behind_(loop, [this] {
@@ -54,9 +55,9 @@
       }) {
   Ask();
 }
-Watch::~Watch() = default;
+EndpointListWatcher::~EndpointListWatcher() = default;
 
-void Watch::Ask() {
+void EndpointListWatcher::Ask() {
   stream_.Clear();
   lost_ = false;
   connection_ = OpenConnection(loop_, discovery_, kMostReadAhead, 0);
@@ -65,12 +66,12 @@
   evhttp_request_set_chunked_cb(request, Chunk);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", discovery_.host.c_str());
   // Guards against giving up what was about to be answered: discovery that serves many has a queue.
-  silent_.After(site_.module.list_on_request ? kUnheardAsked : kUnheard);
+  silent_.Schedule(site_.policy.endpoint_list_on_request ? kUnheardAsked : kUnheard);
   const std::string target = "/v1/servers?watch=1&after=" + std::to_string(revision_);
   evhttp_make_request(connection_.get(), request, EVHTTP_REQ_GET, target.c_str());
 }
 
-void Watch::Move(const Address& discovery) {
+void EndpointListWatcher::ChangeAddress(const Address& discovery) {
   discovery_ = discovery;
   again_.Stop();
   behind_.Stop();
@@ -78,25 +79,25 @@
   Ask();
 }
 
-void Watch::Lost(const char* how) {
+void EndpointListWatcher::Lost(const char* how) {
   if (std::exchange(lost_, true)) return;  // once for each connection
   log_.Warn("discovery.lost", {{"how", how}, {"revision", revision_}});
   silent_.Stop();
   bufferevent_disable(evhttp_connection_get_bufferevent(connection_.get()), EV_READ);
   // Pushed lists come from an agent on this machine, at no cost. Discovery that hundreds of senders ask five
   // times a second each refuses nearly all of them for as long as they go on.
-  again_.After(site_.module.list_on_request ? back_off_.Next() : kAgain);
+  again_.Schedule(site_.policy.endpoint_list_on_request ? back_off_.NextDelay() : kAgain);
 }
 
-int Watch::Head(evhttp_request* request, void* self) {
-  auto* w = static_cast<Watch*>(self);
+int EndpointListWatcher::Head(evhttp_request* request, void* self) {
+  auto* w = static_cast<EndpointListWatcher*>(self);
   // Where nothing has changed since the version held, the first line may be an empty one.
   if (evhttp_request_get_response_code(request) == 200) w->Heard();
   return 0;
 }
 
-void Watch::Chunk(evhttp_request* request, void* self) {
-  auto* w = static_cast<Watch*>(self);
+void EndpointListWatcher::Chunk(evhttp_request* request, void* self) {
+  auto* w = static_cast<EndpointListWatcher*>(self);
   evbuffer* in = evhttp_request_get_input_buffer(request);
   std::string text(evbuffer_get_length(in), '\0');
   evbuffer_remove(in, text.data(), text.size());
@@ -113,14 +114,14 @@
   w->Lost("unreadable");
 }
 
-void Watch::Heard() {
-  if (!lost_) silent_.After(kSilent);
+void EndpointListWatcher::Heard() {
+  if (!lost_) silent_.Schedule(kSilent);
 }
 
 // Guards against a list that can't be read: one log line, and the list stays as it was. What it held counts
 // as told all the same, so the watch is asked for anew after the version held.
-void Watch::List(const std::string& text) {
-  ListNews news;
+void EndpointListWatcher::List(const std::string& text) {
+  EndpointListUpdate news;
   try {
     json::Value value;
     if (parser_.parse(text).get(value) != simdjson::SUCCESS) json::Malformed("no JSON");
@@ -135,17 +136,17 @@
     // never.
     if (behind_.pending()) return;
     log_.Warn("discovery.behind", {{"revision", news.revision}, {"held", revision_}});
-    return behind_.After(kBehind);
+    return behind_.Schedule(kBehind);
   }
   behind_.Stop();
   older_counts_ = false;
   revision_ = news.revision;
-  back_off_.Succeeded();
+  back_off_.Reset();
   news_(news);
 }
 
-void Watch::Done(evhttp_request* request, void* self) {
-  auto* w = static_cast<Watch*>(self);
+void EndpointListWatcher::Done(evhttp_request* request, void* self) {
+  auto* w = static_cast<EndpointListWatcher*>(self);
   if (request != nullptr && evhttp_request_get_response_code(request) == 200) return w->Lost("ended");
   w->Lost("broke");
 }
--- a/src/net/endpoint_list_watcher.h
+++ b/src/net/endpoint_list_watcher.h
@@ -15,16 +15,16 @@
 
 namespace sagetally {
 
-class Watch {
+class EndpointListWatcher {
  public:
   // `known`: the version of the list held already. `seed`: for the waits before it asks again.
-  Watch(Loop& loop, const Address& discovery, const SiteSettings& site, std::int64_t known,
-        std::uint64_t seed, std::function<void(const ListNews&)> news, Logger& log);
-  ~Watch();
+  EndpointListWatcher(EventLoop& loop, const Address& discovery, const SiteSettings& site, std::int64_t known,
+                      std::uint64_t seed, std::function<void(const EndpointListUpdate&)> news, Logger& log);
+  ~EndpointListWatcher();
 
   std::int64_t revision() const { return revision_; }
   // Goes on at another address, after the version heard last.
-  void Move(const Address& discovery);
+  void ChangeAddress(const Address& discovery);
 
  private:
   void Ask();
@@ -35,18 +35,18 @@
   static void Chunk(evhttp_request* request, void* self);
   static void Done(evhttp_request* request, void* self);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Address discovery_;
   const SiteSettings& site_;
   std::int64_t revision_;
-  std::function<void(const ListNews&)> news_;
+  std::function<void(const EndpointListUpdate&)> news_;
   Logger& log_;
   simdjson::dom::parser parser_;
   JsonStream stream_;
   ConnectionPtr connection_;
   bool lost_ = false;          // what this connection still brings is nobody's
   bool older_counts_ = false;  // discovery has begun to count its versions anew
-  BackOff back_off_;
+  Backoff back_off_;
   Timer silent_, again_, behind_;
 };
 
--- a/src/net/endpoint_pool.cpp
+++ b/src/net/endpoint_pool.cpp
@@ -51,23 +51,23 @@
 
 CallResult ReadAnswer(const http::response<http::string_body>& answer) {
   CallResult r;
-  r.load = ReadLoad(Find(answer, "X-Load"));
+  r.load_report = ReadLoad(Find(answer, "X-Load"));
   switch (const unsigned code = answer.result_int()) {
     case 429: {
       const double wait = Number(Find(answer, "X-Retry-In-Ms")).value_or(0);
-      r.outcome = Outcome::kFull;
-      r.told_wait = Duration(std::llround(std::min(wait, 1e9) * 1000));
+      r.outcome = Outcome::kRejected;
+      r.retry_after = Duration(std::llround(std::min(wait, 1e9) * 1000));
       break;
     }
     case 503:
-      r.outcome = Find(answer, "X-No-Slot") == "1" ? Outcome::kMoot : Outcome::kFull;
+      r.outcome = Find(answer, "X-No-Slot") == "1" ? Outcome::kNotSent : Outcome::kRejected;
       break;
     case 504:
-      r.outcome = Outcome::kMoot;
+      r.outcome = Outcome::kNotSent;
       break;
     case 410:
-      r.outcome = Outcome::kMoot;
-      r.over = true;
+      r.outcome = Outcome::kNotSent;
+      r.completed = true;
       break;
     default:
       r.outcome = code >= 200 && code < 300 ? Outcome::kOk : Outcome::kError;
@@ -88,8 +88,8 @@
     if (equals == part.npos) return {};
     const auto value = Number(part.substr(equals + 1));
     if (!value) return {};
-    if (part.starts_with("x0=")) load.allowance_left = *value;
-    if (part.starts_with("x1=")) load.limit = *value;
+    if (part.starts_with("x0=")) load.quota_left = *value;
+    if (part.starts_with("x1=")) load.rate_limit = *value;
   }
   return load;
 }
@@ -112,7 +112,7 @@
         answer_(pool.loop_, [this] { Spoilt(); }),
         idle_(pool.loop_, [this] { pool_.Drop(*this); }),
         late_(pool.loop_, [this] {
-          if (!Written()) End(Outcome::kMoot);
+          if (!Written()) End(Outcome::kNotSent);
         }) {
     bufferevent_setcb(buffers_.get(), Readable, AllWritten, Happened, this);
     bufferevent_setwatermark(buffers_.get(), EV_READ, 0, 2 * kMostHead);
@@ -122,9 +122,9 @@
     to.sin_port = htons(endpoint.address.port);
     inet_pton(AF_INET, endpoint.address.host.c_str(), &to.sin_addr);
     opened_ = std::chrono::steady_clock::now();
-    connect_.After(pool_.limits_.connect_timeout);
+    connect_.Schedule(pool_.limits_.connect_timeout);
     if (bufferevent_socket_connect(buffers_.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) {
-      connect_.After(Duration(0));
+      connect_.Schedule(Duration(0));
     }
   }
   Connection(const Connection&) = delete;
@@ -136,7 +136,7 @@
   bool sound() const { return address_ == endpoint_.text && !endpoint_.gone && Silent(); }
   std::chrono::steady_clock::time_point rested() const { return rested_; }
 
-  void Call(const CallOrder& order) {
+  void Call(const CallRequest& order) {
     number_ = order.number;
     busy_ = true;
     says_ok_ = counted_ = early_ = false;
@@ -144,22 +144,22 @@
     idle_.Stop();
     const Request& r = *order.request;
     std::string text = "POST /hook HTTP/1.1\r\nHost: " + address_ + "\r\nX-Request-Id: " + r.id + "\r\n";
-    if (!r.key.empty()) text += "Idempotency-Key: " + r.key + "\r\n";
-    text += "X-Deadline: " + DeadlineText(order.time_out) + "\r\n";
+    if (!r.idempotency_key.empty()) text += "Idempotency-Key: " + r.idempotency_key + "\r\n";
+    text += "X-Deadline: " + DeadlineText(order.timeout) + "\r\n";
     for (const auto& [name, value] : r.attributes) text += name + ": " + value + "\r\n";
     unwritten_ = text + "Content-Length: " + std::to_string(r.body.size()) + "\r\n\r\n" + r.body;
-    time_out_.After(order.time_out);
+    time_out_.Schedule(order.timeout);
     write_until_ = std::chrono::steady_clock::time_point::max();
     if (order.write_within) {
       write_until_ = std::chrono::steady_clock::now() + *order.write_within;
-      late_.After(*order.write_within);
+      late_.Schedule(*order.write_within);
     }
     if (connected_) Write();
   }
 
   void Rest() {  // idle from now on
     rested_ = std::chrono::steady_clock::now();
-    idle_.After(std::max<Duration>(pool_.limits_.idle - kIdleMargin, pool_.limits_.idle / 2));
+    idle_.Schedule(std::max<Duration>(pool_.limits_.idle - kIdleMargin, pool_.limits_.idle / 2));
   }
   bool Written() const {
     return connected_ && unwritten_.empty() &&
@@ -174,7 +174,7 @@
     given_up_ = outcome;
     time_out_.Stop();
     ::shutdown(bufferevent_getfd(buffers_.get()), SHUT_WR);
-    listen_.After(std::clamp(round_trip_, kCloseSettles, kLongestListen));
+    listen_.Schedule(std::clamp(round_trip_, kCloseSettles, kLongestListen));
   }
   void End(Outcome outcome) {  // without a whole answer
     CallResult result;
@@ -203,7 +203,7 @@
   }
   // At once and not in the loop's next round: what was judged of the moment, and of the connection, holds.
   void Write() {
-    if (std::chrono::steady_clock::now() >= write_until_) return End(Outcome::kMoot);
+    if (std::chrono::steady_clock::now() >= write_until_) return End(Outcome::kNotSent);
     const std::string text = std::exchange(unwritten_, {});
     const ssize_t sent =
         ::send(bufferevent_getfd(buffers_.get()), text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
@@ -229,7 +229,7 @@
     connect_.Stop();
     late_.Stop();
     listen_.Stop();
-    if (early_ && result.outcome != Outcome::kFull) result.outcome = Outcome::kConnectFailed;
+    if (early_ && result.outcome != Outcome::kRejected) result.outcome = Outcome::kConnectFailed;
     // Guards a message that is over for us alone: what is answered after a call was given up may count for
     // nothing at the other side. Only its wait is heard.
     if (given_up_) result.outcome = *given_up_;
@@ -247,7 +247,7 @@
       bufferevent_disable(buffers_.get(), EV_WRITE);
     }
     while (evbuffer_get_length(Input()) > 0) {
-      if (!answer_.pending()) answer_.After(kWholeAnswer);
+      if (!answer_.pending()) answer_.Schedule(kWholeAnswer);
       if (!parser_) {
         char first[13] = {};  // "HTTP/1.1 200 "
         if (evbuffer_copyout(Input(), first, sizeof first) < static_cast<ev_ssize_t>(sizeof first)) {
@@ -259,7 +259,7 @@
         }
         const std::string_view line(first, sizeof first);
         says_ok_ = line.starts_with("HTTP/1.") && line.substr(8, 4) == " 200" && line[12] <= ' ';
-        if (says_ok_) answer_.After(kWholeOk);
+        if (says_ok_) answer_.Schedule(kWholeOk);
         parser_.emplace();
         parser_->header_limit(kMostHead);
         parser_->body_limit(kMostBody);
@@ -342,7 +342,7 @@
   std::chrono::steady_clock::time_point opened_, write_until_, rested_;
 };
 
-EndpointPool::EndpointPool(Loop& loop, Limits limits, std::function<void(const CallResult&)> back)
+EndpointPool::EndpointPool(EventLoop& loop, Limits limits, std::function<void(const CallResult&)> back)
     : loop_(loop),
       limits_(limits),
       back_(std::move(back)),
@@ -351,20 +351,20 @@
       sweep_(loop, [this] { dropped_.clear(); }) {}
 EndpointPool::~EndpointPool() = default;
 
-void EndpointPool::Learn(const EndpointNews& news) {
-  Endpoint& endpoint = endpoints_[news.entry.endpoint];
+void EndpointPool::UpdateEndpoint(const EndpointUpdate& news) {
+  Endpoint& endpoint = endpoints_[news.record.endpoint];
   endpoint.gone = false;
-  if (news.entry.state != EndpointEntry::State::kUp) RecallFrom(endpoint);
+  if (news.record.state != EndpointRecord::State::kUp) RecallFrom(endpoint);
   if (endpoint.text == news.address) return;
-  CloseIdle(news.entry.endpoint);  // it has moved; calls that are out go on where they are
+  CloseIdleConnections(news.record.endpoint);  // it has moved; calls that are out go on where they are
   endpoint.text = news.address;
   endpoint.address = ParseAddress(news.address, "endpoint");
 }
 
-void EndpointPool::Forget(const std::string& endpoint) {
+void EndpointPool::RemoveEndpoint(const std::string& endpoint) {
   const auto at = endpoints_.find(endpoint);
   if (at == endpoints_.end()) return;
-  CloseIdle(endpoint);
+  CloseIdleConnections(endpoint);
   at->second.gone = true;
   if (at->second.open == 0) {
     endpoints_.erase(at);
@@ -379,7 +379,7 @@
   for (const auto& [number, connection] : calls_) {
     if (&connection->endpoint() == &endpoint) numbers.push_back(number);
   }
-  for (const std::uint64_t number : numbers) Recall(number);
+  for (const std::uint64_t number : numbers) CancelCallIfUnsent(number);
 }
 
 EndpointPool::Connection* EndpointPool::Open(Endpoint& endpoint) {
@@ -390,7 +390,7 @@
   return raw;
 }
 
-void EndpointPool::Call(const CallOrder& order) {
+void EndpointPool::StartCall(const CallRequest& order) {
   const auto at = endpoints_.find(order.endpoint);
   CallResult never;
   never.number = order.number;
@@ -432,24 +432,24 @@
   return oldest != nullptr;
 }
 
-void EndpointPool::Cancel(std::uint64_t number) {
+void EndpointPool::CancelCall(std::uint64_t number) {
   const auto at = calls_.find(number);
   if (at != calls_.end()) at->second->GiveUp(Outcome::kCancelled);
 }
 
-void EndpointPool::Recall(std::uint64_t number) {
+void EndpointPool::CancelCallIfUnsent(std::uint64_t number) {
   const auto at = calls_.find(number);
-  if (at != calls_.end() && !at->second->Written()) at->second->End(Outcome::kMoot);
+  if (at != calls_.end() && !at->second->Written()) at->second->End(Outcome::kNotSent);
 }
 
-void EndpointPool::CloseIdle(const std::string& endpoint) {
+void EndpointPool::CloseIdleConnections(const std::string& endpoint) {
   const auto at = endpoints_.find(endpoint);
   if (at == endpoints_.end()) return;
   const std::vector<Connection*> idle = at->second.idle;
   for (Connection* connection : idle) Drop(*connection);
 }
 
-void EndpointPool::Leave() {
+void EndpointPool::Shutdown() {
   leaving_ = true;
   std::vector<Connection*> idle;
   for (const auto& [name, endpoint] : endpoints_) {
@@ -473,10 +473,10 @@
 void EndpointPool::Report(CallResult result, bool settle) {
   if (settle) {
     later_.emplace_back(std::chrono::steady_clock::now() + kCloseSettles, result);
-    if (!report_later_.pending()) report_later_.After(kCloseSettles);
+    if (!report_later_.pending()) report_later_.Schedule(kCloseSettles);
   } else {
     now_.push_back(result);
-    report_now_.After(Duration(0));
+    report_now_.Schedule(Duration(0));
   }
 }
 
@@ -487,7 +487,7 @@
 void EndpointPool::ReportLater() {
   while (!later_.empty()) {
     const auto wait = later_.front().first - std::chrono::steady_clock::now();
-    if (wait > wait.zero()) return report_later_.After(std::chrono::ceil<Duration>(wait));
+    if (wait > wait.zero()) return report_later_.Schedule(std::chrono::ceil<Duration>(wait));
     const CallResult result = later_.front().second;
     later_.pop_front();
     back_(result);
@@ -503,7 +503,7 @@
   endpoint.open -= 1;
   dropped_.push_back(std::move(at->second));
   connections_.erase(at);
-  sweep_.After(Duration(0));
+  sweep_.Schedule(Duration(0));
   if (endpoint.gone && endpoint.open == 0) {
     std::erase_if(endpoints_, [&](const auto& e) { return &e.second == &endpoint; });
   }
