--- a/src/net/endpoint_pool.h
+++ b/src/net/endpoint_pool.h
@@ -18,7 +18,7 @@
 
 namespace sagetally {
 
-class EndpointPool : public Caller {
+class EndpointPool : public EndpointClient {
  public:
   struct Limits {
     Duration connect_timeout{0};
@@ -26,18 +26,18 @@
     int most_connections = 1;      // to one endpoint
     std::size_t most_in_all = 64;  // descriptors are few
   };
-  EndpointPool(Loop& loop, Limits limits, std::function<void(const CallResult&)> back);
+  EndpointPool(EventLoop& loop, Limits limits, std::function<void(const CallResult&)> back);
   ~EndpointPool() override;
 
-  void Call(const CallOrder& order) override;
-  void Cancel(std::uint64_t number) override;
-  void Recall(std::uint64_t number) override;
-  void CloseIdle(const std::string& endpoint) override;
-  void Learn(const EndpointNews& news) override;
-  void Forget(const std::string& endpoint) override;
+  void StartCall(const CallRequest& order) override;
+  void CancelCall(std::uint64_t number) override;
+  void CancelCallIfUnsent(std::uint64_t number) override;
+  void CloseIdleConnections(const std::string& endpoint) override;
+  void UpdateEndpoint(const EndpointUpdate& news) override;
+  void RemoveEndpoint(const std::string& endpoint) override;
   std::function<void()> on_written;  // a call's last byte was written; may be empty
   // No calls come any more: connections close as soon as they are idle.
-  void Leave();
+  void Shutdown();
   bool idle() const { return calls_.empty() && now_.empty() && later_.empty(); }  // no result is owed
   std::size_t endpoints() const { return endpoints_.size(); }
 
@@ -62,7 +62,7 @@
   void ReportLater();
   void Drop(Connection& connection);  // closed now or once libevent is out of it
 
-  Loop& loop_;
+  EventLoop& loop_;
   const Limits limits_;
   std::function<void(const CallResult&)> back_;
   std::map<std::string, Endpoint> endpoints_;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -25,14 +25,14 @@
 
 }  // namespace
 
-Loop::Loop() : base_(NewBase()) {
+EventLoop::EventLoop() : base_(NewBase()) {
   if (!base_) throw std::runtime_error("no event loop");
 }
 
-Timer::Timer(Loop& loop, std::function<void()> fire)
+Timer::Timer(EventLoop& loop, std::function<void()> fire)
     : fire_(std::move(fire)), event_(evtimer_new(loop.base(), Fire, &fire_)) {}
 
-void Timer::After(Duration d) {
+void Timer::Schedule(Duration d) {
   // Counted from now. libevent counts from when this round of the loop began, so that a timer set late in a
   // long round fires early or, if nothing else wakes the loop, late.
   event_base_update_cache_time(event_get_base(event_.get()));
@@ -41,7 +41,7 @@
   event_add(event_.get(), &wait);
 }
 
-Signal::Signal(Loop& loop, int number, std::function<void()> fire)
+Signal::Signal(EventLoop& loop, int number, std::function<void()> fire)
     : fire_(std::move(fire)), event_(evsignal_new(loop.base(), number, Fire, &fire_)) {
   event_add(event_.get(), nullptr);
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -23,9 +23,9 @@
 using HttpPtr = std::unique_ptr<evhttp, Free<evhttp_free>>;
 using ConnectionPtr = std::unique_ptr<evhttp_connection, Free<evhttp_connection_free>>;
 
-class Loop {
+class EventLoop {
  public:
-  Loop();
+  EventLoop();
   event_base* base() const { return base_.get(); }
   void Run() { event_base_dispatch(base_.get()); }
   void Break() { event_base_loopbreak(base_.get()); }
@@ -36,10 +36,10 @@
 
 class Timer {  // calls back once each time it is set; setting it again replaces what was set
  public:
-  Timer(Loop& loop, std::function<void()> fire);
+  Timer(EventLoop& loop, std::function<void()> fire);
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
-  void After(Duration d);
+  void Schedule(Duration d);
   void Stop() { event_del(event_.get()); }
   bool pending() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
 
@@ -50,7 +50,7 @@
 
 class Signal {
  public:
-  Signal(Loop& loop, int number, std::function<void()> fire);
+  Signal(EventLoop& loop, int number, std::function<void()> fire);
   Signal(const Signal&) = delete;
   Signal& operator=(const Signal&) = delete;
 
--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -27,12 +27,13 @@
 
 }  // namespace
 
-Peers::Peers(Loop& loop, const Config& config, std::function<void(const PeerNote&)> note, Fd inherited)
+GossipTransport::GossipTransport(EventLoop& loop, const Config& config,
+                                 std::function<void(const GossipReceived&)> note, FileDescriptor inherited)
     : config_(config), note_(std::move(note)) {
   if (config.peer_listen.empty()) return;
   socket_ = std::move(inherited);
   const bool bound = socket_.get() >= 0;
-  if (!bound) socket_ = Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!bound) socket_ = FileDescriptor(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const sockaddr_in own = Socket(config.peer_listen);
   if (!bound && ::bind(socket_.get(), reinterpret_cast<const sockaddr*>(&own), sizeof own) != 0) {
     throw std::runtime_error("can't listen on peer_listen " + config.peer_listen);
@@ -40,17 +41,17 @@
   event_.reset(event_new(loop.base(), socket_.get(), EV_READ | EV_PERSIST, Readable, this));
   event_add(event_.get(), nullptr);
 }
-Peers::~Peers() = default;
+GossipTransport::~GossipTransport() = default;
 
-bool Peers::TellAll(const std::string& body) {
-  if (body.size() > kMostBytes || config_.peers_all.empty() || socket_.get() < 0) return false;
-  const sockaddr_in to = Socket(config_.peers_all);
+bool GossipTransport::Broadcast(const std::string& body) {
+  if (body.size() > kMostBytes || config_.broadcast_peer.empty() || socket_.get() < 0) return false;
+  const sockaddr_in to = Socket(config_.broadcast_peer);
   return ::sendto(socket_.get(), body.data(), body.size(), 0, reinterpret_cast<const sockaddr*>(&to),
                   sizeof to) >= 0;
 }
 
-void Peers::Readable(evutil_socket_t, short, void* self) {
-  auto* p = static_cast<Peers*>(self);
+void GossipTransport::Readable(evutil_socket_t, short, void* self) {
+  auto* p = static_cast<GossipTransport*>(self);
   char body[2048];
   sockaddr_in from{};
   socklen_t size = sizeof from;
--- a/src/net/gossip_transport.h
+++ b/src/net/gossip_transport.h
@@ -11,22 +11,23 @@
 
 namespace sagetally {
 
-class Peers {
+class GossipTransport {
  public:
   static constexpr std::size_t kMostBytes = 256;  // a longer note voids the run
 
-  Peers(Loop& loop, const Config& config, std::function<void(const PeerNote&)> note, Fd inherited = Fd());
-  ~Peers();
+  GossipTransport(EventLoop& loop, const Config& config, std::function<void(const GossipReceived&)> note,
+                  FileDescriptor inherited = FileDescriptor());
+  ~GossipTransport();
   int descriptor() const { return socket_.get(); }
   // To all; false if it was too long or there is nobody to tell.
-  bool TellAll(const std::string& body);
+  bool Broadcast(const std::string& body);
 
  private:
   static void Readable(evutil_socket_t, short, void* self);
 
   const Config& config_;
-  std::function<void(const PeerNote&)> note_;
-  Fd socket_;
+  std::function<void(const GossipReceived&)> note_;
+  FileDescriptor socket_;
   EventPtr event_;
 };
 
--- a/src/net/handover_channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -24,38 +24,40 @@
 
 // A state folder's path may be longer than the 107 bytes of a Unix socket's name: it is reached by
 // descriptor.
-sockaddr_un NameIn(const Fd& folder, const std::string& name) {
+sockaddr_un NameIn(const FileDescriptor& folder, const std::string& name) {
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
   const std::string path = "/proc/self/fd/" + std::to_string(folder.get()) + "/" + name;
   std::memcpy(at.sun_path, path.data(), std::min(path.size(), sizeof at.sun_path - 1));
   return at;
 }
-Fd OpenFolder(const std::string& folder) {
-  return Fd(::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
+FileDescriptor OpenFolder(const std::string& folder) {
+  return FileDescriptor(::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
+}
+FileDescriptor NewSocket(int flags) {
+  return FileDescriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | flags, 0));
 }
-Fd NewSocket(int flags) { return Fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | flags, 0)); }
 
 }  // namespace
 
-Channel::Channel(Fd fd) : fd_(std::move(fd)) {
+HandoverChannel::HandoverChannel(FileDescriptor fd) : fd_(std::move(fd)) {
   ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDTIMEO, &kSendPatience, sizeof kSendPatience);
 }
 
-Channel Channel::Connect(const std::string& folder, const std::string& name) {
-  const Fd there = OpenFolder(folder);
-  Fd fd = NewSocket(0);
+HandoverChannel HandoverChannel::Connect(const std::string& folder, const std::string& name) {
+  const FileDescriptor there = OpenFolder(folder);
+  FileDescriptor fd = NewSocket(0);
   const sockaddr_un at = NameIn(there, name);
   if (there.get() < 0 || fd.get() < 0 ||
       ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
-    return Channel();
+    return HandoverChannel();
   }
-  return Channel(std::move(fd));
+  return HandoverChannel(std::move(fd));
 }
 
-bool Channel::Send(char kind, std::string_view bytes, int fd) {
+bool HandoverChannel::Send(char kind, std::string_view bytes, int fd) {
   do {
-    if (!open()) return false;
+    if (!is_open()) return false;
     const std::string_view part = bytes.substr(0, kPart);
     bytes.remove_prefix(part.size());
     char head[2] = {kind, static_cast<char>(bytes.empty() ? 0 : 1)};
@@ -86,7 +88,7 @@
   return true;
 }
 
-Channel::Got Channel::ReceivePart(Packet& packet, bool& more) {
+HandoverChannel::Got HandoverChannel::ReceivePart(Packet& packet, bool& more) {
   std::vector<char> buffer(2 + kPart);
   iovec piece{buffer.data(), buffer.size()};
   msghdr message{};
@@ -102,7 +104,7 @@
     if (h->cmsg_level != SOL_SOCKET || h->cmsg_type != SCM_RIGHTS) continue;
     int fd = -1;
     std::memcpy(&fd, CMSG_DATA(h), sizeof fd);
-    packet.fd = Fd(fd);
+    packet.fd = FileDescriptor(fd);
   }
   if (size < 2 || (message.msg_flags & MSG_TRUNC) != 0) return Got::kEnd;
   packet.kind = buffer[0];
@@ -111,9 +113,9 @@
   return packet.bytes.size() > kMostWhole ? Got::kEnd : Got::kPart;
 }
 
-std::optional<Packet> Channel::Receive(Duration within) {
+std::optional<Packet> HandoverChannel::Receive(Duration within) {
   const auto until = std::chrono::steady_clock::now() + within;
-  while (open()) {
+  while (is_open()) {
     bool more = false;
     switch (ReceivePart(partial_, more)) {
       case Got::kPart:
@@ -134,15 +136,16 @@
   return {};
 }
 
-void Channel::Follow(Loop& loop, std::function<void(Packet)> packet, std::function<void()> ended) {
+void HandoverChannel::OnReadable(EventLoop& loop, std::function<void(Packet)> packet,
+                                 std::function<void()> ended) {
   packet_ = std::move(packet);
   ended_ = std::move(ended);
   event_.reset(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Readable, this));
   event_add(event_.get(), nullptr);
 }
 
-void Channel::Readable(evutil_socket_t, short, void* self) {
-  auto* c = static_cast<Channel*>(self);
+void HandoverChannel::Readable(evutil_socket_t, short, void* self) {
+  auto* c = static_cast<HandoverChannel*>(self);
   bool more = false;
   const Got got = c->ReceivePart(c->partial_, more);
   if (got == Got::kEnd) {
@@ -153,15 +156,15 @@
   }
 }
 
-void Channel::Close() {
+void HandoverChannel::Close() {
   event_.reset();
-  fd_ = Fd();
+  fd_ = FileDescriptor();
 }
 
-ChannelListener::ChannelListener(Loop& loop, const std::string& folder, const std::string& name,
-                                 std::function<void(Channel)> came)
+HandoverListener::HandoverListener(EventLoop& loop, const std::string& folder, const std::string& name,
+                                   std::function<void(HandoverChannel)> came)
     : fd_(NewSocket(SOCK_NONBLOCK)), came_(std::move(came)) {
-  const Fd there = OpenFolder(folder);
+  const FileDescriptor there = OpenFolder(folder);
   const sockaddr_un at = NameIn(there, name);
   ::unlinkat(there.get(), name.c_str(), 0);
   const mode_t before = ::umask(0177);  // from the first moment nobody else may connect
@@ -175,10 +178,10 @@
   event_add(event_.get(), nullptr);
 }
 
-void ChannelListener::Acceptable(evutil_socket_t, short, void* self) {
-  auto* listener = static_cast<ChannelListener*>(self);
-  Fd fd(::accept4(listener->fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-  if (fd.get() >= 0) listener->came_(Channel(std::move(fd)));
+void HandoverListener::Acceptable(evutil_socket_t, short, void* self) {
+  auto* listener = static_cast<HandoverListener*>(self);
+  FileDescriptor fd(::accept4(listener->fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+  if (fd.get() >= 0) listener->came_(HandoverChannel(std::move(fd)));
 }
 
 }  // namespace sagetally
--- a/src/net/handover_channel.h
+++ b/src/net/handover_channel.h
@@ -16,24 +16,24 @@
 struct Packet {
   char kind = 0;
   std::string bytes = {};
-  Fd fd = Fd();
+  FileDescriptor fd = FileDescriptor();
 };
 
-class Channel {
+class HandoverChannel {
  public:
-  Channel() = default;
-  explicit Channel(Fd fd);
+  HandoverChannel() = default;
+  explicit HandoverChannel(FileDescriptor fd);
   // Not open() if nobody listens there.
-  static Channel Connect(const std::string& folder, const std::string& name);
+  static HandoverChannel Connect(const std::string& folder, const std::string& name);
 
-  bool open() const { return fd_.get() >= 0; }
+  bool is_open() const { return fd_.get() >= 0; }
   // Blocks for half a second at most; false, and closed, if the other side is gone or takes nothing.
   bool Send(char kind, std::string_view bytes = {}, int fd = -1);
   // Blocks. None if nothing whole comes in time, or the other side is gone (then no longer open()).
   std::optional<Packet> Receive(Duration within);
 
   // From now on packets are handed over as they come; `ended` once the other side is gone.
-  void Follow(Loop& loop, std::function<void(Packet)> packet, std::function<void()> ended);
+  void OnReadable(EventLoop& loop, std::function<void(Packet)> packet, std::function<void()> ended);
   void Close();
 
  private:
@@ -41,24 +41,24 @@
   enum class Got { kPart, kNothing, kEnd };
   Got ReceivePart(Packet& packet, bool& more);
 
-  Fd fd_;
+  FileDescriptor fd_;
   EventPtr event_;
   Packet partial_;
   std::function<void(Packet)> packet_;
   std::function<void()> ended_;
 };
 
-class ChannelListener {
+class HandoverListener {
  public:
   // Replaces a socket of that name. Throws std::runtime_error.
-  ChannelListener(Loop& loop, const std::string& folder, const std::string& name,
-                  std::function<void(Channel)> came);
+  HandoverListener(EventLoop& loop, const std::string& folder, const std::string& name,
+                   std::function<void(HandoverChannel)> came);
 
  private:
   static void Acceptable(evutil_socket_t, short, void* self);
-  Fd fd_;
+  FileDescriptor fd_;
   EventPtr event_;
-  std::function<void(Channel)> came_;
+  std::function<void(HandoverChannel)> came_;
 };
 
 }  // namespace sagetally
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-class HttpCalls::One {
+class HttpClient::PendingCall {
  public:
-  One(HttpCalls& calls, const Address& to, Done done)
+  PendingCall(HttpClient& calls, const Address& to, Done done)
       : calls_(calls),
         done_(std::move(done)),
         connection_(OpenConnection(calls.loop_, to, kMostAnswer, kMostAnswer)),
@@ -24,14 +24,14 @@
           End({0, watch_.written()});
         }) {}
   void Send(evhttp_request* request, evhttp_cmd_type method, const std::string& path, Duration time_out) {
-    time_out_.After(time_out);
+    time_out_.Schedule(time_out);
     evhttp_make_request(connection_.get(), request, method, path.c_str());
   }
   static void Answered(evhttp_request* request, void* self) {
-    auto* one = static_cast<One*>(self);
+    auto* one = static_cast<PendingCall*>(self);
     HttpResult result{request == nullptr ? 0 : evhttp_request_get_response_code(request),
                       one->watch_.written()};
-    if (result.code != 0) {
+    if (result.status_code != 0) {
       evbuffer* in = evhttp_request_get_input_buffer(request);
       result.body.assign(evbuffer_get_length(in), '\0');
       evbuffer_copyout(in, result.body.data(), result.body.size());
@@ -50,26 +50,26 @@
     time_out_.Stop();
     calls_.over_.push_back(std::move(at->second));
     calls_.out_.erase(at);
-    calls_.sweep_.After(Duration(0));
+    calls_.sweep_.Schedule(Duration(0));
     done_(result);
   }
 
-  HttpCalls& calls_;
+  HttpClient& calls_;
   Done done_;
   ConnectionPtr connection_;
-  WrittenWatch watch_;
+  WriteObserver watch_;
   Timer time_out_;
 };
 
-HttpCalls::HttpCalls(Loop& loop) : loop_(loop), sweep_(loop, [this] { over_.clear(); }) {}
-HttpCalls::~HttpCalls() = default;
+HttpClient::HttpClient(EventLoop& loop) : loop_(loop), sweep_(loop, [this] { over_.clear(); }) {}
+HttpClient::~HttpClient() = default;
 
-void HttpCalls::Send(const Address& to, evhttp_cmd_type method, const std::string& path,
-                     const std::vector<std::pair<std::string, std::string>>& headers, const std::string& body,
-                     Duration time_out, Done done) {
-  auto one = std::make_unique<One>(*this, to, std::move(done));
-  One* raw = one.get();
-  evhttp_request* request = evhttp_request_new(One::Answered, raw);
+void HttpClient::Send(const Address& to, evhttp_cmd_type method, const std::string& path,
+                      const std::vector<std::pair<std::string, std::string>>& headers,
+                      const std::string& body, Duration time_out, Done done) {
+  auto one = std::make_unique<PendingCall>(*this, to, std::move(done));
+  PendingCall* raw = one.get();
+  evhttp_request* request = evhttp_request_new(PendingCall::Answered, raw);
   evkeyvalq* out = evhttp_request_get_output_headers(request);
   evhttp_add_header(out, "Host", (to.host + ":" + std::to_string(to.port)).c_str());
   evhttp_add_header(out, "Connection", "close");
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -15,28 +15,28 @@
 namespace sagetally {
 
 struct HttpResult {
-  int code = 0;          // 0: no answer
-  bool written = false;  // the whole request went out: it may have been read
+  int status_code = 0;           // 0: no answer
+  bool request_written = false;  // the whole request went out: it may have been read
   std::string body = {};
   std::vector<std::pair<std::string, std::string>> headers = {};
 };
 
-class HttpCalls {
+class HttpClient {
  public:
   using Done = std::function<void(const HttpResult&)>;
-  explicit HttpCalls(Loop& loop);
-  ~HttpCalls();
+  explicit HttpClient(EventLoop& loop);
+  ~HttpClient();
 
   void Send(const Address& to, evhttp_cmd_type method, const std::string& path,
             const std::vector<std::pair<std::string, std::string>>& headers, const std::string& body,
             Duration time_out, Done done);
 
  private:
-  class One;
+  class PendingCall;
 
-  Loop& loop_;
-  std::map<One*, std::unique_ptr<One>> out_;
-  std::vector<std::unique_ptr<One>> over_;  // freed once libevent is out of them
+  EventLoop& loop_;
+  std::map<PendingCall*, std::unique_ptr<PendingCall>> out_;
+  std::vector<std::unique_ptr<PendingCall>> over_;  // freed once libevent is out of them
   Timer sweep_;
 };
 
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -16,7 +16,7 @@
 
 // `most_read`: bytes that are read ahead of us, so also those of one chunk. `most_body`: of one answer; 0: it
 // may go on for ever. Nothing is sent twice, and waits are the caller's.
-inline ConnectionPtr OpenConnection(Loop& loop, const Address& to, std::size_t most_read,
+inline ConnectionPtr OpenConnection(EventLoop& loop, const Address& to, std::size_t most_read,
                                     std::size_t most_body) {
   ConnectionPtr connection(evhttp_connection_base_new(loop.base(), nullptr, to.host.c_str(), to.port));
   evhttp_connection_set_retries(connection.get(), 0);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -56,7 +56,7 @@
   return lengths <= 1;
 }
 
-bool ListensAt(const Fd& fd, const sockaddr_in& wanted) {
+bool ListensAt(const FileDescriptor& fd, const sockaddr_in& wanted) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   if (fd.get() < 0 || getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0) return false;
@@ -69,7 +69,8 @@
 // One client's connection: read request by request, answered in between.
 class ServerConnection {
  public:
-  ServerConnection(Server& server, evutil_socket_t fd, const Server::Passed* passed = nullptr)
+  ServerConnection(HttpServer& server, evutil_socket_t fd,
+                   const HttpServer::TransferredClient* passed = nullptr)
       : server_(server),
         buffers_(bufferevent_socket_new(server.loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE)),
         timer_(server.loop_, [this] { TimedOut(); }) {
@@ -77,19 +78,19 @@
     // Bounds what is read while a request is answered, or a line of it has no end.
     bufferevent_setwatermark(buffers_.get(), EV_READ, 0, Most());
     bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
-    timer_.After(kFirstRequest);
+    timer_.Schedule(kFirstRequest);
     if (passed != nullptr) Resume(*passed);
   }
-  ~ServerConnection() { Leave(Server::Ending::kClosed); }
+  ~ServerConnection() { Leave(HttpServer::Ending::kClosed); }
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
-  void Leave(Server::Ending ending) {  // closes; what is open can't be answered any more
+  void Leave(HttpServer::Ending ending) {  // closes; what is open can't be answered any more
     if (const auto exchange = open()) exchange->client_ = nullptr;
     // Guards the last answer: a close over unread bytes is a reset, and takes what is still on its way with
     // it.
     char bytes[4096];
-    for (std::size_t all = 0; buffers_ && ending == Server::Ending::kClosed && all < kMostLinger;) {
+    for (std::size_t all = 0; buffers_ && ending == HttpServer::Ending::kClosed && all < kMostLinger;) {
       const ssize_t n = ::recv(bufferevent_getfd(buffers_.get()), bytes, sizeof bytes, MSG_DONTWAIT);
       if (n <= 0) break;
       all += static_cast<std::size_t>(n);
@@ -117,14 +118,14 @@
     since_ = heard_ = std::chrono::steady_clock::now();
     exchange_.reset();
     if (last) return CloseOnceWritten();
-    timer_.After(Unparsed() ? kNextRequest : kIdle);
+    timer_.Schedule(Unparsed() ? kNextRequest : kIdle);
     if (Unparsed()) bufferevent_trigger(buffers_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS);
   }
 
   // The request that waits for its answer, if there is one.
   std::shared_ptr<Exchange> open() const {
     auto exchange = exchange_.lock();
-    return exchange && !exchange->gone() ? exchange : nullptr;
+    return exchange && !exchange->client_gone() ? exchange : nullptr;
   }
   // Guards a request that has arrived and was not read yet: it is answered, not closed upon.
   bool unread() const {
@@ -134,11 +135,12 @@
   bool asked() const { return asked_; }
   bool settled() const { return !open() && evbuffer_get_length(bufferevent_get_output(buffers_.get())) == 0; }
   bool passable() const { return !refused_ && !ended_ && settled(); }
-  Server::Passing ToPass() const {
+  HttpServer::ClientToTransfer ToPass() const {
     const std::size_t size = evbuffer_get_length(input());
-    Server::Passing passing{bufferevent_getfd(buffers_.get()), asked_,
-                            std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - since_),
-                            begun_ + std::string(size, '\0')};
+    HttpServer::ClientToTransfer passing{
+        bufferevent_getfd(buffers_.get()), asked_,
+        std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - since_),
+        begun_ + std::string(size, '\0')};
     evbuffer_copyout(input(), passing.bytes.data() + begun_.size(), size);
     return passing;
   }
@@ -162,7 +164,7 @@
         parser_->header_limit(server_.limits_.head);
         parser_->body_limit(server_.limits_.body);
         head_checked_ = false;
-        if (asked_) timer_.After(kNextRequest);
+        if (asked_) timer_.Schedule(kNextRequest);
       }
       const std::size_t size = evbuffer_get_length(input());
       boost::system::error_code error;
@@ -199,11 +201,11 @@
     }
   }
 
-  void Resume(const Server::Passed& passed) {
-    asked_ = passed.asked;
+  void Resume(const HttpServer::TransferredClient& passed) {
+    asked_ = passed.has_sent_requests;
     since_ -= passed.age;
-    if (asked_) timer_.After(kIdle);
-    if (!asked_) timer_.After(std::max<Duration>(kFirstRequest - passed.age, Duration(0)));
+    if (asked_) timer_.Schedule(kIdle);
+    if (!asked_) timer_.Schedule(std::max<Duration>(kFirstRequest - passed.age, Duration(0)));
     if (passed.bytes.empty()) return;
     evbuffer_prepend(input(), passed.bytes.data(), passed.bytes.size());
     bufferevent_trigger(buffers_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS);
@@ -241,12 +243,12 @@
     if (refused_) return server_.Close(*this);
     if (parser_) return Refuse(408);  // half a request
     if (Retire()) return;
-    timer_.After(kNextRequest);  // it is read in this round
+    timer_.Schedule(kNextRequest);  // it is read in this round
     if (Unparsed()) bufferevent_trigger(buffers_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS);
   }
   void CloseOnceWritten() {
     refused_ = true;  // nothing more is read
-    timer_.After(kLinger);
+    timer_.Schedule(kLinger);
   }
 
   static void Readable(bufferevent*, void* self) { static_cast<ServerConnection*>(self)->Read(); }
@@ -268,7 +270,7 @@
     c->server_.Close(*c);
   }
 
-  Server& server_;
+  HttpServer& server_;
   std::unique_ptr<bufferevent, Free<bufferevent_free>> buffers_;
   Timer timer_;
   std::optional<Parser> parser_;  // of the request that is coming
@@ -286,13 +288,14 @@
   return "";
 }
 
-bool Exchange::Answer(int code, const std::string& body, const Headers& headers) {
-  if (gone()) return false;
+bool Exchange::Respond(int code, const std::string& body, const Headers& headers) {
+  if (client_gone()) return false;
   std::exchange(client_, nullptr)->Answer(code, body, headers);
   return true;
 }
 
-Server::Server(Loop& loop, const Address& at, Limits limits, Handler handler, Fd inherited)
+HttpServer::HttpServer(EventLoop& loop, const Address& at, HttpServerLimits limits, Handler handler,
+                       FileDescriptor inherited)
     : loop_(loop),
       limits_(limits),
       handler_(std::move(handler)),
@@ -322,10 +325,10 @@
   port_ = ntohs(address.sin_port);
 }
 
-Server::~Server() = default;
+HttpServer::~HttpServer() = default;
 
-void Server::Accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-  auto* server = static_cast<Server*>(self);
+void HttpServer::Accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  auto* server = static_cast<HttpServer*>(self);
   if (server->clients_.size() >= server->limits_.connections && !server->MakeRoom()) {
     ::close(fd);
     return;
@@ -337,15 +340,15 @@
 }
 
 // Guards against turning round and round while no descriptor is free.
-void Server::NotAccepted(evconnlistener* listener, void* self) {
+void HttpServer::NotAccepted(evconnlistener* listener, void* self) {
   evconnlistener_disable(listener);
-  static_cast<Server*>(self)->listen_again_.After(kListenAgain);
+  static_cast<HttpServer*>(self)->listen_again_.Schedule(kListenAgain);
 }
 
 // Closes the connection that is least missed: first who has said nothing for long, then who is idle, then who
 // is amid a first request or has only just come, last who has asked before; of equals the longest silent.
 // False if all have a request open.
-bool Server::MakeRoom() {
+bool HttpServer::MakeRoom() {
   const auto now = std::chrono::steady_clock::now();
   ServerConnection* least = nullptr;
   std::pair<int, std::chrono::steady_clock::time_point> lowest;
@@ -364,36 +367,36 @@
   return least != nullptr;
 }
 
-void Server::Close(ServerConnection& client, Ending ending) {
+void HttpServer::Close(ServerConnection& client, Ending ending) {
   const auto at = clients_.find(&client);
   if (at == clients_.end()) return;
   client.Leave(ending);
   closed_.push_back(std::move(at->second));
   clients_.erase(at);
-  sweep_.After(Duration(0));
+  sweep_.Schedule(Duration(0));
   if (on_closed) on_closed();
 }
 
-void Server::CloseBetweenRequests(bool mute_too) {
+void HttpServer::CloseBetweenRequests(bool mute_too) {
   closing_ = true;
   for (const auto& [client, owned] : clients_) {
     if (client->idle() || (mute_too && client->mute())) client->Retire();
   }
 }
 
-bool Server::Settled() const {
+bool HttpServer::IsSettled() const {
   return std::all_of(clients_.begin(), clients_.end(), [](const auto& at) { return at.first->settled(); });
 }
 
-std::vector<Server::Passing> Server::ToPass() const {
-  std::vector<Passing> all;
+std::vector<HttpServer::ClientToTransfer> HttpServer::ClientsToTransfer() const {
+  std::vector<ClientToTransfer> all;
   for (const auto& [client, owned] : clients_) {
     if (client->passable()) all.push_back(client->ToPass());
   }
   return all;
 }
 
-void Server::LetGo() {
+void HttpServer::ReleaseAll() {
   listener_.reset();
   closing_ = true;
   std::vector<ServerConnection*> gone;
@@ -403,14 +406,14 @@
   for (ServerConnection* client : gone) Close(*client, Ending::kPassed);
 }
 
-void Server::Adopt(Passed passed) {
+void HttpServer::Adopt(TransferredClient passed) {
   auto client = std::make_unique<ServerConnection>(*this, passed.fd.get(), &passed);
   passed.fd.Release();
   clients_[client.get()] = std::move(client);
 }
 
 // Who stands in the queue has connected, and may have asked: a listener that closes would reset them.
-void Server::StopListening() {
+void HttpServer::StopListening() {
   if (!listener_) return;
   evconnlistener_disable(listener_.get());
   while (true) {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -37,9 +37,9 @@
   const Headers& headers() const { return headers_; }
   const std::string& body() const { return body_; }
   // Answered, or its connection has broken; nothing can be answered any more.
-  bool gone() const { return client_ == nullptr; }
+  bool client_gone() const { return client_ == nullptr; }
   // At most once. False if the client has gone.
-  bool Answer(int code, const std::string& body = "", const Headers& headers = {});
+  bool Respond(int code, const std::string& body = "", const Headers& headers = {});
 
  private:
   friend class ServerConnection;
@@ -49,31 +49,32 @@
   std::string body_;
 };
 
-class Server {
+class HttpServer {
  public:
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
-  struct Limits {
+  struct HttpServerLimits {
     std::size_t body = 64 * 1024;  // of one request
     std::size_t connections = 64;  // at once
     std::size_t head = 16 * 1024;  // of one request
   };
   // A connection that goes to another process: between requests, or amid one of which these bytes have come.
-  struct Passing {
+  struct ClientToTransfer {
     int fd = -1;  // still this process's
-    bool asked = false;
+    bool has_sent_requests = false;
     Duration age{0};  // since it was accepted, or last answered
     std::string bytes = {};
   };
-  struct Passed {
-    Fd fd = Fd();
-    bool asked = false;
+  struct TransferredClient {
+    FileDescriptor fd = FileDescriptor();
+    bool has_sent_requests = false;
     Duration age{0};
     std::string bytes = {};
   };
   // `inherited`: a listening socket of another process, used if it listens at that address. Throws
   // std::runtime_error if it can't listen.
-  Server(Loop& loop, const Address& at, Limits limits, Handler handler, Fd inherited = Fd());
-  ~Server();
+  HttpServer(EventLoop& loop, const Address& at, HttpServerLimits limits, Handler handler,
+             FileDescriptor inherited = FileDescriptor());
+  ~HttpServer();
 
   std::uint16_t port() const { return port_; }
   std::size_t connections() const { return clients_.size(); }
@@ -86,12 +87,12 @@
   std::function<void()> on_closed;  // after each connection; may be empty
   int listener() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
   // No answer is owed to a client, or still to be written.
-  bool Settled() const;
+  bool IsSettled() const;
   // All that can be passed on: no answer is owed there, and none is still to be written.
-  std::vector<Passing> ToPass() const;
+  std::vector<ClientToTransfer> ClientsToTransfer() const;
   // They have been passed on, and the listener too: closes this process's own descriptors of them.
-  void LetGo();
-  void Adopt(Passed client);
+  void ReleaseAll();
+  void Adopt(TransferredClient client);
 
  private:
   friend class ServerConnection;
@@ -101,8 +102,8 @@
   enum class Ending { kClosed, kPassed };  // passed: another process reads and writes there now
   void Close(ServerConnection& client, Ending ending = Ending::kClosed);
 
-  Loop& loop_;
-  const Limits limits_;
+  EventLoop& loop_;
+  const HttpServerLimits limits_;
   Handler handler_;
   std::unique_ptr<evconnlistener, Free<evconnlistener_free>> listener_;
   std::uint16_t port_ = 0;
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -17,23 +17,26 @@
 
 std::string Line(const Message& m) {
   std::string line = "{\"id\":" + json::Quote(m.request.id) + ",\"status\":";
-  if (m.end != End::kRefused) return line + "\"undeliverable\"}\n";
+  if (m.final_status != FinalStatus::kRejected) return line + "\"undeliverable\"}\n";
   line += "\"deferred\"";
-  const auto again = std::chrono::duration_cast<std::chrono::milliseconds>(m.again).count();
+  const auto again = std::chrono::duration_cast<std::chrono::milliseconds>(m.retry_after).count();
   if (again > 0) line += ",\"again_ms\":" + std::to_string(again);
   return line + "}\n";
 }
 
 }  // namespace
 
-Notices::Form Notices::Platform() { return {"/v1/notices", "application/json", "", "", "", Line}; }
+NotificationClient::Encoding NotificationClient::PlatformEncoding() {
+  return {"/v1/notices", "application/json", "", "", "", Line};
+}
 
-Notices::Form Notices::Batch(std::string path, std::function<std::string(const Message&)> event) {
+NotificationClient::Encoding NotificationClient::BatchEncoding(
+    std::string path, std::function<std::string(const Message&)> event) {
   return {std::move(path), "application/cloudevents-batch+json", "[", ",", "]", std::move(event)};
 }
 
-Notices::Notices(Loop& loop, const Address& to, Form form, std::function<void(std::uint64_t)> heard,
-                 Logger& log)
+NotificationClient::NotificationClient(EventLoop& loop, const Address& to, Encoding form,
+                                       std::function<void(std::uint64_t)> heard, Logger& log)
     : loop_(loop),
       to_(to),
       form_(std::move(form)),
@@ -41,22 +44,22 @@
       log_(log),
       post_(loop, [this] { Post(); }),
       unheard_(loop, [this] { Failed("no answer"); }) {}
-Notices::~Notices() = default;
+NotificationClient::~NotificationClient() = default;
 
-void Notices::Tell(const Message& message) {
+void NotificationClient::Notify(const Message& message) {
   waiting_[message.number] = form_.line(message);
-  if (out_.empty() && !post_.pending()) post_.After(Duration(0));
+  if (out_.empty() && !post_.pending()) post_.Schedule(Duration(0));
 }
 
-void Notices::Move(const Address& to) {
+void NotificationClient::ChangeAddress(const Address& to) {
   to_ = to;
   connection_.reset();
   unheard_.Stop();
   out_.clear();
-  post_.After(Duration(0));
+  post_.Schedule(Duration(0));
 }
 
-void Notices::Leave() {
+void NotificationClient::Shutdown() {
   waiting_.clear();
   out_.clear();
   connection_.reset();
@@ -64,7 +67,7 @@
   unheard_.Stop();
 }
 
-void Notices::Post() {
+void NotificationClient::Post() {
   if (waiting_.empty()) return;
   // Guards a notice against the answer to an earlier post that was given up, and against a connection that
   // has fallen silent.
@@ -84,20 +87,20 @@
   }
   text += form_.close;
   evbuffer_add(body, text.data(), text.size());
-  unheard_.After(kUnheard);
+  unheard_.Schedule(kUnheard);
   evhttp_make_request(connection_.get(), request, EVHTTP_REQ_POST, form_.path.c_str());
 }
 
-void Notices::Failed(const char* how) {
+void NotificationClient::Failed(const char* how) {
   if (!failing_) log_.Warn("notices.unheard", {{"how", how}});
   failing_ = true;
   unheard_.Stop();
   out_.clear();
-  post_.After(kAgain);
+  post_.Schedule(kAgain);
 }
 
-void Notices::Done(evhttp_request* request, void* self) {
-  auto* n = static_cast<Notices*>(self);
+void NotificationClient::Done(evhttp_request* request, void* self) {
+  auto* n = static_cast<NotificationClient*>(self);
   if (!n->unheard_.pending()) return;
   const int code = request == nullptr ? 0 : evhttp_request_get_response_code(request);
   if (code == 0) return n->Failed("no connection");
@@ -110,7 +113,7 @@
     n->waiting_.erase(number);
     n->heard_(number);
   }
-  if (!n->waiting_.empty()) n->post_.After(Duration(0));
+  if (!n->waiting_.empty()) n->post_.Schedule(Duration(0));
 }
 
 }  // namespace sagetally
--- a/src/net/notification_client.h
+++ b/src/net/notification_client.h
@@ -15,34 +15,36 @@
 
 namespace sagetally {
 
-class Notices : public Teller {
+class NotificationClient : public Notifier {
  public:
-  struct Form {  // of a post
+  struct Encoding {  // of a post
     std::string path, content_type, open, between, close;
     std::function<std::string(const Message&)> line;
   };
-  static Form Platform();  // JSON lines at the platform's own address
-  static Form Batch(std::string path, std::function<std::string(const Message&)> event);  // of CloudEvents
+  static Encoding PlatformEncoding();  // JSON lines at the platform's own address
+  static Encoding BatchEncoding(std::string path,
+                                std::function<std::string(const Message&)> event);  // of CloudEvents
 
   // `heard` is called for each message whose notice was answered with success.
-  Notices(Loop& loop, const Address& to, Form form, std::function<void(std::uint64_t)> heard, Logger& log);
-  ~Notices() override;
+  NotificationClient(EventLoop& loop, const Address& to, Encoding form,
+                     std::function<void(std::uint64_t)> heard, Logger& log);
+  ~NotificationClient() override;
 
-  void Tell(const Message& message) override;
+  void Notify(const Message& message) override;
   void Forget(std::uint64_t number) { waiting_.erase(number); }
   bool idle() const { return waiting_.empty(); }
   // What was not heard yet is told at another address.
-  void Move(const Address& to);
-  void Leave();  // another process tells what is waiting
+  void ChangeAddress(const Address& to);
+  void Shutdown();  // another process tells what is waiting
 
  private:
   void Post();
   void Failed(const char* how);
   static void Done(evhttp_request* request, void* self);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Address to_;
-  const Form form_;
+  const Encoding form_;
   std::function<void(std::uint64_t)> heard_;
   Logger& log_;
   std::map<std::uint64_t, std::string> waiting_;  // as posted
--- a/src/net/wakeup_descriptor.h
+++ b/src/net/wakeup_descriptor.h
@@ -14,17 +14,17 @@
 
 namespace sagetally {
 
-class Bell {
+class WakeupDescriptor {
  public:
-  Bell(Loop& loop, std::function<void()> rung)
+  WakeupDescriptor(EventLoop& loop, std::function<void()> rung)
       : rung_(std::move(rung)),
         fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
         event_(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Heard, this)) {
     event_add(event_.get(), nullptr);
   }
-  Bell(const Bell&) = delete;
-  Bell& operator=(const Bell&) = delete;
-  void Ring() const {
+  WakeupDescriptor(const WakeupDescriptor&) = delete;
+  WakeupDescriptor& operator=(const WakeupDescriptor&) = delete;
+  void Notify() const {
     const std::uint64_t one = 1;
     [[maybe_unused]] const auto written = ::write(fd_.get(), &one, sizeof one);
   }
@@ -33,10 +33,10 @@
   static void Heard(evutil_socket_t fd, short, void* self) {
     std::uint64_t times = 0;
     [[maybe_unused]] const auto got = ::read(fd, &times, sizeof times);
-    static_cast<Bell*>(self)->rung_();
+    static_cast<WakeupDescriptor*>(self)->rung_();
   }
   std::function<void()> rung_;
-  Fd fd_;
+  FileDescriptor fd_;
   EventPtr event_;
 };
 
--- a/src/net/write_observer.h
+++ b/src/net/write_observer.h
@@ -12,23 +12,23 @@
 
 namespace sagetally {
 
-class WrittenWatch {
+class WriteObserver {
  public:
   // `connected` is called when a request reaches the connection's buffer: once the connection is up.
-  WrittenWatch(evhttp_connection* connection, std::function<void()> connected)
+  WriteObserver(evhttp_connection* connection, std::function<void()> connected)
       : buffers_(evhttp_connection_get_bufferevent(connection)), connected_(std::move(connected)) {
     evbuffer_add_cb(bufferevent_get_output(buffers_), Moved, this);
   }
-  ~WrittenWatch() { evbuffer_remove_cb(bufferevent_get_output(buffers_), Moved, this); }
-  WrittenWatch(const WrittenWatch&) = delete;
-  WrittenWatch& operator=(const WrittenWatch&) = delete;
+  ~WriteObserver() { evbuffer_remove_cb(bufferevent_get_output(buffers_), Moved, this); }
+  WriteObserver(const WriteObserver&) = delete;
+  WriteObserver& operator=(const WriteObserver&) = delete;
 
   void Start() { written_ = false; }  // a new request follows
   bool written() const { return written_; }
 
  private:
   static void Moved(evbuffer* buffer, const evbuffer_cb_info* info, void* self) {
-    auto* w = static_cast<WrittenWatch*>(self);
+    auto* w = static_cast<WriteObserver*>(self);
     if (info->n_added > 0) w->connected_();
     // libevent empties the buffer of a failed connection too, once its socket is gone.
     if (info->n_deleted > 0 && evbuffer_get_length(buffer) == 0 && bufferevent_getfd(w->buffers_) != -1) {
--- a/src/pipeline/admission_controller.h
+++ b/src/pipeline/admission_controller.h
@@ -15,48 +15,49 @@
 namespace sagetally {
 
 // Answers the client; false if it has gone without one.
-using Reply = std::function<bool(const Answer&)>;
+using AdmissionCallback = std::function<bool(const AdmissionResult&)>;
 
-class Admit {
+class AdmissionController {
  public:
-  Admit(Ledger& ledger, Journal& journal, Route& route, Book& book, const Clock& clock, int most_held,
-        Keep* keep, Tally* tally)
-      : ledger_(ledger),
+  AdmissionController(MessageTable& ledger, Journal& journal, Router& route, CompletionHandler& book,
+                      const Clock& clock, int most_held, DeadLetterSink* keep, MetricsRecorder* tally)
+      : messages_(ledger),
         journal_(journal),
-        route_(route),
-        book_(book),
+        router_(route),
+        completion_handler_(book),
         clock_(clock),
-        most_held_(most_held),
-        keep_(keep),
-        tally_(tally) {}
+        max_pending_messages_(most_held),
+        dead_letters_(keep),
+        metrics_(tally) {}
 
-  void Take(std::vector<Request> requests, Reply reply);
+  void Accept(std::vector<Request> requests, AdmissionCallback reply);
   // A kept message that is sent again, with its history and no client; false if there is no room for it.
-  bool TakeAgain(Message message);
+  bool AcceptRedrive(Message message);
   // After each step: answers what was taken in before it.
-  void AnswerTaken();
-  bool settled() const { return waiting_.empty(); }  // nobody waits for an answer
+  void AnswerWaitingClients();
+  bool is_settled() const { return waiting_clients_.empty(); }  // nobody waits for an answer
   // Whether messages are taken on at present; absent: they are.
-  std::function<bool()> takes;
+  std::function<bool()> is_accepting;
 
   // All of them, for one reason.
-  void Refuse(const std::vector<Request>& requests, const Reply& reply, const Answer& answer);
+  void Reject(const std::vector<Request>& requests, const AdmissionCallback& reply,
+              const AdmissionResult& answer);
 
  private:
-  struct Waiting {
-    std::vector<std::uint64_t> numbers;
-    Reply reply;
+  struct WaitingClient {
+    std::vector<std::uint64_t> message_numbers;
+    AdmissionCallback reply;
   };
 
-  Ledger& ledger_;
+  MessageTable& messages_;
   Journal& journal_;
-  Route& route_;
-  Book& book_;
+  Router& router_;
+  CompletionHandler& completion_handler_;
   const Clock& clock_;
-  const int most_held_;
-  Keep* keep_;    // may be null
-  Tally* tally_;  // may be null
-  std::vector<Waiting> waiting_;
+  const int max_pending_messages_;
+  DeadLetterSink* dead_letters_;  // may be null
+  MetricsRecorder* metrics_;      // may be null
+  std::vector<WaitingClient> waiting_clients_;
 };
 
 }  // namespace sagetally
--- a/src/pipeline/attempt_sender.h
+++ b/src/pipeline/attempt_sender.h
@@ -15,47 +15,48 @@
 
 namespace sagetally {
 
-class SendStage {
+class AttemptSender {
  public:
   // `classes`: of messages, by number; outlives it.
   // `histories`: attempts are noted in the message, for those who may look into it later.
   // `back` takes the results of calls that never left.
-  SendStage(const std::vector<ClassSettings>& classes, Ledger& ledger, Journal& journal, Caller& caller,
-            const Clock& clock, bool histories, std::function<void(const CallResult&)> back)
+  AttemptSender(const std::vector<ClassSettings>& classes, MessageTable& ledger, Journal& journal,
+                EndpointClient& caller, const Clock& clock, bool histories,
+                std::function<void(const CallResult&)> back)
       : classes_(classes),
-        ledger_(ledger),
+        messages_(ledger),
         journal_(journal),
-        caller_(caller),
+        endpoint_client_(caller),
         clock_(clock),
-        histories_(histories),
-        back_(std::move(back)) {}
+        records_history_(histories),
+        on_not_sent_(std::move(back)) {}
 
-  void Go(std::uint64_t number, const std::string& endpoint, Duration time_out);
+  void StartAttempt(std::uint64_t number, const std::string& endpoint, Duration time_out);
   // The module calls it off; true if it had not left yet.
-  bool Cancel(std::uint64_t number) {
-    return waiting_.erase(number) > 0 && (unsent_.push_back(number), true);
+  bool CancelIfWaiting(std::uint64_t number) {
+    return waiting_attempts_.erase(number) > 0 && (cancelled_unsent_.push_back(number), true);
   }
-  void Progress();  // the journal has moved on, or a cancelled one is to be given back
-  bool idle() const { return unsent_.empty(); }
-  bool settled() const { return waiting_.empty() && unsent_.empty(); }
+  void OnJournalProgress();  // the journal has moved on, or a cancelled one is to be given back
+  bool has_nothing_to_return() const { return cancelled_unsent_.empty(); }
+  bool is_settled() const { return waiting_attempts_.empty() && cancelled_unsent_.empty(); }
 
  private:
-  struct Waiting {
+  struct WaitingAttempt {
     std::string endpoint;
-    Duration time_out{0};
+    Duration timeout{0};
     Time since{0};
   };
-  void Call(const Message& message, const std::string& endpoint, Duration time_out);
+  void StartCall(const Message& message, const std::string& endpoint, Duration time_out);
 
   const std::vector<ClassSettings>& classes_;
-  Ledger& ledger_;
+  MessageTable& messages_;
   Journal& journal_;
-  Caller& caller_;
+  EndpointClient& endpoint_client_;
   const Clock& clock_;
-  const bool histories_;
-  const std::function<void(const CallResult&)> back_;
-  std::map<std::uint64_t, Waiting> waiting_;  // by message
-  std::vector<std::uint64_t> unsent_;         // called off before they left
+  const bool records_history_;
+  const std::function<void(const CallResult&)> on_not_sent_;
+  std::map<std::uint64_t, WaitingAttempt> waiting_attempts_;  // by message
+  std::vector<std::uint64_t> cancelled_unsent_;               // called off before they left
 };
 
 }  // namespace sagetally
--- a/src/pipeline/completion_handler.cpp
+++ b/src/pipeline/completion_handler.cpp
@@ -5,69 +5,69 @@
 
 namespace sagetally {
 
-void Book::End(Message& message, enum End end, Duration again) {
-  if (message.end != End::kNone) return;
-  if (keep_ != nullptr) {
-    keep_->Ending(message, end);
-  } else if (message.kept_as != 0) {
-    message.kept_owed = true;  // guards against a second resend: the store still calls it claimed
+void CompletionHandler::Complete(Message& message, enum FinalStatus end, Duration again) {
+  if (message.final_status != FinalStatus::kPending) return;
+  if (dead_letters_ != nullptr) {
+    dead_letters_->BeforeCompletion(message, end);
+  } else if (message.redrive_number != 0) {
+    message.dead_letter_pending = true;  // guards against a second resend: the store still calls it claimed
   }
-  ledger_.End(message, end, again, clock_.Now());
-  journal_.Ended(message);
-  if (tally_ != nullptr) tally_->Ended(message);
-  if (message.answered) Tell(message);
+  messages_.Complete(message, end, again, clock_.Now());
+  journal_.AppendCompletion(message);
+  if (metrics_ != nullptr) metrics_->RecordCompletion(message);
+  if (message.client_answered) NotifyClient(message);
 }
 
-void Book::Tell(Message& message) {
-  if (!journal_.Safe(message)) {
-    waiting_.insert(message.number);
+void CompletionHandler::NotifyClient(Message& message) {
+  if (!journal_.IsDurable(message)) {
+    awaiting_durability_.insert(message.number);
     return;
   }
-  if (message.notice_owed) teller_.Tell(message);
-  Owe(message);
+  if (message.notification_pending) notifier_.Notify(message);
+  PassToDeadLetters(message);
 }
 
-void Book::Owe(Message& message) {
+void CompletionHandler::PassToDeadLetters(Message& message) {
   // Where messages are kept no more, what is owed to the store waits in the journal until they are again.
-  if (keep_ != nullptr && message.kept_owed && message.end != End::kNone && message.answered &&
-      !message.out) {
-    keep_->Owed(message);
+  if (dead_letters_ != nullptr && message.dead_letter_pending &&
+      message.final_status != FinalStatus::kPending && message.client_answered && !message.is_in_flight) {
+    dead_letters_->TakeOver(message);
   }
-  ledger_.Settle(message);
+  messages_.RemoveIfFinished(message);
 }
 
-void Book::Kept(std::uint64_t number) {
-  Message* message = ledger_.Find(number);
-  if (message == nullptr || !message->kept_owed) return;
-  journal_.Kept(*message);
-  ledger_.Kept(*message);
+void CompletionHandler::OnDeadLettered(std::uint64_t number) {
+  Message* message = messages_.Find(number);
+  if (message == nullptr || !message->dead_letter_pending) return;
+  journal_.AppendDeadLettered(*message);
+  messages_.MarkDeadLettered(*message);
 }
 
-void Book::NobodyToTell(std::uint64_t number) {
-  if (Message* message = ledger_.Find(number)) message->notice_owed = false;
+void CompletionHandler::OnNoRecipient(std::uint64_t number) {
+  if (Message* message = messages_.Find(number)) message->notification_pending = false;
 }
 
-void Book::Heard(std::uint64_t number) {
-  Message* message = ledger_.Find(number);
-  if (message == nullptr || !message->notice_owed) return;
-  message->notice_owed = false;
-  journal_.Told(*message);
-  ledger_.Settle(*message);
+void CompletionHandler::OnNotificationAcknowledged(std::uint64_t number) {
+  Message* message = messages_.Find(number);
+  if (message == nullptr || !message->notification_pending) return;
+  message->notification_pending = false;
+  journal_.AppendNotified(*message);
+  messages_.RemoveIfFinished(*message);
 }
 
-void Book::Progress() {
-  for (const std::uint64_t number : std::exchange(waiting_, {})) {
-    if (Message* message = ledger_.Find(number)) Tell(*message);
+void CompletionHandler::OnJournalProgress() {
+  for (const std::uint64_t number : std::exchange(awaiting_durability_, {})) {
+    if (Message* message = messages_.Find(number)) NotifyClient(*message);
   }
 }
 
-void Book::TellAgain() {
+void CompletionHandler::ResumeNotifications() {
   std::vector<std::uint64_t> owed;
-  for (const auto& [number, message] : ledger_.messages()) {
-    if (message.notice_owed || message.kept_owed) owed.push_back(number);
+  for (const auto& [number, message] : messages_.messages()) {
+    if (message.notification_pending || message.dead_letter_pending) owed.push_back(number);
   }
   for (const std::uint64_t number : owed) {
-    Tell(*ledger_.Find(number));
+    NotifyClient(*messages_.Find(number));
   }
 }
 
--- a/src/pipeline/completion_handler.h
+++ b/src/pipeline/completion_handler.h
@@ -10,30 +10,36 @@
 
 namespace sagetally {
 
-class Book {
+class CompletionHandler {
  public:
-  Book(Ledger& ledger, Journal& journal, Teller& teller, const Clock& clock, Keep* keep, Tally* tally)
-      : ledger_(ledger), journal_(journal), teller_(teller), clock_(clock), keep_(keep), tally_(tally) {}
-
-  void End(Message& message, enum End end, Duration again = Duration(0));
-  void Tell(Message& message);              // its end, if a notice is owed; then lets it go
-  void Heard(std::uint64_t number);         // a notice arrived
-  void NobodyToTell(std::uint64_t number);  // from within Tell: its end has no hearer
-  void Owe(Message& message);               // to the store of kept messages, if it is; else lets it go
-  void Kept(std::uint64_t number);          // the store has it, or never will
-  void TellAgain();                         // after a restart: all that is owed
-  void Progress();                          // tells what waited for the journal
-
-  bool settled() const { return waiting_.empty(); }
+  CompletionHandler(MessageTable& ledger, Journal& journal, Notifier& teller, const Clock& clock,
+                    DeadLetterSink* keep, MetricsRecorder* tally)
+      : messages_(ledger),
+        journal_(journal),
+        notifier_(teller),
+        clock_(clock),
+        dead_letters_(keep),
+        metrics_(tally) {}
+
+  void Complete(Message& message, enum FinalStatus end, Duration again = Duration(0));
+  void NotifyClient(Message& message);                    // its end, if a notice is owed; then lets it go
+  void OnNotificationAcknowledged(std::uint64_t number);  // a notice arrived
+  void OnNoRecipient(std::uint64_t number);               // from within Tell: its end has no hearer
+  void PassToDeadLetters(Message& message);   // to the store of kept messages, if it is; else lets it go
+  void OnDeadLettered(std::uint64_t number);  // the store has it, or never will
+  void ResumeNotifications();                 // after a restart: all that is owed
+  void OnJournalProgress();                   // tells what waited for the journal
+
+  bool is_settled() const { return awaiting_durability_.empty(); }
 
  private:
-  Ledger& ledger_;
+  MessageTable& messages_;
   Journal& journal_;
-  Teller& teller_;
+  Notifier& notifier_;
   const Clock& clock_;
-  Keep* keep_;                       // may be null
-  Tally* tally_;                     // may be null
-  std::set<std::uint64_t> waiting_;  // ended and answered, and not yet safe on record
+  DeadLetterSink* dead_letters_;                 // may be null
+  MetricsRecorder* metrics_;                     // may be null
+  std::set<std::uint64_t> awaiting_durability_;  // ended and answered, and not yet safe on record
 };
 
 }  // namespace sagetally
--- a/src/pipeline/message_pipeline.h
+++ b/src/pipeline/message_pipeline.h
@@ -11,61 +11,68 @@
 
 namespace sagetally {
 
-struct Chain {
-  Chain(const SiteSettings& site, std::uint64_t seed, Ledger& ledger, Journal& journal, Caller& caller,
-        Teller& teller, Host& host, const Clock& clock, Keep* keep = nullptr, Tally* tally = nullptr)
-      : ledger(ledger),
-        keep(keep),
-        book(ledger, journal, teller, clock, keep, tally),
-        send(site.module.classes, ledger, journal, caller, clock, keep != nullptr,
-             [this](const CallResult& result) { relay.Back(result); }),
-        route(Sender(site.module, seed), ledger, send, book, caller, host, clock),
-        relay(ledger, journal, route, book, clock, keep, memory),
-        admit(ledger, journal, route, book, clock, site.module.most_held, keep, tally),
-        intake(site, ledger, route, admit, keep) {}
+struct MessagePipeline {
+  MessagePipeline(const SiteSettings& site, std::uint64_t seed, MessageTable& ledger, Journal& journal,
+                  EndpointClient& caller, Notifier& teller, Scheduler& host, const Clock& clock,
+                  DeadLetterSink* keep = nullptr, MetricsRecorder* tally = nullptr)
+      : messages(ledger),
+        dead_letters(keep),
+        completion_handler(ledger, journal, teller, clock, keep, tally),
+        attempt_sender(site.policy.classes, ledger, journal, caller, clock, keep != nullptr,
+                       [this](const CallResult& result) { outcome_handler.OnCallResult(result); }),
+        router(DispatchPolicy(site.policy, seed), ledger, attempt_sender, completion_handler, caller, host,
+               clock),
+        outcome_handler(ledger, journal, router, completion_handler, clock, keep, attempt_history),
+        admission(ledger, journal, router, completion_handler, clock, site.policy.max_pending_messages, keep,
+                  tally),
+        validator(site, ledger, router, admission, keep) {}
 
   // After a restart: every message still owed goes to the module with its history, and every end not yet
   // heard is told again. The list of endpoints must be known by then.
-  void Resume() {
+  void ResumeAfterRestart() {
     std::vector<std::uint64_t> forbidden;
-    for (const auto& [number, message] : ledger.messages()) {
-      if (message.end != End::kNone || message.out) continue;  // out: with an earlier process
-      if (message.request.message_class == kNoClass || (keep != nullptr && !keep->MayGoOn(message))) {
+    for (const auto& [number, message] : messages.messages()) {
+      if (message.final_status != FinalStatus::kPending || message.is_in_flight)
+        continue;  // out: with an earlier process
+      if (message.request.message_class == kNoClass ||
+          (dead_letters != nullptr && !dead_letters->MayContinueAfterRestart(message))) {
         forbidden.push_back(number);
       } else {
-        route.Taken(message);
+        router.OnAccepted(message);
       }
     }
     for (const std::uint64_t number : forbidden) {
-      book.End(*ledger.Find(number), End::kFailed);
+      completion_handler.Complete(*messages.Find(number), FinalStatus::kFailed);
     }
-    book.TellAgain();
+    completion_handler.ResumeNotifications();
   }
 
   // What waited for the journal may go on.
-  void Progress() {
-    send.Progress();
-    book.Progress();
-    admit.AnswerTaken();
+  void OnJournalProgress() {
+    attempt_sender.OnJournalProgress();
+    completion_handler.OnJournalProgress();
+    admission.AnswerWaitingClients();
   }
 
   // Nothing waits for the journal: what was said has been acted upon.
-  bool Settled() const { return admit.settled() && send.settled() && book.settled(); }
+  bool IsSettled() const {
+    return admission.is_settled() && attempt_sender.is_settled() && completion_handler.is_settled();
+  }
 
-  void Step() {
-    route.Step();
-    admit.AnswerTaken();
+  void RunPolicy() {
+    router.RunPolicy();
+    admission.AnswerWaitingClients();
   }
 
-  Ledger& ledger;
-  Keep* keep;  // may be null
-  AttemptMemory memory;
-  Book book;
-  SendStage send;
-  Route route;
-  Relay relay;
-  Admit admit;
-  Intake intake;
+  MessageTable& messages;
+  DeadLetterSink* dead_letters;  // may be null
+  AttemptHistory attempt_history;
+  CompletionHandler completion_handler;
+  AttemptSender attempt_sender;
+  Router router;
+  OutcomeHandler outcome_handler;
+  AdmissionController admission;
+  RequestValidator validator;
 };
 
 }  // namespace sagetally
--- a/src/pipeline/outcome_handler.cpp
+++ b/src/pipeline/outcome_handler.cpp
@@ -4,41 +4,43 @@
 
 namespace sagetally {
 
-void Relay::Back(const CallResult& result) {
-  Message* message = ledger_.Find(result.number);
-  if (message == nullptr || !message->out) return;
+void OutcomeHandler::OnCallResult(const CallResult& result) {
+  Message* message = messages_.Find(result.number);
+  if (message == nullptr || !message->is_in_flight) return;
   Message& m = *message;
-  m.out = false;
-  if (MayHaveRun(result.outcome) && !m.may_have_run) {
-    m.may_have_run = m.out_since;
-    m.may_have_run_at = m.out_at;
+  m.is_in_flight = false;
+  if (MayHaveRun(result.outcome) && !m.first_uncertain_attempt) {
+    m.first_uncertain_attempt = m.in_flight_since;
+    m.first_uncertain_endpoint = m.in_flight_endpoint;
   }
   if (!m.history.empty()) {
     m.history.back().outcome = result.outcome;
-    m.history.back().told_wait = result.told_wait;
+    m.history.back().retry_after = result.retry_after;
   }
-  if (keep_ != nullptr) keep_->CallEnded(m, result);
-  memory_.Add({m.out_since, clock_.Now(), m.deadline, m.request.destination, m.request.message_class,
-               m.attempts, m.out_at, result.outcome, result.told_wait, result.load});
-  AttemptEnded e;
-  e.id = ModuleId(m.number);
+  if (dead_letters_ != nullptr) dead_letters_->OnCallCompleted(m, result);
+  attempt_history_.Add({m.in_flight_since, clock_.Now(), m.deadline, m.request.destination,
+                        m.request.message_class, m.attempts, m.in_flight_endpoint, result.outcome,
+                        result.retry_after, result.load_report});
+  AttemptCompleted e;
+  e.id = PolicyMessageId(m.number);
   e.attempt = m.attempts - 1;
   e.outcome = result.outcome;
-  e.took = clock_.Now() - m.out_since;
-  e.told_wait = result.told_wait;
-  e.load = result.load;
-  if (m.end != End::kNone) {  // ended while the call was out
-    e.finished = true;
-    route_.Add(std::move(e));
-    return book_.Owe(m);
+  e.latency = clock_.Now() - m.in_flight_since;
+  e.retry_after = result.retry_after;
+  e.load_report = result.load_report;
+  if (m.final_status != FinalStatus::kPending) {  // ended while the call was out
+    e.message_ended = true;
+    router_.QueueEvent(std::move(e));
+    return completion_handler_.PassToDeadLetters(m);
   }
-  if (result.outcome == Outcome::kOk || result.over) {
-    e.finished = true;
-    route_.Add(std::move(e));
-    return book_.End(m, result.outcome == Outcome::kOk ? End::kDelivered : End::kOver);
+  if (result.outcome == Outcome::kOk || result.completed) {
+    e.message_ended = true;
+    router_.QueueEvent(std::move(e));
+    return completion_handler_.Complete(
+        m, result.outcome == Outcome::kOk ? FinalStatus::kDelivered : FinalStatus::kExpired);
   }
-  journal_.Outcame(m, result.outcome);
-  route_.Add(std::move(e));
+  journal_.AppendOutcome(m, result.outcome);
+  router_.QueueEvent(std::move(e));
 }
 
 }  // namespace sagetally
--- a/src/pipeline/outcome_handler.h
+++ b/src/pipeline/outcome_handler.h
@@ -11,28 +11,28 @@
 
 namespace sagetally {
 
-class Relay {
+class OutcomeHandler {
  public:
-  Relay(Ledger& ledger, Journal& journal, Route& route, Book& book, const Clock& clock, Keep* keep,
-        AttemptMemory& memory)
-      : ledger_(ledger),
+  OutcomeHandler(MessageTable& ledger, Journal& journal, Router& route, CompletionHandler& book,
+                 const Clock& clock, DeadLetterSink* keep, AttemptHistory& memory)
+      : messages_(ledger),
         journal_(journal),
-        route_(route),
-        book_(book),
+        router_(route),
+        completion_handler_(book),
         clock_(clock),
-        keep_(keep),
-        memory_(memory) {}
+        dead_letters_(keep),
+        attempt_history_(memory) {}
 
-  void Back(const CallResult& result);
+  void OnCallResult(const CallResult& result);
 
  private:
-  Ledger& ledger_;
+  MessageTable& messages_;
   Journal& journal_;
-  Route& route_;
-  Book& book_;
+  Router& router_;
+  CompletionHandler& completion_handler_;
   const Clock& clock_;
-  Keep* keep_;  // may be null
-  AttemptMemory& memory_;
+  DeadLetterSink* dead_letters_;  // may be null
+  AttemptHistory& attempt_history_;
 };
 
 }  // namespace sagetally
--- a/src/pipeline/request_validator.h
+++ b/src/pipeline/request_validator.h
@@ -10,27 +10,28 @@
 
 namespace sagetally {
 
-class Intake {
+class RequestValidator {
  public:
-  static constexpr std::size_t kMostBody = 64 * 1024;
-  static constexpr std::size_t kMostName = 512;  // of an id or key
-  static constexpr int kMostDestination = 1'000'000;
+  static constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+  static constexpr std::size_t kMaxNameBytes = 512;  // of an id or key
+  static constexpr int kMaxDestination = 1'000'000;
 
-  Intake(const SiteSettings& site, Ledger& ledger, const Route& route, Admit& admit, Keep* keep)
-      : site_(site), ledger_(ledger), route_(route), admit_(admit), keep_(keep) {}
+  RequestValidator(const SiteSettings& site, MessageTable& ledger, const Router& route,
+                   AdmissionController& admit, DeadLetterSink* keep)
+      : site_(site), messages_(ledger), router_(route), admission_(admit), dead_letters_(keep) {}
 
   // All of them are taken, or none is.
-  void Take(std::vector<Request> requests, Reply reply);
+  void Submit(std::vector<Request> requests, AdmissionCallback reply);
 
  private:
   // Empty, or what is wrong.
-  std::string Problem(const Request& request) const;
+  std::string FindProblem(const Request& request) const;
 
   const SiteSettings& site_;
-  Ledger& ledger_;
-  const Route& route_;
-  Admit& admit_;
-  Keep* keep_;  // may be null
+  MessageTable& messages_;
+  const Router& router_;
+  AdmissionController& admission_;
+  DeadLetterSink* dead_letters_;  // may be null
 };
 
 }  // namespace sagetally
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -6,120 +6,129 @@
 
 namespace sagetally {
 
-std::string ModuleId(std::uint64_t number) { return std::to_string(number); }
+std::string PolicyMessageId(std::uint64_t number) { return std::to_string(number); }
 
-std::uint64_t NumberOf(const std::string& module_id) {
+std::uint64_t MessageNumberOf(const std::string& module_id) {
   std::uint64_t number = 0;
   std::from_chars(module_id.data(), module_id.data() + module_id.size(), number);
   return number;
 }
 
-void Route::Listed(const ListNews& news) {
-  ListChanged e;
-  e.kind = news.whole ? ListChanged::Kind::kWhole : ListChanged::Kind::kChanges;
-  e.saved = news.saved;
+void Router::OnEndpointListUpdate(const EndpointListUpdate& news) {
+  EndpointListUpdated e;
+  e.kind =
+      news.is_full_snapshot ? EndpointListUpdated::Kind::kFullSnapshot : EndpointListUpdated::Kind::kDelta;
+  e.is_cached = news.is_cached;
   std::set<std::string> gone;
-  if (news.whole) {
+  if (news.is_full_snapshot) {
     for (const auto& [name, named] : std::exchange(endpoints_, {})) gone.insert(name);
   }
-  for (const EndpointNews& endpoint : news.endpoints) {
-    const std::string& name = endpoint.entry.endpoint;
+  for (const EndpointUpdate& endpoint : news.endpoints) {
+    const std::string& name = endpoint.record.endpoint;
     gone.erase(name);
-    if (endpoint.entry.state == EndpointEntry::State::kRemoved) {
+    if (endpoint.record.state == EndpointRecord::State::kRemoved) {
       endpoints_.erase(name);
       gone.insert(name);
     } else {
       endpoints_[name] = endpoint;
-      caller_.Learn(endpoint);
+      endpoint_client_.UpdateEndpoint(endpoint);
     }
-    destinations_.insert(endpoint.entry.destination);
-    e.entries.push_back(endpoint.entry);
+    destinations_.insert(endpoint.record.destination);
+    e.endpoints.push_back(endpoint.record);
   }
-  Add(std::move(e));
-  for (const std::string& name : gone) caller_.Forget(name);
+  QueueEvent(std::move(e));
+  for (const std::string& name : gone) endpoint_client_.RemoveEndpoint(name);
 }
 
-bool Route::Up(int destination) const {
+bool Router::HasUsableEndpoint(int destination) const {
   return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const auto& named) {
-    const EndpointEntry& entry = named.second.entry;
-    return entry.state == EndpointEntry::State::kUp && entry.destination == destination;
+    const EndpointRecord& entry = named.second.record;
+    return entry.state == EndpointRecord::State::kUp && entry.destination == destination;
   });
 }
 
-std::vector<EndpointNews> Route::List() const {
-  std::vector<EndpointNews> list;
+std::vector<EndpointUpdate> Router::EndpointList() const {
+  std::vector<EndpointUpdate> list;
   for (const auto& [name, news] : endpoints_) list.push_back(news);
   return list;
 }
 
-void Route::Rehearse(Time at, const std::vector<Event>& events) {
+void Router::ReplayEvents(Time at, const std::vector<Event>& events) {
   const auto step = [this](Time now, const std::vector<Event>& at_once) {
     std::vector<Action> actions;
-    sender_.Step(now, at_once, actions);
+    policy_.Process(now, at_once, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<Wake>(&action)) rehearsed_wake_ = now + wake->after;
+      if (const auto* wake = std::get_if<ScheduleTimer>(&action)) replayed_timer_ = now + wake->delay;
     }
   };
-  while (rehearsed_wake_ <= at) step(std::exchange(rehearsed_wake_, Time::max()), {WakeDue{}});
+  while (replayed_timer_ <= at) step(std::exchange(replayed_timer_, Time::max()), {TimerFired{}});
   step(at, events);
 }
 
 // The module waits for the wake that it asked for last.
-void Route::Rehearsed() {
-  if (rehearsed_wake_ != Time::max()) {
-    host_.WakeAfter(std::max(Duration(0), rehearsed_wake_ - clock_.Now()));
+void Router::FinishReplay() {
+  if (replayed_timer_ != Time::max()) {
+    scheduler_.ScheduleTimer(std::max(Duration(0), replayed_timer_ - clock_.Now()));
   }
 }
 
-void Route::Taken(const Message& m) {
-  MessageTaken e;
-  e.id = ModuleId(m.number);
+void Router::OnAccepted(const Message& m) {
+  MessageAccepted e;
+  e.id = PolicyMessageId(m.number);
   e.destination = m.request.destination;
   e.message_class = m.request.message_class;
   e.time_left = m.deadline - clock_.Now();
   e.attempts = m.attempts;
-  e.may_have_run = m.may_have_run;
-  e.may_have_run_at = m.may_have_run_at;
-  Add(std::move(e));
+  e.first_uncertain_attempt = m.first_uncertain_attempt;
+  e.first_uncertain_endpoint = m.first_uncertain_endpoint;
+  QueueEvent(std::move(e));
 }
 
-void Route::Withdrawn(const Message& m) { Add(sagetally::Withdrawn{ModuleId(m.number)}); }
+void Router::OnWithdrawn(const Message& m) {
+  QueueEvent(sagetally::MessageWithdrawn{PolicyMessageId(m.number)});
+}
 
-void Route::Add(Event event) {
-  events_.push_back(std::move(event));
-  host_.StepSoon();
+void Router::QueueEvent(Event event) {
+  pending_events_.push_back(std::move(event));
+  scheduler_.SchedulePolicyRun();
 }
 
-void Route::Step() {
-  const std::vector<Event> events = std::exchange(events_, {});
+void Router::RunPolicy() {
+  const std::vector<Event> events = std::exchange(pending_events_, {});
   std::vector<Action> actions;
-  sender_.Step(clock_.Now(), events, actions);
+  policy_.Process(clock_.Now(), events, actions);
   for (const Action& action : actions) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& chosen) { Execute(chosen); }, action);
   }
-  if (!send_.idle()) send_.Progress();
-  ledger_.Age(clock_.Now());
+  if (!attempt_sender_.has_nothing_to_return()) attempt_sender_.OnJournalProgress();
+  messages_.ExpireRemembered(clock_.Now());
 }
 
-void Route::Do(const Send& a) { send_.Go(NumberOf(a.id), a.endpoint, a.time_out); }
+void Router::Execute(const StartAttempt& a) {
+  attempt_sender_.StartAttempt(MessageNumberOf(a.id), a.endpoint, a.timeout);
+}
 
-void Route::Do(const Refuse& a) {
-  if (Message* m = ledger_.Find(NumberOf(a.id))) book_.End(*m, End::kRefused, a.come_back_after);
+void Router::Execute(const RejectMessage& a) {
+  if (Message* m = messages_.Find(MessageNumberOf(a.id)))
+    completion_handler_.Complete(*m, FinalStatus::kRejected, a.retry_after);
 }
 
-void Route::Do(const Fail& a) {
-  if (Message* m = ledger_.Find(NumberOf(a.id))) book_.End(*m, End::kFailed);
+void Router::Execute(const FailMessage& a) {
+  if (Message* m = messages_.Find(MessageNumberOf(a.id)))
+    completion_handler_.Complete(*m, FinalStatus::kFailed);
 }
 
-void Route::Do(const Cancel& a) {
-  if (const Message* m = ledger_.Find(NumberOf(a.id)); m != nullptr && m->attempts == a.attempt + 1) {
-    if (!send_.Cancel(m->number)) caller_.Cancel(m->number);
+void Router::Execute(const CancelAttempt& a) {
+  if (const Message* m = messages_.Find(MessageNumberOf(a.id));
+      m != nullptr && m->attempts == a.attempt + 1) {
+    if (!attempt_sender_.CancelIfWaiting(m->number)) endpoint_client_.CancelCall(m->number);
   }
 }
 
-void Route::Do(const Recall& a) {
-  if (const Message* m = ledger_.Find(NumberOf(a.id)); m != nullptr && m->attempts == a.attempt + 1) {
-    if (!send_.Cancel(m->number)) caller_.Recall(m->number);
+void Router::Execute(const CancelIfUnsent& a) {
+  if (const Message* m = messages_.Find(MessageNumberOf(a.id));
+      m != nullptr && m->attempts == a.attempt + 1) {
+    if (!attempt_sender_.CancelIfWaiting(m->number)) endpoint_client_.CancelCallIfUnsent(m->number);
   }
 }
 
--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -15,67 +15,69 @@
 
 namespace sagetally {
 
-class Route {
+class Router {
  public:
-  Route(Sender sender, Ledger& ledger, SendStage& send, Book& book, Caller& caller, Host& host,
-        const Clock& clock)
-      : sender_(std::move(sender)),
-        ledger_(ledger),
-        send_(send),
-        book_(book),
-        caller_(caller),
-        host_(host),
+  Router(DispatchPolicy sender, MessageTable& ledger, AttemptSender& send, CompletionHandler& book,
+         EndpointClient& caller, Scheduler& host, const Clock& clock)
+      : policy_(std::move(sender)),
+        messages_(ledger),
+        attempt_sender_(send),
+        completion_handler_(book),
+        endpoint_client_(caller),
+        scheduler_(host),
         clock_(clock) {}
 
-  void Listed(const ListNews& news);
-  void Taken(const Message& message);
-  void Withdrawn(const Message& message);
-  void Add(Event event);
+  void OnEndpointListUpdate(const EndpointListUpdate& news);
+  void OnAccepted(const Message& message);
+  void OnWithdrawn(const Message& message);
+  void QueueEvent(Event event);
   // The list as it stands.
-  std::vector<EndpointNews> List() const;
+  std::vector<EndpointUpdate> EndpointList() const;
   // Before the first Step: lets the module learn from events of an earlier process, at their own times.
-  void Rehearse(Time at, const std::vector<Event>& events);
-  void Rehearsed();  // that was the last of them
+  void ReplayEvents(Time at, const std::vector<Event>& events);
+  void FinishReplay();  // that was the last of them
   // Whether a list has ever named an endpoint of it.
-  bool Knows(int destination) const { return destinations_.contains(destination); }
+  bool KnowsDestination(int destination) const { return destinations_.contains(destination); }
   // Whether the list names an endpoint of it that takes new work.
-  bool Up(int destination) const;
-  std::size_t known_endpoints() const { return endpoints_.size(); }  // in the list, draining ones too
+  bool HasUsableEndpoint(int destination) const;
+  std::size_t known_endpoint_count() const { return endpoints_.size(); }  // in the list, draining ones too
   // How many of these the module avoids.
-  std::size_t skipped_endpoints() const { return static_cast<std::size_t>(sender_.Avoided()); }
+  std::size_t avoided_endpoint_count() const {
+    return static_cast<std::size_t>(policy_.AvoidedEndpointCount());
+  }
   // One round: all events since the last go in, and the actions are carried out in order.
-  void Step();
+  void RunPolicy();
 
  private:
-  void Do(const Send& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
-  void Do(const Cancel& action);
-  void Do(const Recall& action);
-  void Do(const Probe&) {}  // the module asks for none
-  void Do(const CloseIdle& action) { caller_.CloseIdle(action.endpoint); }
-  void Do(const Wake& action) { host_.WakeAfter(action.after); }
-  void Do(const Track&) {}      // the watch is always on
-  void Do(const FetchList&) {}  // and brings whole lists by itself
-  void Do(const TellPeers& action) { host_.TellPeers(action.body); }
-  void Do(const Log& action) { host_.Log(action.line); }
+  void Execute(const StartAttempt& action);
+  void Execute(const RejectMessage& action);
+  void Execute(const FailMessage& action);
+  void Execute(const CancelAttempt& action);
+  void Execute(const CancelIfUnsent& action);
+  void Execute(const StartHealthCheck&) {}  // the module asks for none
+  void Execute(const CloseIdleConnections& action) { endpoint_client_.CloseIdleConnections(action.endpoint); }
+  void Execute(const ScheduleTimer& action) { scheduler_.ScheduleTimer(action.delay); }
+  void Execute(const SubscribeEndpointList&) {}  // the watch is always on
+  void Execute(const FetchEndpointList&) {}      // and brings whole lists by itself
+  void Execute(const SendGossip& action) { scheduler_.SendGossip(action.body); }
+  void Execute(const WriteLogLine& action) { scheduler_.WriteLogLine(action.line); }
 
-  Sender sender_;
-  Ledger& ledger_;
-  SendStage& send_;
-  Book& book_;
-  Caller& caller_;
-  Host& host_;
+  DispatchPolicy policy_;
+  MessageTable& messages_;
+  AttemptSender& attempt_sender_;
+  CompletionHandler& completion_handler_;
+  EndpointClient& endpoint_client_;
+  Scheduler& scheduler_;
   const Clock& clock_;
-  std::vector<Event> events_;
+  std::vector<Event> pending_events_;
   std::set<int> destinations_;
-  std::map<std::string, EndpointNews> endpoints_;  // that the list names
-  Time rehearsed_wake_ = Time::max();
+  std::map<std::string, EndpointUpdate> endpoints_;  // that the list names
+  Time replayed_timer_ = Time::max();
 };
 
 // The module's name for a message.
-std::string ModuleId(std::uint64_t number);
-std::uint64_t NumberOf(const std::string& module_id);
+std::string PolicyMessageId(std::uint64_t number);
+std::uint64_t MessageNumberOf(const std::string& module_id);
 
 }  // namespace sagetally
 
--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -178,24 +178,28 @@
 
 }  // namespace
 
-class Sender::Impl {
+class DispatchPolicy::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
     Require(!s_.classes.empty(), "classes is empty");
     Require(!s_.kinds.empty(), "kinds is empty");
-    Require(s_.senders > 0 && s_.slots > 0 && s_.most_held > 0 && s_.max_attempts > 0 && s_.multiplex > 0,
+    Require(s_.dispatcher_count > 0 && s_.max_concurrent_calls > 0 && s_.max_pending_messages > 0 &&
+                s_.max_attempts > 0 && s_.max_streams_per_connection > 0,
             "senders, slots, most_held, max_attempts and multiplex must be positive");
-    Require(s_.cold_share > 0 && s_.fall_multiple > 0, "cold_share and fall_multiple must be positive");
+    Require(s_.cold_capacity_fraction > 0 && s_.overload_multiple > 0,
+            "cold_share and fall_multiple must be positive");
     for (const ClassSettings& c : s_.classes) {
-      Require(c.aim > Duration(0) && c.deadline > Duration(0), "aim and deadline must be positive");
-      Require(c.worth >= 0, "worth must not be negative");
+      Require(c.latency_objective > Duration(0) && c.deadline > Duration(0),
+              "aim and deadline must be positive");
+      Require(c.priority_weight >= 0, "worth must not be negative");
     }
-    for (const KindSettings& k : s_.kinds) Require(k.batch_max > 0, "batch_max must be positive");
+    for (const DestinationKindSettings& k : s_.kinds)
+      Require(k.max_batch_size > 0, "batch_max must be positive");
     keep_idle_.resize(s_.kinds.size(), 1.0);
     usage_.resize(s_.tenants.size());
   }
 
-  void Step(Time now, std::span<const Event> events, std::vector<Action>& actions) {
+  void Process(Time now, std::span<const Event> events, std::vector<Action>& actions) {
     now_ = std::max(now_, now);
     actions_ = &actions;
     wake_ = Time::max();
@@ -212,7 +216,7 @@
     RequestWake();
   }
 
-  int Avoided() const {
+  int AvoidedEndpointCount() const {
     return static_cast<int>(std::ranges::count_if(endpoints_, [](const auto& at) {
       return !at.second.gone && (!at.second.usable || at.second.outage);
     }));
@@ -221,21 +225,21 @@
  private:
   // ---- Events -------------------------------------------------------------------------------------------
 
-  void On(const ListChanged& e) {
-    if (!e.saved) tracking_asked_ = false;
-    if (e.kind == ListChanged::Kind::kFailed) {
+  void On(const EndpointListUpdated& e) {
+    if (!e.is_cached) tracking_asked_ = false;
+    if (e.kind == EndpointListUpdated::Kind::kFailed) {
       tracked_ = false;
       track_at_ = now_ + Jitter(kTrackBackOff);
       return;
     }
-    if (!e.saved) tracked_ = true;
-    if (e.kind == ListChanged::Kind::kWhole) {
+    if (!e.is_cached) tracked_ = true;
+    if (e.kind == EndpointListUpdated::Kind::kFullSnapshot) {
       for (auto& [id, endpoint] : endpoints_) {
         endpoint.usable = false;
         if (!endpoint.gone) endpoint.gone = now_;
       }
     }
-    for (const EndpointEntry& entry : e.entries) {
+    for (const EndpointRecord& entry : e.endpoints) {
       if (entry.kind < 0 || entry.kind >= static_cast<int>(s_.kinds.size())) {
         throw std::invalid_argument("sagetally: kind of endpoint '" + entry.endpoint + "' out of range");
       }
@@ -244,20 +248,20 @@
       if (is_new) {
         std::tie(endpoint.id, endpoint.destination, endpoint.zone, endpoint.kind) =
             std::tie(entry.endpoint, entry.destination, entry.zone, entry.kind);
-        const bool apart = s_.kinds[entry.kind].routes_apart;
+        const bool apart = s_.kinds[entry.kind].per_endpoint_limits;
         endpoint.lane = &lanes_[{entry.destination, apart ? entry.endpoint : std::string()}];
         At(entry.destination).endpoints.push_back(&endpoint);
       }
-      const bool removed = entry.state == EndpointEntry::State::kRemoved;
+      const bool removed = entry.state == EndpointRecord::State::kRemoved;
       if (!removed || !endpoint.gone) endpoint.gone = removed ? std::optional(now_) : std::nullopt;
       // Drains: an endpoint told as draining or gone gets nothing more from this batch on.
-      endpoint.usable = entry.state == EndpointEntry::State::kUp;
-      if (endpoint.usable && entry.rate > 0 && s_.rates != Rates::kUntold)
+      endpoint.usable = entry.state == EndpointRecord::State::kUp;
+      if (endpoint.usable && entry.rate > 0 && s_.advertised_rates != AdvertisedRates::kNone)
         endpoint.lane->told_rate = entry.rate;
     }
   }
 
-  void On(const MessageTaken& e) {
+  void On(const MessageAccepted& e) {
     if (e.message_class < 0 || e.message_class >= static_cast<int>(s_.classes.size())) {
       throw std::invalid_argument("sagetally: class of message '" + e.id + "' out of range");
     }
@@ -272,29 +276,30 @@
     // aim is an impatient client's and due at its deadline: taken for old it would step back and starve.
     const ClassSettings& c = s_.classes[m.cls];
     m.arrival = m.deadline - c.deadline;
-    m.aim = e.time_left < c.aim ? m.deadline : m.arrival + c.aim;
-    if (c.in_order && !e.key.empty()) {
+    m.aim = e.time_left < c.latency_objective ? m.deadline : m.arrival + c.latency_objective;
+    if (c.ordered_by_key && !e.key.empty()) {
       m.key = e.key;
       keys_[m.key].order.push_back(&m);
     }
     ++held_;
     // The history of a message from before a restart binds as if this sender had made the attempts itself.
     m.attempts = e.attempts;
-    m.may_have_run = e.may_have_run;
-    const auto ran_at = endpoints_.find(e.may_have_run_at);
+    m.may_have_run = e.first_uncertain_attempt;
+    const auto ran_at = endpoints_.find(e.first_uncertain_endpoint);
     if (m.may_have_run && ran_at != endpoints_.end()) NoteWhere(m, ran_at->second);
-    if (const auto out = endpoints_.find(e.out_at); out != endpoints_.end()) {
+    if (const auto out = endpoints_.find(e.in_flight_endpoint); out != endpoints_.end()) {
       --m.attempts;                 // counted anew as it is sent
       MayTake(out->second, false);  // brings pace and budget up to this moment
       NoteWindow(m);
       return Dispatch(m, out->second);
     }
-    if ((m.may_have_run && c.effect == Effect::kUnsafe) || m.attempts >= s_.max_attempts) return GiveUp(m);
+    if ((m.may_have_run && c.idempotency == Idempotency::kNotIdempotent) || m.attempts >= s_.max_attempts)
+      return GiveUp(m);
     NoteWindow(m);
     Enqueue(m);
   }
 
-  void On(const AttemptEnded& e) {
+  void On(const AttemptCompleted& e) {
     const auto at = messages_.find(e.id);
     if (at == messages_.end() || !at->second.out || e.attempt != at->second.attempts - 1) return;
     Message& m = at->second;
@@ -303,20 +308,20 @@
     const auto call = calls_.find(m.call);
     if (!call->second.counted) {  // one fate, one lesson
       call->second.counted = true;
-      Learn(*call->second.endpoint, call->second.sent, e.outcome, e.told_wait, e.took, e.load,
+      Learn(*call->second.endpoint, call->second.sent, e.outcome, e.retry_after, e.latency, e.load_report,
             m.deadline <= now_ + kLeastNotice, call->second.idle);
     }
     Endpoint& endpoint = *call->second.endpoint;
     // Every outcome is heard for its wait: the members of a call may be told waits of different length.
-    endpoint.lane->wait_until = std::max(endpoint.lane->wait_until, now_ + e.told_wait);
+    endpoint.lane->wait_until = std::max(endpoint.lane->wait_until, now_ + e.retry_after);
     std::erase(call->second.members, &m);
     for (auto& [number, other] : calls_) {  // what is still connecting would arrive amid the wait
       const bool before = other.endpoint == &endpoint && other.sent < call->second.sent;
       other.overtaken += e.outcome == Outcome::kOk && before ? 1 : 0;
-      if (e.told_wait <= Duration(0) || other.endpoint->lane != endpoint.lane) continue;
-      for (Message* o : other.members) actions_->push_back(Recall{o->id, o->attempts - 1});
+      if (e.retry_after <= Duration(0) || other.endpoint->lane != endpoint.lane) continue;
+      for (Message* o : other.members) actions_->push_back(CancelIfUnsent{o->id, o->attempts - 1});
     }
-    call->second.unplaced |= call->second.idle == Duration(0) && e.told_wait == Duration(0);
+    call->second.unplaced |= call->second.idle == Duration(0) && e.retry_after == Duration(0);
     if (call->second.members.empty()) FreeCall(call, e.outcome);
     const bool may_run = e.outcome == Outcome::kError || e.outcome == Outcome::kTimeout ||
                          e.outcome == Outcome::kReset || e.outcome == Outcome::kCancelled;
@@ -326,17 +331,17 @@
       NoteWindow(m);
     }
     if (may_run && e.outcome != Outcome::kError && !m.key.empty()) {  // it may still run: the key rests
-      keys_[m.key].quiet_until = std::max(keys_[m.key].quiet_until, now_ + s_.key_quiet);
+      keys_[m.key].quiet_until = std::max(keys_[m.key].quiet_until, now_ + s_.key_quiet_time);
     }
-    if (e.finished && !m.ended) Forget(m);
+    if (e.message_ended && !m.ended) Forget(m);
     if (m.ended) return EraseIfOver(m);
     // Effects: an unsafe message that may have run gets no further attempt and no refusal.
-    if (m.may_have_run && c.effect == Effect::kUnsafe) return GiveUp(m);
+    if (m.may_have_run && c.idempotency == Idempotency::kNotIdempotent) return GiveUp(m);
     if (WindowOver(m) || m.attempts >= s_.max_attempts || now_ + kLeastNotice >= m.deadline) return GiveUp(m);
     Enqueue(m);
   }
 
-  void On(const Withdrawn& e) {
+  void On(const MessageWithdrawn& e) {
     const auto at = messages_.find(e.id);
     if (at == messages_.end() || at->second.ended) return;
     Dequeue(at->second);
@@ -344,13 +349,14 @@
     EraseIfOver(at->second);
   }
 
-  void On(const WakeDue&) {  // guards against a node that stands still: what is due in the gap is done before
+  void On(
+      const TimerFired&) {  // guards against a node that stands still: what is due in the gap is done before
     turn_late_ = std::max(wake_asked_ < now_ ? now_ - wake_asked_ : Duration(0), turn_late_ * 9 / 10);
     wake_asked_ = Time::max();
   }
-  void On(const Stopping& e) { stop_at_ = now_ + e.left; }
-  void On(const PeerNote&) {}    // nothing here rests on notes, which may be lost
-  void On(const ProbeEnded&) {}  // nor on probes: calls that may be sent tell as much
+  void On(const ShutdownStarted& e) { stop_at_ = now_ + e.time_left; }
+  void On(const GossipReceived&) {}        // nothing here rests on notes, which may be lost
+  void On(const HealthCheckCompleted&) {}  // nor on probes: calls that may be sent tell as much
 
   // ---- Messages held ------------------------------------------------------------------------------------
 
@@ -384,12 +390,12 @@
   bool WindowOver(const Message& m, Duration in = kLeastNotice) const {
     const ClassSettings& c = s_.classes[m.cls];
     const Time ran = m.may_have_run.value_or(m.out ? m.sent : now_ + in);
-    return c.effect == Effect::kKeyed && now_ + in > ran + c.repeat_window;
+    return c.idempotency == Idempotency::kIdempotentWithKey && now_ + in > ran + c.deduplication_window;
   }
   void NoteWindow(const Message& m) {
     const ClassSettings& c = s_.classes[m.cls];
-    if (!m.may_have_run || c.effect != Effect::kKeyed) return;
-    window_ends_.emplace(*m.may_have_run + c.repeat_window - kLeastNotice, m.id);
+    if (!m.may_have_run || c.idempotency != Idempotency::kIdempotentWithKey) return;
+    window_ends_.emplace(*m.may_have_run + c.deduplication_window - kLeastNotice, m.id);
   }
 
   void EraseIfOver(Message& m) {
@@ -405,8 +411,8 @@
   // A refusal says that trying again is harmless: only if nothing may have run, or the class allows it.
   bool Refusable(const Message& m) const {
     const ClassSettings& c = s_.classes[m.cls];
-    return !m.may_have_run || c.effect == Effect::kSafe ||
-           (c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll);
+    return !m.may_have_run || c.idempotency == Idempotency::kIdempotent ||
+           (c.idempotency == Idempotency::kIdempotentWithKey && c.key_scope == KeyScope::kAll);
   }
 
   void GiveUp(Message& m) {  // at once: an answer held back helps nobody
@@ -415,8 +421,8 @@
     for (Endpoint* p : At(m.destination).endpoints) {
       if (p->usable) wait = std::max({wait, p->lane->wait_until - now_, p->retry_at - now_});
     }
-    wait = s_.may_tell_wait ? std::min(wait, s_.most_client_wait) : Duration(0);
-    actions_->push_back(Refusable(m) ? Action(Refuse{m.id, wait}) : Action(Fail{m.id}));
+    wait = s_.retry_after_allowed ? std::min(wait, s_.max_client_retry_after) : Duration(0);
+    actions_->push_back(Refusable(m) ? Action(RejectMessage{m.id, wait}) : Action(FailMessage{m.id}));
     Forget(m);
     EraseIfOver(m);
   }
@@ -432,7 +438,7 @@
     for (auto at = endpoints_.begin(); at != endpoints_.end();) {
       Endpoint& p = at->second;
       // Its trouble is remembered until a destination that had it would be warm for long.
-      if (!p.gone || p.out > 0 || *p.gone + kForgetWarm * s_.warm_within > now_) {
+      if (!p.gone || p.out > 0 || *p.gone + kForgetWarm * s_.warm_up_time > now_) {
         ++at;
         continue;
       }
@@ -442,7 +448,7 @@
       }
       std::erase(At(p.destination).endpoints, &p);
       idle_.erase(p.id);
-      if (s_.kinds[p.kind].routes_apart) lanes_.erase({p.destination, p.id});
+      if (s_.kinds[p.kind].per_endpoint_limits) lanes_.erase({p.destination, p.id});
       at = endpoints_.erase(at);
     }
   }
@@ -468,8 +474,8 @@
     const ClassSettings& c = s_.classes[m.cls];
     const Destination& d = At(m.destination);
     const double aims = SlotsBind() ? kTimeOutAimsBound : suspect ? 1.0 : kTimeOutAims;
-    const double out = std::max(kTimeOutCalls * Seconds(Expected(d)), aims * Seconds(c.aim));
-    return FromSeconds(c.effect == Effect::kUnsafe ? kUnsafePatience * out : out);
+    const double out = std::max(kTimeOutCalls * Seconds(Expected(d)), aims * Seconds(c.latency_objective));
+    return FromSeconds(c.idempotency == Idempotency::kNotIdempotent ? kUnsafePatience * out : out);
   }
 
   bool SlotsBind() const { return now_ < bound_at_ + kBoundFor; }  // of late
@@ -496,8 +502,8 @@
     double best_price = 0;
     const ClassSettings& c = s_.classes[m.cls];
     for (Endpoint* p : d.endpoints) {
-      if (!MayTake(*p, c.effect == Effect::kUnsafe)) continue;
-      if (m.may_have_run && c.effect == Effect::kKeyed) {
+      if (!MayTake(*p, c.idempotency == Idempotency::kNotIdempotent)) continue;
+      if (m.may_have_run && c.idempotency == Idempotency::kIdempotentWithKey) {
         // A keyed message that may have run goes only where, and while, its key is remembered.
         if (WindowOver(m)) continue;
         if (c.key_scope == KeyScope::kZone && p->zone != m.may_zone) continue;
@@ -506,8 +512,8 @@
       double price = kQueueing * p->out + Doubt(*p);
       if (!HasConnection(*p)) price += s_.handshake_price;
       if (p->zone != s_.zone) price += s_.cross_zone_price;
-      const bool has_fee = s_.kinds[p->kind].routes_apart && p->zone < std::ssize(s_.zone_fee);
-      if (has_fee) price += s_.zone_fee[p->zone];
+      const bool has_fee = s_.kinds[p->kind].per_endpoint_limits && p->zone < std::ssize(s_.zone_prices);
+      if (has_fee) price += s_.zone_prices[p->zone];
       if (m.attempts > 0 && m.last == p) price += kQueueing;
       if (best == nullptr || price < best_price) std::tie(best, best_price) = std::pair(p, price);
     }
@@ -539,7 +545,7 @@
           }
         }
         if (pick == nullptr) break;
-        if (static_cast<int>(calls_.size()) >= s_.slots) {  // more would be wasted attempts
+        if (static_cast<int>(calls_.size()) >= s_.max_concurrent_calls) {  // more would be wasted attempts
           slots_bound_ = true;
           bound_at_ = now_;
           return;
@@ -566,13 +572,14 @@
     const Duration time_out = TimeOut(first, risky);
     Join(first, number, call, time_out);
     // One call carries what else is ready for the destination, lowest P first.
-    while (static_cast<int>(call.members.size()) < s_.kinds[to.kind].batch_max) {
+    while (static_cast<int>(call.members.size()) < s_.kinds[to.kind].max_batch_size) {
       Message* next = nullptr;
       for (auto* queues : {&d.ready, &d.relegated}) {
         for (Queue& queue : *queues) {
           Message* m = queue.empty() ? nullptr : Head(queue);
-          if (m == nullptr || (Risky(to) && s_.classes[m->cls].effect == Effect::kUnsafe)) continue;
-          if (m->may_have_run && s_.classes[m->cls].effect == Effect::kKeyed) continue;
+          if (m == nullptr || (Risky(to) && s_.classes[m->cls].idempotency == Idempotency::kNotIdempotent))
+            continue;
+          if (m->may_have_run && s_.classes[m->cls].idempotency == Idempotency::kIdempotentWithKey) continue;
           if (next == nullptr || m->aim < next->aim) next = m;
         }
         if (next != nullptr) break;
@@ -590,7 +597,7 @@
     m.call = number;
     call.members.push_back(&m);
     m.last = call.endpoint;
-    actions_->push_back(Send{m.id, call.endpoint->id, std::min(time_out, m.deadline - now_)});
+    actions_->push_back(StartAttempt{m.id, call.endpoint->id, std::min(time_out, m.deadline - now_)});
   }
 
   void FreeCall(std::map<std::uint64_t, Call>::iterator at, Outcome outcome) {
@@ -600,7 +607,7 @@
     if (at->second.trial) p.trial = false;
     // Only an answer leaves a connection that can serve again.
     if (outcome == Outcome::kOk || outcome == Outcome::kError ||
-        (outcome == Outcome::kFull && !at->second.unplaced)) {
+        (outcome == Outcome::kRejected && !at->second.unplaced)) {
       p.idle_since.push_back(now_);
       idle_[p.id] = &p;
     }
@@ -610,24 +617,25 @@
   // While slots bind, what later calls to the same endpoint have overtaken is on a connection that fell
   // silent: it goes out again early. An unsafe message ends by that, so it takes twice the evidence.
   void CancelOvertaken() {
-    if (!s_.may_cancel || !SlotsBind()) return;
+    if (!s_.cancellation_allowed || !SlotsBind()) return;
     for (auto& [number, call] : calls_) {
       const int known = call.cancelled ? 0 : call.overtaken / kOvertaken;
       for (Message* m : call.members) {
-        const int times = s_.classes[m->cls].effect == Effect::kUnsafe ? 2 : 1;
+        const int times = s_.classes[m->cls].idempotency == Idempotency::kNotIdempotent ? 2 : 1;
         const Duration limit = times * kOvertakenCalls * Expected(At(m->destination));
         const Time due = call.sent + std::max<Duration>(limit, kLeastOverdue / 2);
         if (known >= times) WantWake(due);
         if (known < times || due > now_ || WindowOver(*m, limit)) continue;
         call.cancelled = true;
-        actions_->push_back(Cancel{m->id, m->attempts - 1});
+        actions_->push_back(CancelAttempt{m->id, m->attempts - 1});
       }
     }
   }
 
   bool HasConnection(Endpoint& p) {
-    std::erase_if(p.idle_since, [this](Time t) { return t + s_.connection_idle <= now_; });
-    return !p.idle_since.empty() || (s_.multiplex > 1 && p.out % s_.multiplex != 0);
+    std::erase_if(p.idle_since, [this](Time t) { return t + s_.connection_idle_timeout <= now_; });
+    return !p.idle_since.empty() ||
+           (s_.max_streams_per_connection > 1 && p.out % s_.max_streams_per_connection != 0);
   }
   Duration TakeConnection(Endpoint& p) {
     if (!HasConnection(p) || p.idle_since.empty()) return Duration(0);
@@ -641,11 +649,11 @@
     std::erase_if(idle_, [this](const auto& at) {
       Endpoint& p = *at.second;
       const Duration keep = std::min(IdleTrust(), KeepFor(p));
-      if (p.idle_since.empty() || keep >= s_.connection_idle) return p.idle_since.empty();
+      if (p.idle_since.empty() || keep >= s_.connection_idle_timeout) return p.idle_since.empty();
       WantWake(p.idle_since.front() + keep);
       if (p.idle_since.front() + keep > now_) return false;
       p.idle_since.clear();
-      actions_->push_back(CloseIdle{p.id});
+      actions_->push_back(CloseIdleConnections{p.id});
       return true;
     });
   }
@@ -656,9 +664,11 @@
     const Destination& d = At(p.destination);
     const auto serves = [&](const Endpoint* e) { return e->usable && e->lane == p.lane; };
     const double calls = Told(*p.lane) / std::max<double>(1, std::ranges::count_if(d.endpoints, serves));
-    const double kept = std::min(1.0, std::max(kKeepers, calls * Seconds(Expected(d, false))) / s_.senders);
-    const double few = std::min(Seconds(s_.connection_idle), -s_.senders / calls * std::log(1 - kept));
-    return std::min(s_.connection_idle, FromSeconds(keep_idle_[p.kind] * few));
+    const double kept =
+        std::min(1.0, std::max(kKeepers, calls * Seconds(Expected(d, false))) / s_.dispatcher_count);
+    const double few =
+        std::min(Seconds(s_.connection_idle_timeout), -s_.dispatcher_count / calls * std::log(1 - kept));
+    return std::min(s_.connection_idle_timeout, FromSeconds(keep_idle_[p.kind] * few));
   }
 
   Duration IdleTrust() const {
@@ -697,11 +707,11 @@
   // Past its tenant's share a message is worth less, seen from own traffic against an even split of the
   // allowance; where senders differ much, all tenants of a busy one look alike, so the order stays.
   double Worth(const Message& m) const {
-    double worth = s_.classes[m.cls].worth;
-    if (static_cast<std::size_t>(m.tenant) < usage_.size() && s_.tenants[m.tenant].allowance > 0) {
-      const double usage = usage_[m.tenant].Of(now_) * s_.senders;
-      const double within = std::min(1.0, s_.tenants[m.tenant].allowance / std::max(usage, 1e-9));
-      worth *= within + (1 - within) * s_.over_share_worth;
+    double worth = s_.classes[m.cls].priority_weight;
+    if (static_cast<std::size_t>(m.tenant) < usage_.size() && s_.tenants[m.tenant].quota_per_second > 0) {
+      const double usage = usage_[m.tenant].Of(now_) * s_.dispatcher_count;
+      const double within = std::min(1.0, s_.tenants[m.tenant].quota_per_second / std::max(usage, 1e-9));
+      worth *= within + (1 - within) * s_.over_quota_weight;
     }
     return worth;
   }
@@ -754,7 +764,8 @@
 
   // What comes beyond the holding limit is turned away unseen, so the least worth goes before that.
   void ShedOverflow() {
-    const int most = s_.most_held - std::max(1, static_cast<int>(kShedMargin * s_.most_held));
+    const int most =
+        s_.max_pending_messages - std::max(1, static_cast<int>(kShedMargin * s_.max_pending_messages));
     while (held_ > most) {
       Message* least = nullptr;
       double least_worth = 0;
@@ -767,11 +778,11 @@
           for (std::size_t c = 0; c < queues->size(); ++c) {
             if ((*queues)[c].empty()) continue;
             Message* m = (*queues)[c].rbegin()->second;
-            const double aims = ahead / Seconds(s_.classes[c].aim);
+            const double aims = ahead / Seconds(s_.classes[c].latency_objective);
             // What came just now has no answer yet: refusing it breaks no promise.
             const bool promised = m->taken < now_ && !m->may_have_run &&
                                   Seconds(now_ - m->taken) < kEarly * Seconds(m->deadline - m->taken);
-            const double left = (m->relegated ? s_.classes[c].late_share : 1.0) / (1 + aims);
+            const double left = (m->relegated ? s_.classes[c].late_weight_fraction : 1.0) / (1 + aims);
             const double worth = Worth(*m) * (left + (promised ? kEarlyPrice : 0.0));
             if (least == nullptr || worth < least_worth) std::tie(least, least_worth) = std::pair(m, worth);
           }
@@ -802,7 +813,7 @@
     Lane& lane = *p.lane;
     lane.tokens -= 1;
     lane.sent.push_back(now_);
-    while (lane.sent.front() + s_.tip_after < now_) lane.sent.pop_front();
+    while (lane.sent.front() + s_.overload_duration < now_) lane.sent.pop_front();
     if (!p.spared) lane.credit -= 1;
   }
 
@@ -810,8 +821,10 @@
   void CutPace(Lane& lane, Time call_sent) {
     if (call_sent <= lane.last_cut) return;
     lane.last_cut = now_;
-    const double recent = static_cast<double>(lane.sent.size()) / std::max(0.1, Seconds(s_.tip_after));
-    const double was = std::min(recent, lane.rate > 0 ? lane.rate : 2 * Told(lane) / std::sqrt(s_.senders));
+    const double recent =
+        static_cast<double>(lane.sent.size()) / std::max(0.1, Seconds(s_.overload_duration));
+    const double was =
+        std::min(recent, lane.rate > 0 ? lane.rate : 2 * Told(lane) / std::sqrt(s_.dispatcher_count));
     lane.rate = std::max(kCut * was, kLandAtLeast * Even(lane));
     // The next call at random in twice the mean gap: senders refused together must not come back together.
     lane.tokens = 1 - std::uniform_real_distribution<double>(0, 2)(random_);
@@ -821,13 +834,14 @@
   // Where no rate is told: as if all senders were answered as often as this one.
   double Told(const Lane& lane) const {
     const double own = std::max(lane.served.Of(now_), lane.cold_since ? lane.usual : 0.0);
-    return lane.told_rate > 0 ? lane.told_rate : std::max(kUntoldRate, own * s_.senders);
+    return lane.told_rate > 0 ? lane.told_rate : std::max(kUntoldRate, own * s_.dispatcher_count);
   }
 
   // An even split of the told rate, the least pace. While a limit goes on refusing it takes less than is
   // told, or is used up by refused calls: half with each further cut, down to what a cold destination takes.
   double Even(const Lane& lane) const {
-    return Told(lane) / s_.senders * std::max(s_.cold_share, std::pow(kCut, std::max(0, lane.cuts - 1)));
+    return Told(lane) / s_.dispatcher_count *
+           std::max(s_.cold_capacity_fraction, std::pow(kCut, std::max(0, lane.cuts - 1)));
   }
 
   void CreepPace(Lane& lane) {
@@ -835,7 +849,7 @@
     const double share = std::clamp(kCreepPerSecond * Seconds(now_ - lane.crept_at), kCreep, kMostCreep);
     lane.crept_at = std::max(now_, lane.crept_at);
     lane.rate = std::max(lane.rate, std::min(2 * lane.rate, kLandAtLeast * Even(lane)));
-    lane.rate += std::max(kCreep * lane.told_rate / s_.senders, share * lane.rate);
+    lane.rate += std::max(kCreep * lane.told_rate / s_.dispatcher_count, share * lane.rate);
     if (lane.told_rate > 0) lane.rate = std::min(lane.rate, lane.told_rate);
   }
 
@@ -850,7 +864,7 @@
 
   // Suspicion ages, or who calls seldom holds unsafe messages for ever. Risk: a longer outage takes one.
   double Doubt(const Endpoint& p) const {
-    return p.doubt * std::exp(-Seconds(now_ - p.doubt_at) / std::max(1e-3, Seconds(s_.warm_within)));
+    return p.doubt * std::exp(-Seconds(now_ - p.doubt_at) / std::max(1e-3, Seconds(s_.warm_up_time)));
   }
   void MoveDoubt(Endpoint& p, double to, double share) {
     p.doubt = Doubt(p) + share * (to - Doubt(p));
@@ -866,8 +880,9 @@
     if (!Suspect(p)) return true;
     // Neither a hung destination nor many together may eat the slots, and nothing unsafe goes to a suspect.
     if (unsafe && Risky(p)) return false;
-    if (p.out >= std::max(1, static_cast<int>(kSuspectSlotShare * s_.slots))) return false;
-    if (suspect_out_ >= std::max(1, static_cast<int>(kAllSuspectsShare * s_.slots))) return false;
+    if (p.out >= std::max(1, static_cast<int>(kSuspectSlotShare * s_.max_concurrent_calls))) return false;
+    if (suspect_out_ >= std::max(1, static_cast<int>(kAllSuspectsShare * s_.max_concurrent_calls)))
+      return false;
     if (!p.outage) return true;
     if (p.trial) return false;
     if (p.retry_at > now_) WantWake(p.retry_at);
@@ -878,7 +893,7 @@
   void Learn(Endpoint& p, Time sent, Outcome outcome, Duration told_wait, Duration took,
              const LoadReport& load, bool at_deadline, Duration idle) {
     Lane& lane = *p.lane;
-    if (load.limit > 0) lane.told_rate = load.limit;
+    if (load.rate_limit > 0) lane.told_rate = load.rate_limit;
     const bool broke = outcome == Outcome::kReset || outcome == Outcome::kCancelled ||
                        (outcome == Outcome::kTimeout && !at_deadline);
     // Connections that fall silent at any age are no reason to give up idle ones.
@@ -903,9 +918,9 @@
       idle_trust_ = {std::max(*p.trust_before, IdleTrust()), now_};
     }
     p.trust_before.reset();
-    if (outcome == Outcome::kCancelled || outcome == Outcome::kMoot) return;
+    if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return;
     if (outcome == Outcome::kConnectFailed && Doubt(p) <= kSuspect) keep_idle_[p.kind] *= kKeepCut;
-    const bool crowded = KeepFor(p) < s_.connection_idle;
+    const bool crowded = KeepFor(p) < s_.connection_idle_timeout;
     if (outcome == Outcome::kOk && idle == Duration(0) && crowded) keep_idle_[p.kind] *= kKeepGrows;
     if (outcome == Outcome::kOk) {
       if (took > Duration(0)) {  // failures and refusals never feed the expected time
@@ -914,7 +929,7 @@
         p.failures = 0;
         if (lane.cold_since) {
           // Sent within a moment of the failure and answered: the trouble is another endpoint's alone.
-          if (Doubt(p) <= kSuspect && sent < *lane.cold_since + s_.tip_after) p.spared = true;
+          if (Doubt(p) <= kSuspect && sent < *lane.cold_since + s_.overload_duration) p.spared = true;
           if (!(p.spared && lane.outage) && !lane.recovered && Doubt(p) <= kOut)
             lane.recovered = now_;  // probes prove too little
         }
@@ -925,7 +940,7 @@
       lane.served.Add(now_);
       return CreepPace(lane);
     }
-    if (outcome == Outcome::kFull) {
+    if (outcome == Outcome::kRejected) {
       lane.wait_until = std::max(lane.wait_until, now_ + told_wait);
       // A full table tells nothing of the destination's pace: as with a failed connection one more call does.
       // It tells no wait, and refuses before the handshake: sooner than a limit. Few senders can't fill one.
@@ -939,7 +954,8 @@
       if (lane.refusals++ == 0) lane.refused_since = now_;
       GoCold(p, confirm);
       // Shut, not merely above its limit: a wait or a row of refusals as long as an outage matters.
-      if (told_wait > s_.tip_after || (lane.refusals >= 3 && now_ - lane.refused_since > s_.tip_after)) {
+      if (told_wait > s_.overload_duration ||
+          (lane.refusals >= 3 && now_ - lane.refused_since > s_.overload_duration)) {
         MoveDoubt(p, std::max(Doubt(p), kOut + 0.1), 1);
         p.may_run = false;
         NoteOutage(p, "refuses all");
@@ -998,7 +1014,7 @@
   bool BudgetAllows(Endpoint& p) {
     Lane& lane = *p.lane;
     if (!lane.cold_since) return true;
-    if (lane.recovered && (lane.outage ? now_ > *lane.recovered + s_.warm_within : Doubt(p) < kDoubtHard)) {
+    if (lane.recovered && (lane.outage ? now_ > *lane.recovered + s_.warm_up_time : Doubt(p) < kDoubtHard)) {
       for (Endpoint* e : At(p.destination).endpoints) {
         if (e->lane != &lane) continue;
         if (e->outage) Say("recovered: " + e->id);
@@ -1009,15 +1025,16 @@
       return true;
     }
     if (p.spared) return true;
-    const double warmth = lane.recovered ? Seconds(now_ - *lane.recovered) / Seconds(s_.warm_within) : 0.0;
-    const double present = std::min(1.0, s_.cold_share + (1 - s_.cold_share) * warmth);
+    const double warmth = lane.recovered ? Seconds(now_ - *lane.recovered) / Seconds(s_.warm_up_time) : 0.0;
+    const double present =
+        std::min(1.0, s_.cold_capacity_fraction + (1 - s_.cold_capacity_fraction) * warmth);
     // Its share of all: usual answered calls, and one message of all that came since the failure.
-    double share = lane.usual + 1 / std::max(0.1, Seconds(now_ - *lane.cold_since + s_.tip_after));
+    double share = lane.usual + 1 / std::max(0.1, Seconds(now_ - *lane.cold_since + s_.overload_duration));
     share = std::max(share, Even(lane));
     if (lane.told_rate > 0) share = std::min(share, lane.told_rate);
     // While no second message waits here few senders may have seen it, and the others' calls outweigh theirs.
     const double unseen = kUnseen * std::exp(1.0 - std::max(1, At(p.destination).waiting));
-    const double rate = kBudgetUsed * std::max(present * s_.fall_multiple, unseen) * share;
+    const double rate = kBudgetUsed * std::max(present * s_.overload_multiple, unseen) * share;
     lane.credit = std::min(1.0, lane.credit + rate * Seconds(now_ - lane.credit_at));
     lane.credit_at = now_;
     if (lane.credit < 1) WantWake(now_ + FromSeconds((1 - lane.credit) / rate) + milliseconds(1));
@@ -1025,10 +1042,10 @@
   }
 
   void FollowList() {
-    if (!s_.list_on_request || tracked_ || tracking_asked_) return;
+    if (!s_.endpoint_list_on_request || tracked_ || tracking_asked_) return;
     if (track_at_ > now_) return WantWake(track_at_);
     tracking_asked_ = true;
-    actions_->push_back(Track{true});
+    actions_->push_back(SubscribeEndpointList{true});
   }
 
   void WantWake(Time at) {
@@ -1039,7 +1056,7 @@
     if (!calls_.empty()) WantWake(now_ + kLeastOverdue);  // overdue calls show by time alone
     if (wake_ == Time::max() || wake_ >= wake_asked_) return;
     wake_asked_ = wake_;
-    actions_->push_back(Wake{wake_ - now_});
+    actions_->push_back(ScheduleTimer{wake_ - now_});
   }
 
   Duration Jitter(Duration d, double by = 0.2) {  // senders that failed together must not come back together
@@ -1047,7 +1064,7 @@
   }
   static double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
   static Duration FromSeconds(double s) { return Duration(std::llround(s * 1e6)); }
-  void Say(std::string line) { actions_->push_back(Log{std::move(line)}); }
+  void Say(std::string line) { actions_->push_back(WriteLogLine{std::move(line)}); }
 
   Settings s_;
   std::mt19937_64 random_;
@@ -1078,15 +1095,15 @@
   std::multimap<Time, std::string> window_ends_;  // of keyed messages that may have run
 };
 
-Sender::Sender(Settings settings, std::uint64_t seed)
+DispatchPolicy::DispatchPolicy(Settings settings, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
-Sender::~Sender() = default;
-Sender::Sender(Sender&&) noexcept = default;
-Sender& Sender::operator=(Sender&&) noexcept = default;
+DispatchPolicy::~DispatchPolicy() = default;
+DispatchPolicy::DispatchPolicy(DispatchPolicy&&) noexcept = default;
+DispatchPolicy& DispatchPolicy::operator=(DispatchPolicy&&) noexcept = default;
 
-void Sender::Step(Time now, std::span<const Event> events, std::vector<Action>& actions) {
-  impl_->Step(now, events, actions);
+void DispatchPolicy::Process(Time now, std::span<const Event> events, std::vector<Action>& actions) {
+  impl_->Process(now, events, actions);
 }
-int Sender::Avoided() const { return impl_->Avoided(); }
+int DispatchPolicy::AvoidedEndpointCount() const { return impl_->AvoidedEndpointCount(); }
 
 }  // namespace sagetally
--- a/src/service_registry/eureka_client.cpp
+++ b/src/service_registry/eureka_client.cpp
@@ -30,7 +30,7 @@
   Value port;
   if (Find(value, "port", port)) {
     Value number = port;
-    if (port.is_object()) number = Need(port, "$");
+    if (port.is_object()) number = Require(port, "$");
     i.port = number.is_string() ? ParseAddress("0.0.0.0:" + As<std::string>(number, "port"), "port").port
                                 : As<std::uint16_t>(number, "port");
   }
@@ -54,7 +54,7 @@
   if (const auto error = parser.parse(text.data(), text.size()).get(root)) {
     Malformed(std::string("no JSON: ") + simdjson::error_message(error));
   }
-  const Value all = Need(root, "applications");
+  const Value all = Require(root, "applications");
   Each(all, "application", [&](Value application) {
     const auto name = Get<std::string>(application, "name");
     Each(application, "instance", [&](Value instance) {
@@ -103,7 +103,7 @@
   return code;
 }
 
-EurekaClient::EurekaClient(Loop& loop, const EurekaSettings& settings, Instance own,
+EurekaClient::EurekaClient(EventLoop& loop, const EurekaSettings& settings, Instance own,
                            std::function<void(const Applications&)> changed, Logger& log)
     : settings_(settings),
       own_(std::move(own)),
@@ -121,7 +121,7 @@
   std::vector<std::pair<std::string, std::string>> headers = {{"Accept", "application/json"}};
   if (!body.empty()) headers.emplace_back("Content-Type", "application/json");
   calls_.Send(settings_.registry, method, settings_.path + path, headers, body, kUnheard,
-              [done = std::move(done)](const HttpResult& result) { done(result.code, result.body); });
+              [done = std::move(done)](const HttpResult& result) { done(result.status_code, result.body); });
 }
 
 void EurekaClient::Reachable(bool reached) {
@@ -146,7 +146,7 @@
     registered_ = code >= 200 && code < 300;
     Reachable(code != 0);
     if (code != 0 && !registered_) log_.Warn("eureka.not_registered", {{"answer", code}});
-    renew_.After(settings_.renew);
+    renew_.Schedule(settings_.renew);
   });
 }
 
@@ -159,7 +159,7 @@
       registered_ = false;
       return Renew();
     }
-    renew_.After(settings_.renew);
+    renew_.Schedule(settings_.renew);
   });
 }
 
@@ -171,7 +171,7 @@
 
 void EurekaClient::Fetched(int code, const std::string& body, bool delta) {
   Reachable(code != 0);
-  fetch_.After(settings_.fetch);
+  fetch_.Schedule(settings_.fetch);
   if (code != 200) {
     // Deltas may be switched off; the next fetch is a whole one.
     if (code != 0) fetched_ = false;
@@ -183,7 +183,7 @@
       next = ReadApplications(body);
     } else if (!ApplyDelta(body, next)) {
       fetched_ = false;
-      return fetch_.After(Duration(0));
+      return fetch_.Schedule(Duration(0));
     }
     fetched_ = true;
     if (next == applications_) return;
--- a/src/service_registry/eureka_client.h
+++ b/src/service_registry/eureka_client.h
@@ -36,7 +36,7 @@
 class EurekaClient {
  public:
   // `own`: what is registered; an empty id registers nothing. `changed` is called whenever the list differs.
-  EurekaClient(Loop& loop, const EurekaSettings& settings, Instance own,
+  EurekaClient(EventLoop& loop, const EurekaSettings& settings, Instance own,
                std::function<void(const Applications&)> changed, Logger& log);
   ~EurekaClient();
 
@@ -60,7 +60,7 @@
   Applications applications_;
   bool fetched_ = false, registered_ = false, lost_ = false, cancelled_ = false;
   Timer renew_, fetch_;
-  HttpCalls calls_;
+  HttpClient calls_;
 };
 
 }  // namespace sagetally
--- a/src/service_registry/planner_selection.cpp
+++ b/src/service_registry/planner_selection.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-const Instance* PickPlanner(const std::map<std::string, Instance>& planners, int destination) {
+const Instance* SelectPlanner(const std::map<std::string, Instance>& planners, int destination) {
   const Instance* best = nullptr;
   std::uint64_t highest = 0;
   for (const auto& [id, planner] : planners) {
@@ -55,27 +55,27 @@
   return best;
 }
 
-ListNews PartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
-                     std::vector<std::string>& problems) {
-  ListNews news;
-  news.whole = true;
+EndpointListUpdate MakePartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
+                                   std::vector<std::string>& problems) {
+  EndpointListUpdate news;
+  news.is_full_snapshot = true;
   for (const auto& [id, partner] : partners) {
-    EndpointNews n;
-    n.entry.endpoint = id;
+    EndpointUpdate n;
+    n.record.endpoint = id;
     n.address = partner.host + ":" + std::to_string(partner.port);
     if (!Reachable(partner)) {
       problems.push_back(id + ": '" + n.address + "' is no address in numbers");
       continue;
     }
-    if (!ReadNumber(partner, "destination", n.entry.destination) || n.entry.destination < 0) {
+    if (!ReadNumber(partner, "destination", n.record.destination) || n.record.destination < 0) {
       problems.push_back(id + ": metadata names no destination");
       continue;
     }
-    ReadNumber(partner, "rate", n.entry.rate);
-    if (!(n.entry.rate >= 0 && n.entry.rate < 1e9)) n.entry.rate = 0;
-    n.entry.kind = Position(site.kinds, partner, "kind");
-    n.entry.zone = Position(site.zones, partner, "zone");
-    n.entry.state = partner.up() ? EndpointEntry::State::kUp : EndpointEntry::State::kDraining;
+    ReadNumber(partner, "rate", n.record.rate);
+    if (!(n.record.rate >= 0 && n.record.rate < 1e9)) n.record.rate = 0;
+    n.record.kind = Position(site.kinds, partner, "kind");
+    n.record.zone = Position(site.zones, partner, "zone");
+    n.record.state = partner.up() ? EndpointRecord::State::kUp : EndpointRecord::State::kDraining;
     news.endpoints.push_back(std::move(n));
   }
   return news;
--- a/src/service_registry/planner_selection.h
+++ b/src/service_registry/planner_selection.h
@@ -13,12 +13,12 @@
 
 // Rendezvous hashing: the instance that is UP with the highest weight for the destination; every forwarder
 // with the same list picks the same one, and a planner that goes moves only its own destinations.
-const Instance* PickPlanner(const std::map<std::string, Instance>& planners, int destination);
+const Instance* SelectPlanner(const std::map<std::string, Instance>& planners, int destination);
 
 // The instances of the partners' application as a whole list. Metadata: destination, kind, zone, rate.
 // What can't be read is left out and named in `problems`.
-ListNews PartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
-                     std::vector<std::string>& problems);
+EndpointListUpdate MakePartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
+                                   std::vector<std::string>& problems);
 
 }  // namespace sagetally
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -50,7 +50,7 @@
           if (!events.empty()) Malformed("event for instance '" + name + "' that has not begun");
           return;
         }
-        found->second.Step(now, events, actions);
+        found->second.Process(now, events, actions);
         events.clear();
       };
       for (const Value tagged : List(group, "happened")) {
@@ -66,9 +66,9 @@
         } else if (kind == "Begin") {
           actions.clear();
           events.clear();
-          senders_.insert_or_assign(name,
-                                    sagetally::Sender(sagetally::ReadSettings(Need(body, "params")).module,
-                                                      Get<std::uint64_t>(body, "seed")));
+          senders_.insert_or_assign(
+              name, sagetally::DispatchPolicy(sagetally::ReadSettings(Require(body, "params")).policy,
+                                              Get<std::uint64_t>(body, "seed")));
         } else if (senders_.find(name) == senders_.end()) {
           Malformed("event for instance '" + name + "' that has not begun");
         } else if (kind == "Retire") {
@@ -94,9 +94,9 @@
 
  private:
   void ReadRows(const Value body) {
-    std::vector<sagetally::EndpointEntry> rows;
+    std::vector<sagetally::EndpointRecord> rows;
     for (const Value host : List(body, "hosts")) {
-      sagetally::EndpointEntry e;
+      sagetally::EndpointRecord e;
       e.endpoint = Get<std::string>(host, "endpoint");
       e.destination = Get<int>(host, "destination");
       e.zone = Get<int>(host, "az", 0);
@@ -104,11 +104,11 @@
       e.rate = Get<double>(host, "rating", 0.0);
       const auto mode = Get<std::string>(host, "mode");
       if (mode == "up") {
-        e.state = sagetally::EndpointEntry::State::kUp;
+        e.state = sagetally::EndpointRecord::State::kUp;
       } else if (mode == "draining") {
-        e.state = sagetally::EndpointEntry::State::kDraining;
+        e.state = sagetally::EndpointRecord::State::kDraining;
       } else if (mode == "removed") {
-        e.state = sagetally::EndpointEntry::State::kRemoved;
+        e.state = sagetally::EndpointRecord::State::kRemoved;
       } else {
         Malformed("unknown mode '" + mode + "'");
       }
@@ -119,27 +119,27 @@
 
   std::optional<Event> ReadEvent(const std::string& kind, const Value body) {
     if (kind == "BackendsChanged") {
-      sagetally::ListChanged e;
+      sagetally::EndpointListUpdated e;
       const auto what = Get<std::string>(body, "kind");
       if (what == "FAILED") {
-        e.kind = sagetally::ListChanged::Kind::kFailed;
+        e.kind = sagetally::EndpointListUpdated::Kind::kFailed;
         return e;
       }
       if (what == "INCREMENTAL") {
-        e.kind = sagetally::ListChanged::Kind::kChanges;
+        e.kind = sagetally::EndpointListUpdated::Kind::kDelta;
       } else if (what == "FULL" || what == "SAVED") {
-        e.kind = sagetally::ListChanged::Kind::kWhole;
-        e.saved = what == "SAVED";
+        e.kind = sagetally::EndpointListUpdated::Kind::kFullSnapshot;
+        e.is_cached = what == "SAVED";
       } else {
         Malformed("unknown list kind '" + what + "'");
       }
       const auto list = lists_.find(Get<int>(body, "slot", 0));
       if (list == lists_.end()) Malformed("unknown list number");
-      e.entries = list->second;
+      e.endpoints = list->second;
       return e;
     }
     if (kind == "Order") {
-      sagetally::MessageTaken e;
+      sagetally::MessageAccepted e;
       e.id = Get<std::string>(body, "req");
       e.destination = Get<int>(body, "calledNode", 0);
       e.message_class = Get<int>(body, "category", 0);
@@ -149,23 +149,24 @@
       return e;
     }
     if (kind == "Settled") {
-      sagetally::AttemptEnded e;
+      sagetally::AttemptCompleted e;
       e.id = Get<std::string>(body, "req");
       e.attempt = Get<int>(body, "copy", 0);
       e.outcome = ReadOutcome(body);
-      e.finished = Get<bool>(body, "finished", false);
-      e.took = GetMs(body, "waitTime", 0.0);
-      if (e.outcome == sagetally::Outcome::kFull) e.told_wait = GetMs(body, "remarkMs", 0.0);
-      e.load = ReadLoad(body);
+      e.message_ended = Get<bool>(body, "finished", false);
+      e.latency = GetMs(body, "waitTime", 0.0);
+      if (e.outcome == sagetally::Outcome::kRejected) e.retry_after = GetMs(body, "remarkMs", 0.0);
+      e.load_report = ReadLoad(body);
       return e;
     }
     if (kind == "CheckResult") {
-      return sagetally::ProbeEnded{Get<std::string>(body, "endpoint"), ReadOutcome(body),
-                                   GetMs(body, "waitTime", 0.0), ReadLoad(body)};
+      return sagetally::HealthCheckCompleted{Get<std::string>(body, "endpoint"), ReadOutcome(body),
+                                             GetMs(body, "waitTime", 0.0), ReadLoad(body)};
     }
-    if (kind == "Abandoned") return sagetally::Withdrawn{Get<std::string>(body, "req")};
-    if (kind == "Alarm") return sagetally::WakeDue{};
-    if (kind == "Memo") return sagetally::PeerNote{Get<int>(body, "who"), Get<std::string>(body, "body", "")};
+    if (kind == "Abandoned") return sagetally::MessageWithdrawn{Get<std::string>(body, "req")};
+    if (kind == "Alarm") return sagetally::TimerFired{};
+    if (kind == "Memo")
+      return sagetally::GossipReceived{Get<int>(body, "who"), Get<std::string>(body, "body", "")};
     if (kind == "Streaming") return std::nullopt;  // no class is streamed here
     Malformed("unknown event '" + kind + "'");
   }
@@ -185,40 +186,42 @@
     const double ms = static_cast<double>(d.count()) / 1000.0;
     return {text.data(), std::to_chars(text.data(), text.data() + text.size(), ms).ptr};
   }
-  static std::string Write(const sagetally::Send& a) {
+  static std::string Write(const sagetally::StartAttempt& a) {
     return Command("Forward",
-                   {{"endpoint", Quote(a.endpoint)}, {"req", Quote(a.id)}, {"within", Ms(a.time_out)}});
+                   {{"endpoint", Quote(a.endpoint)}, {"req", Quote(a.id)}, {"within", Ms(a.timeout)}});
   }
-  static std::string Write(const sagetally::Refuse& a) {
-    return Command("TurnAway", {{"req", Quote(a.id)}, {"holdOff", Ms(a.come_back_after)}});
+  static std::string Write(const sagetally::RejectMessage& a) {
+    return Command("TurnAway", {{"req", Quote(a.id)}, {"holdOff", Ms(a.retry_after)}});
   }
-  static std::string Write(const sagetally::Fail& a) {
+  static std::string Write(const sagetally::FailMessage& a) {
     return Command("ReportFailure", {{"req", Quote(a.id)}});
   }
-  static std::string Write(const sagetally::Cancel& a) {
+  static std::string Write(const sagetally::CancelAttempt& a) {
     return Command("Revoke", {{"req", Quote(a.id)}, {"copy", std::to_string(a.attempt)}});
   }
-  static std::string Write(const sagetally::Recall&) { return ""; }  // what is sent there has left
-  static std::string Write(const sagetally::Probe& a) {
+  static std::string Write(const sagetally::CancelIfUnsent&) { return ""; }  // what is sent there has left
+  static std::string Write(const sagetally::StartHealthCheck& a) {
     return Command("Ping", {{"endpoint", Quote(a.endpoint)}});
   }
-  static std::string Write(const sagetally::CloseIdle& a) {
+  static std::string Write(const sagetally::CloseIdleConnections& a) {
     return Command("Close", {{"endpoint", Quote(a.endpoint)}});
   }
-  static std::string Write(const sagetally::Wake& a) {
-    return Command("After", {{"delay", Ms(a.after)}, {"keyBack", "0"}});
+  static std::string Write(const sagetally::ScheduleTimer& a) {
+    return Command("After", {{"delay", Ms(a.delay)}, {"keyBack", "0"}});
   }
-  static std::string Write(const sagetally::Track& a) {
-    return Command("Track", {{"want", a.on ? "true" : "false"}});
+  static std::string Write(const sagetally::SubscribeEndpointList& a) {
+    return Command("Track", {{"want", a.enabled ? "true" : "false"}});
   }
-  static std::string Write(const sagetally::FetchList&) { return Command("ReadList", {}); }
-  static std::string Write(const sagetally::TellPeers& a) {
+  static std::string Write(const sagetally::FetchEndpointList&) { return Command("ReadList", {}); }
+  static std::string Write(const sagetally::SendGossip& a) {
     return Command("Announce", {{"dst", Quote("*")}, {"body", Quote(a.body)}});
   }
-  static std::string Write(const sagetally::Log& a) { return Command("Record", {{"what", Quote(a.line)}}); }
+  static std::string Write(const sagetally::WriteLogLine& a) {
+    return Command("Record", {{"what", Quote(a.line)}});
+  }
 
-  std::map<std::string, sagetally::Sender> senders_;
-  std::map<int, std::vector<sagetally::EndpointEntry>> lists_;
+  std::map<std::string, sagetally::DispatchPolicy> senders_;
+  std::map<int, std::vector<sagetally::EndpointRecord>> lists_;
 };
 
 }  // namespace
--- a/src/time/clock.cpp
+++ b/src/time/clock.cpp
@@ -14,27 +14,30 @@
   std::getline(file, text);
   std::erase(text, '-');
   text.resize(std::min<std::size_t>(text.size(), 16));
-  std::from_chars(text.data(), text.data() + text.size(), boot_, 16);
+  std::from_chars(text.data(), text.data() + text.size(), boot_id_, 16);
 }
 
-SystemClock::SystemClock(const Moment& of) : SystemClock() {
-  const Moment now = Stamp();
-  if (of.boot != 0 && of.boot == now.boot) wall_ += of.wall + (now.steady - of.steady) - now.wall;
+SystemClock::SystemClock(const Timestamp& of) : SystemClock() {
+  const Timestamp now = CurrentTimestamp();
+  if (of.boot_id != 0 && of.boot_id == now.boot_id)
+    wall_start_ += of.wall_time + (now.steady_time - of.steady_time) - now.wall_time;
 }
 
-SystemClock::Carried SystemClock::CarryOn(const Moment& last) {
-  const Moment now = Stamp();
-  if (last.wall <= now.wall) return {};
-  Carried carried;
-  carried.measured = last.boot != 0 && last.boot == now.boot && last.steady <= now.steady;
-  carried.by = last.wall - now.wall + (carried.measured ? now.steady - last.steady : Duration(0));
-  wall_ += carried.by;
+SystemClock::ClockCorrection SystemClock::ContinueFrom(const Timestamp& last) {
+  const Timestamp now = CurrentTimestamp();
+  if (last.wall_time <= now.wall_time) return {};
+  ClockCorrection carried;
+  carried.is_measured =
+      last.boot_id != 0 && last.boot_id == now.boot_id && last.steady_time <= now.steady_time;
+  carried.amount = last.wall_time - now.wall_time +
+                   (carried.is_measured ? now.steady_time - last.steady_time : Duration(0));
+  wall_start_ += carried.amount;
   return carried;
 }
 
-Moment SystemClock::Stamp() const {
+Timestamp SystemClock::CurrentTimestamp() const {
   const auto steady = std::chrono::steady_clock::now().time_since_epoch();
-  return {Now(), std::chrono::duration_cast<Duration>(steady), boot_};
+  return {Now(), std::chrono::duration_cast<Duration>(steady), boot_id_};
 }
 
 }  // namespace sagetally
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -47,7 +47,8 @@
   assert(std::chrono::steady_clock::now() - begun < 20 * 1s);
   std::size_t open = 0;
   for (const auto& client : crowd) open += client->closed ? 0 : 1;
-  assert(open <= Share(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false).door);
+  assert(open <=
+         ShareDescriptors(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false).admin);
   for (const char* noise : {"status\n", "\n", "STATUS\nSTATUS\n", "\xff\xff\n", "PAUSE \n"}) {
     assert(w.Ask(noise).starts_with("error "));
   }
@@ -87,12 +88,12 @@
          asking.got.find("Connection: close") != std::string::npos);
   assert(w.Ask("PAUSE\n") == "done draining\n");
   Until(w.loop, [&] { return idle.closed; });
-  assert(since() >= Readiness::kCloseIdle && !half.closed);
+  assert(since() >= Readiness::kIdleCloseDelay && !half.closed);
   half.Write("34");
   Until(w.loop, [&] { return half.closed; });
   assert(half.got.find(" 202 ") != std::string::npos);
   // A client that ignores all that is refused in the end, and told when to come back.
-  Until(w.loop, [&] { return since() > Readiness::kTakeOn + 200ms; });
+  Until(w.loop, [&] { return since() > Readiness::kAcceptDuration + 200ms; });
   Ask& late = w.Post("aviso", "late");
   assert(w.Code(late) == 503 && HeaderOf(late.headers, "Retry-After") == "1.000");
   // What is held goes on: nothing was refused because of the drain.
@@ -110,7 +111,8 @@
   w.Ask("PAUSE\n");
   w.Ask("RESUME\n");
   const auto resumed = std::chrono::steady_clock::now();
-  Until(w.loop, [&] { return std::chrono::steady_clock::now() - resumed > Readiness::kCloseIdle + 200ms; });
+  Until(w.loop,
+        [&] { return std::chrono::steady_clock::now() - resumed > Readiness::kIdleCloseDelay + 200ms; });
   assert(!kept.closed);
 }
 
@@ -126,7 +128,7 @@
   w.Start();
   assert(w.Ask("STATUS\n") == "done ready\n" && w.Figure("in_progress") == 1);
   w.Ask("PAUSE\n");
-  w.dispatcher->Stop();
+  w.dispatcher->Shutdown();
   assert(w.Ask("STATUS\n") == "error stopping\n" && w.Ask("RESUME\n") == "error stopping\n");
   assert(w.Health() == 503);
 }
--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -30,7 +30,9 @@
       case 5:
         return node_->Pass(std::chrono::milliseconds(1 << Draw(13)));  // up to beyond every deadline
       case 6:
-        if (!node_->told.empty()) node_->chain.book.Heard(node_->told[Draw(int(node_->told.size()) - 1)]);
+        if (!node_->told.empty())
+          node_->chain.completion_handler.OnNotificationAcknowledged(
+              node_->told[Draw(int(node_->told.size()) - 1)]);
         return;
       case 7:
         draining_ = !draining_;
@@ -41,7 +43,7 @@
   }
 
   void Check() {
-    const std::string text = node_->figures.Text({});
+    const std::string text = node_->figures.FormatStatsd({});
     const auto figure = [&](const std::string& name, int cls) {
       const std::string wanted = "balancer." + name + "." + names_[cls] + ":";
       return std::stoull(text.substr(text.find(wanted) + wanted.size()));
@@ -55,7 +57,7 @@
     }
     std::size_t open = 0;
     for (const auto& [name, state] : messages_) open += state.taken && !state.ended ? 1 : 0;
-    assert(node_->ledger.held() == static_cast<int>(open));
+    assert(node_->ledger.pending_count() == static_cast<int>(open));
   }
   int ends = 0, restarts = -1;
 
@@ -73,14 +75,14 @@
     ++restarts;
     node_ = std::make_unique<Whole>(disk_, clock_, config_, SmallJournal(),
                                     [this](const Message& m) { Told(m); });
-    node_->chain.admit.takes = [this] { return !draining_; };
+    node_->chain.admission.is_accepting = [this] { return !draining_; };
     node_->Settle();
   }
   void Told(const Message& m) {
     Known& known = messages_.at(m.request.id);
     if (std::exchange(known.ended, true)) return;  // told again: counted where it ended
     ++ends;
-    ++(m.end == End::kRefused ? account_.dropped : account_.bad_gateway)[known.cls];
+    ++(m.final_status == FinalStatus::kRejected ? account_.dropped : account_.bad_gateway)[known.cls];
   }
   Request Make(const std::string& id, int cls) {
     Request r;
@@ -89,7 +91,7 @@
     r.destination = Draw(20) == 0 ? 8 : 7;  // nobody lives at 8
     r.time_left = std::chrono::milliseconds(1 + Draw(9000));
     r.body = std::string(Draw(4) == 0 ? Draw(12'000) : 0, 'b');  // so that the disk fills up now and then
-    r.form = Form::kEvent;                                       // these are remembered, and may come again
+    r.protocol = IngressProtocol::kCloudEvents;                  // these are remembered, and may come again
     return r;
   }
   void Submit(std::vector<Request> requests) {
@@ -99,15 +101,15 @@
       ids.push_back(r.id);
     }
     const bool leaves = Draw(6) == 0;
-    node_->chain.intake.Take(std::move(requests), [this, ids, leaves](const Answer& answer) {
+    node_->chain.validator.Submit(std::move(requests), [this, ids, leaves](const AdmissionResult& answer) {
       for (const std::string& id : ids) Answered(messages_.at(id), answer, leaves);
       return !leaves;
     });
     node_->Settle();
   }
-  void Answered(Known& known, const Answer& answer, bool left) {
-    if (answer.verdict == Verdict::kInvalid) return;
-    if (answer.verdict != Verdict::kTaken) {
+  void Answered(Known& known, const AdmissionResult& answer, bool left) {
+    if (answer.status == AdmissionStatus::kInvalid) return;
+    if (answer.status != AdmissionStatus::kAccepted) {
       assert(!known.taken);
       ++account_.dropped[known.cls];
       return;
@@ -131,7 +133,8 @@
       Request r = Make(name, known.cls);
       r.destination = 7;
       const bool was_draining = std::exchange(draining_, false);
-      if (node_->ledger.FindSame(r) != nullptr && node_->ledger.FindSame(r)->end != End::kRefused)
+      if (node_->ledger.FindDuplicate(r) != nullptr &&
+          node_->ledger.FindDuplicate(r)->final_status != FinalStatus::kRejected)
         Submit({r});
       draining_ = was_draining;
       return;
@@ -139,13 +142,13 @@
   }
   void Return() {  // a call comes back
     if (node_->calls.empty()) return;
-    const CallOrder order = node_->calls.front();
+    const CallRequest order = node_->calls.front();
     const std::string id = order.request->id;
-    static constexpr Outcome kOutcomes[] = {Outcome::kOk,   Outcome::kOk,      Outcome::kError,
-                                            Outcome::kFull, Outcome::kTimeout, Outcome::kConnectFailed,
+    static constexpr Outcome kOutcomes[] = {Outcome::kOk,       Outcome::kOk,      Outcome::kError,
+                                            Outcome::kRejected, Outcome::kTimeout, Outcome::kConnectFailed,
                                             Outcome::kReset};
     const Outcome outcome = kOutcomes[Draw(6)];
-    const bool over = outcome == Outcome::kFull && Draw(3) == 0;
+    const bool over = outcome == Outcome::kRejected && Draw(3) == 0;
     Known& known = messages_.at(id);
     if ((outcome == Outcome::kOk || over) && !std::exchange(known.ended, true)) {
       ++ends;
@@ -156,7 +159,7 @@
 
   const Config config_ = OneEndpoint();
   const std::vector<std::string> names_ = config_.site.classes;
-  FaultyFileSystem disk_;
+  FaultInjectingFileSystem disk_;
   TestClock clock_;
   boost::random::mt19937_64 random_;
   std::unique_ptr<Whole> node_;
--- a/tests/app/cloudevents_test.cpp
+++ b/tests/app/cloudevents_test.cpp
@@ -38,13 +38,13 @@
       {kStructuredType, Event("a", "aviso", R"(,"data_base64":"AAH/")"), std::string("\0\1\xff", 3)},
       {"application/cloudevents+json; charset=utf-8", Event("a", "aviso"), ""}};
   for (const auto& [type, body, data] : good) {
-    const auto events = ReadEvents({{"Content-Type", type}}, body);
+    const auto events = ParseCloudEvents({{"Content-Type", type}}, body);
     assert(events.size() == 1 && events[0].data == data && events[0].attributes.at("destination") == "7");
   }
-  assert(ReadEvents({{"Content-Type", kBatchType}}, "[]").empty());
-  assert(ReadEvents({{"Content-Type", kBatchType}}, "[" + Event("a", "x") + "," + Event("b", "y") + "]")
+  assert(ParseCloudEvents({{"Content-Type", kBatchType}}, "[]").empty());
+  assert(ParseCloudEvents({{"Content-Type", kBatchType}}, "[" + Event("a", "x") + "," + Event("b", "y") + "]")
              .size() == 2);
-  const auto binary = ReadEvents(Binary("a%20b", "aviso"), "bytes");
+  const auto binary = ParseCloudEvents(Binary("a%20b", "aviso"), "bytes");
   assert(binary[0].data == "bytes" && binary[0].attributes.at("id") == "a b");
   assert(binary[0].attributes.at("datacontenttype") == "text/plain");
 }
@@ -66,7 +66,7 @@
   for (const auto& [type, body, why] : bad) {
     std::string said;
     try {
-      ReadEvents({{"Content-Type", type}}, body);
+      ParseCloudEvents({{"Content-Type", type}}, body);
     } catch (const std::exception& e) {
       said = e.what();
     }
@@ -156,18 +156,19 @@
   World w;
   std::string heard;
   int asked = 0;
-  w.sink = std::make_unique<Server>(w.loop, Address{"127.0.0.1", 0}, Server::Limits{1 << 20, 200},
-                                    [&](const std::shared_ptr<Exchange>& e) {
-                                      if (asked++ == 0) return void(e->Answer(503));
-                                      heard += e->body();
-                                      e->Answer(200);
-                                    });
+  w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0},
+                                        HttpServer::HttpServerLimits{1 << 20, 200},
+                                        [&](const std::shared_ptr<Exchange>& e) {
+                                          if (asked++ == 0) return void(e->Respond(503));
+                                          heard += e->body();
+                                          e->Respond(200);
+                                        });
   w.endpoints[0]->otherwise = 500;
   w.Start();
   const std::string batch = "[" + Event("a", "aviso") + "," + Event("p", "pagamento") + "]";
   assert(w.Code(w.PostEvent({{"Content-Type", kBatchType}}, batch)) == 202);
   Until(w.loop, [&] { return heard.find("sagetally.undeliverable") != std::string::npos; });
-  const auto events = ReadEvents({{"Content-Type", kBatchType}}, heard);
+  const auto events = ParseCloudEvents({{"Content-Type", kBatchType}}, heard);
   assert(events[0].attributes.at("subject") == "p");
   assert(events[0].data == R"({"source":"/shop","id":"p","status":"undeliverable"})");
   w.endpoints[0]->Release();
@@ -182,11 +183,12 @@
   const auto play = [&](bool events_first) {
     World w(1, 4, 40);
     std::string results;
-    w.sink = std::make_unique<Server>(w.loop, Address{"127.0.0.1", 0}, Server::Limits{1 << 20, 200},
-                                      [&](const std::shared_ptr<Exchange>& e) {
-                                        results += e->body();
-                                        e->Answer(200);
-                                      });
+    w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0},
+                                          HttpServer::HttpServerLimits{1 << 20, 200},
+                                          [&](const std::shared_ptr<Exchange>& e) {
+                                            results += e->body();
+                                            e->Respond(200);
+                                          });
     w.Start();
     std::map<std::string, std::string> outcomes;  // by message: answer, calls, end
     for (int i = 0; i < 24; ++i) {
--- a/tests/app/endpoints_test.cpp
+++ b/tests/app/endpoints_test.cpp
@@ -7,7 +7,9 @@
 // Answers each call with the next of `script` (the last one again and again), byte for byte.
 class RawEndpoint {
  public:
-  explicit RawEndpoint(Loop& loop) : loop_(loop) { listener_ = ListenOnLoopback(loop, Accepted, this, port); }
+  explicit RawEndpoint(EventLoop& loop) : loop_(loop) {
+    listener_ = ListenOnLoopback(loop, Accepted, this, port);
+  }
   void Answer(std::size_t call) {
     const std::string text = script.front();
     if (script.size() > 1) script.pop_front();
@@ -41,7 +43,7 @@
     bufferevent_setcb(b, nullptr, nullptr, nullptr, nullptr);  // once
     static_cast<RawEndpoint*>(self)->closed += 1;
   }
-  Loop& loop_;
+  EventLoop& loop_;
   ListenerPtr listener_;
   std::vector<Buffers> all_;
 };
@@ -141,7 +143,7 @@
 
 // Guards the descriptors: an idle connection gives way where all are taken.
 void IdleConnectionsGiveWay() {
-  Loop loop;
+  EventLoop loop;
   std::vector<std::uint64_t> back;
   EndpointPool pool(loop, {1s, 15s, 8, 2}, [&](const CallResult& r) {
     assert(r.outcome == Outcome::kOk);
@@ -153,29 +155,29 @@
   for (std::uint64_t i = 1; i <= 5; ++i) {
     all.push_back(std::make_unique<RawEndpoint>(loop));
     all.back()->script = {kGood};
-    EndpointNews news;
-    news.entry.endpoint = "s-" + std::to_string(i);
+    EndpointUpdate news;
+    news.record.endpoint = "s-" + std::to_string(i);
     news.address = At(all.back()->port);
-    pool.Learn(news);
-    pool.Call({i, &request, news.entry.endpoint, 5s});
+    pool.UpdateEndpoint(news);
+    pool.StartCall({i, &request, news.record.endpoint, 5s});
     Until(loop, [&] { return back.size() == i; });
   }
   assert(all[0]->closed + all[1]->closed + all[2]->closed == 3);
-  for (int i = 1; i <= 5; ++i) pool.Forget("s-" + std::to_string(i));
+  for (int i = 1; i <= 5; ++i) pool.RemoveEndpoint("s-" + std::to_string(i));
   assert(pool.endpoints() == 0);
 }
 
 // A pool with one endpoint, without a dispatcher round it.
 struct RawPool {
   RawPool() {
-    EndpointNews news;
-    news.entry.endpoint = "s";
+    EndpointUpdate news;
+    news.record.endpoint = "s";
     news.address = At(raw.port);
-    pool.Learn(news);
+    pool.UpdateEndpoint(news);
     request.id = "a";
   }
-  void Call(std::uint64_t number) { pool.Call({number, &request, "s", 5s}); }
-  Loop loop;
+  void Call(std::uint64_t number) { pool.StartCall({number, &request, "s", 5s}); }
+  EventLoop loop;
   std::map<std::uint64_t, Outcome> back;
   EndpointPool pool{loop, {1s, 15s, 8, 8}, [this](const CallResult& r) { back[r.number] = r.outcome; }};
   RawEndpoint raw{loop};
@@ -208,13 +210,13 @@
   w.raw.script = {kGood};
   w.raw.hold = true;
   w.Call(1);
-  w.pool.Recall(1);  // connecting
-  w.pool.Recall(7);  // not there
+  w.pool.CancelCallIfUnsent(1);  // connecting
+  w.pool.CancelCallIfUnsent(7);  // not there
   Until(w.loop, [&] { return w.back.contains(1); });
-  assert(w.back[1] == Outcome::kMoot && w.raw.calls.empty());
+  assert(w.back[1] == Outcome::kNotSent && w.raw.calls.empty());
   w.Call(2);
   Until(w.loop, [&] { return w.raw.calls.size() == 1; });
-  w.pool.Recall(2);
+  w.pool.CancelCallIfUnsent(2);
   w.raw.Answer(0);
   Until(w.loop, [&] { return w.back.contains(2); });
   assert(w.back[2] == Outcome::kOk && w.raw.calls.size() == 1);
--- a/tests/app/fleet_test.cpp
+++ b/tests/app/fleet_test.cpp
@@ -8,7 +8,7 @@
 // What finds no place is answered 503 for as long as it lives, as the platform's endpoints do.
 class SmallTable {
  public:
-  SmallTable(Loop& loop, std::size_t most) : loop_(loop), most_(most) {
+  SmallTable(EventLoop& loop, std::size_t most) : loop_(loop), most_(most) {
     listener_ = ListenOnLoopback(loop, Accepted, this, port);
   }
   std::uint16_t port = 0;
@@ -36,7 +36,7 @@
     t->late_.push_back(std::make_unique<Timer>(t->loop_, [t, b] {
       if (t->placed_.contains(b)) Answer(b, "200 OK");
     }));
-    t->late_.back()->After(30ms);
+    t->late_.back()->Schedule(30ms);
   }
   static void Answer(bufferevent* b, const std::string& line) {
     const std::string answer = "HTTP/1.1 " + line + "\r\nContent-Length: 0\r\n\r\n";
@@ -47,7 +47,7 @@
     bufferevent_setcb(b, nullptr, nullptr, nullptr, nullptr);
     static_cast<SmallTable*>(self)->placed_.erase(b);
   }
-  Loop& loop_;
+  EventLoop& loop_;
   const std::size_t most_;
   ListenerPtr listener_;
   std::vector<Buffers> all_;
@@ -70,7 +70,7 @@
     text.replace(text.find("\"1f\""), 4, "\"" + std::to_string(i + 1) + "\"");
     text.replace(text.find(w.folder.path), w.folder.path.size(), folders.back()->path);
     nodes.push_back(std::make_unique<Dispatcher>(
-        w.loop, w.log, ParseConfig(text, [](const char*) { return nullptr; }), DeployFile{}));
+        w.loop, w.log, ParseConfig(text, [](const char*) { return nullptr; }), NodeFile{}));
   }
   const char* const classes[] = {"aviso", "pedido", "pagamento"};
   int handed_in = 0;
--- a/tests/app/node.h
+++ b/tests/app/node.h
@@ -16,38 +16,46 @@
 
 inline Settings SmallSettings() {
   Settings s;
-  s.classes = {{.aim = 2s, .deadline = 20s, .worth = 2, .late_share = 0.5, .effect = Effect::kSafe},
-               {.aim = 2s,
+  s.classes = {{.latency_objective = 2s,
                 .deadline = 20s,
-                .worth = 1,
-                .late_share = 0.5,
-                .effect = Effect::kKeyed,
-                .repeat_window = 5s},
-               {.aim = 2s, .deadline = 20s, .worth = 4, .late_share = 0.5, .effect = Effect::kUnsafe}};
-  s.kinds = {{}, {.routes_apart = true}, {.batch_max = 4}};
-  s.slots = 8;
-  s.most_held = 100;
+                .priority_weight = 2,
+                .late_weight_fraction = 0.5,
+                .idempotency = Idempotency::kIdempotent},
+               {.latency_objective = 2s,
+                .deadline = 20s,
+                .priority_weight = 1,
+                .late_weight_fraction = 0.5,
+                .idempotency = Idempotency::kIdempotentWithKey,
+                .deduplication_window = 5s},
+               {.latency_objective = 2s,
+                .deadline = 20s,
+                .priority_weight = 4,
+                .late_weight_fraction = 0.5,
+                .idempotency = Idempotency::kNotIdempotent}};
+  s.kinds = {{}, {.per_endpoint_limits = true}, {.max_batch_size = 4}};
+  s.max_concurrent_calls = 8;
+  s.max_pending_messages = 100;
   s.max_attempts = 6;
-  s.may_probe = true;
-  s.connection_idle = 5s;
-  s.answer_slack = 20ms;
-  s.cold_share = 0.25;
-  s.fall_multiple = 2;
-  s.tip_after = 3s;
-  s.warm_within = 10s;
+  s.health_checks_allowed = true;
+  s.connection_idle_timeout = 5s;
+  s.response_slack = 20ms;
+  s.cold_capacity_fraction = 0.25;
+  s.overload_multiple = 2;
+  s.overload_duration = 3s;
+  s.warm_up_time = 10s;
   return s;
 }
 
 // Of one of many senders that share small destinations.
 inline Settings FleetSettings(int senders, int slots, int most_held) {
   Settings s = SmallSettings();
-  s.senders = senders;
-  s.slots = slots;
-  s.most_held = most_held;
-  s.connection_idle = 15s;
-  s.tip_after = 1500ms;
-  s.cold_share = 0.3;
-  s.fall_multiple = 1.5;
+  s.dispatcher_count = senders;
+  s.max_concurrent_calls = slots;
+  s.max_pending_messages = most_held;
+  s.connection_idle_timeout = 15s;
+  s.overload_duration = 1500ms;
+  s.cold_capacity_fraction = 0.3;
+  s.overload_multiple = 1.5;
   return s;
 }
 
@@ -60,29 +68,30 @@
 
   void Step(Time now, std::vector<Event> events = {}) {
     actions.clear();
-    sender_.Step(now, events, actions);
-    for (const Send& send : All<Send>()) attempts_[send.id] += 1;
+    sender_.Process(now, events, actions);
+    for (const StartAttempt& send : All<StartAttempt>()) attempts_[send.id] += 1;
   }
-  void List(Time now, std::vector<EndpointEntry> entries) {
-    Step(now, {ListChanged{.kind = ListChanged::Kind::kWhole, .entries = std::move(entries)}});
+  void List(Time now, std::vector<EndpointRecord> entries) {
+    Step(now, {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
+                                   .endpoints = std::move(entries)}});
   }
-  static MessageTaken Taken(std::string id, int message_class = kSafeClass, Duration left = 20s,
-                            std::string key = "", int destination = 1) {
+  static MessageAccepted Taken(std::string id, int message_class = kSafeClass, Duration left = 20s,
+                               std::string key = "", int destination = 1) {
     return {std::move(id), destination, message_class, left, std::move(key)};
   }
   void Take(Time now, std::string id, int message_class = kSafeClass, Duration left = 20s,
             std::string key = "", int destination = 1) {
     Step(now, {Taken(std::move(id), message_class, left, std::move(key), destination)});
   }
-  AttemptEnded Ended(const std::string& id, Outcome outcome, Duration took = 100ms,
-                     Duration wait = 0ms) const {
-    AttemptEnded e;
+  AttemptCompleted Ended(const std::string& id, Outcome outcome, Duration took = 100ms,
+                         Duration wait = 0ms) const {
+    AttemptCompleted e;
     e.id = id;
     e.attempt = attempts_.at(id) - 1;
     e.outcome = outcome;
-    e.finished = outcome == Outcome::kOk;
-    e.took = took;
-    e.told_wait = wait;
+    e.message_ended = outcome == Outcome::kOk;
+    e.latency = took;
+    e.retry_after = wait;
     return e;
   }
   void End(Time now, const std::string& id, Outcome outcome, Duration took = 100ms, Duration wait = 0ms) {
@@ -107,11 +116,11 @@
   std::vector<Action> actions;
 
  private:
-  Sender sender_;
+  DispatchPolicy sender_;
   std::map<std::string, int> attempts_;
 };
 
-inline EndpointEntry At(std::string endpoint, int kind = 0, int destination = 1, double rate = 0) {
+inline EndpointRecord At(std::string endpoint, int kind = 0, int destination = 1, double rate = 0) {
   return {.endpoint = std::move(endpoint), .destination = destination, .kind = kind, .rate = rate};
 }
 
--- a/tests/app/parsers_test.cpp
+++ b/tests/app/parsers_test.cpp
@@ -34,7 +34,7 @@
       {"x1=1e999", 0, 0},        {"\xff\xfe", 0, 0},         {"x1=25,,", 0, 0}, {"cpu=0.5,x1=3", 0, 3}};
   for (const auto& [text, left, limit] : table) {
     const LoadReport load = ReadLoad(text);
-    assert(load.allowance_left == left && load.limit == limit);
+    assert(load.quota_left == left && load.rate_limit == limit);
   }
 }
 
@@ -42,7 +42,7 @@
   const World w;
   const std::string good = w.ConfigText();
   const auto none = [](const char*) { return nullptr; };
-  assert(ParseConfig(good, none).site.module.slots == 8);
+  assert(ParseConfig(good, none).site.policy.max_concurrent_calls == 8);
   const std::tuple<const char*, const char*, const char*> table[] = {
       {"\"listen\":\"127.0.0.1:0\"", "\"listen\":\"nowhere\"", "listen"},
       {"\"listen\":\"127.0.0.1:0\"", "\"listen\":\"a.test:80\"", "listen"},
@@ -69,7 +69,7 @@
 }
 
 void DeployFilesNameTheKeyAtFault() {
-  assert(!ParseDeployFile("{}").cloudevents && ReadDeployFile("/nonexistent").role == Role::kBoth);
+  assert(!ParseNodeFile("{}").cloudevents && ReadNodeFile("/nonexistent").role == Role::kBoth);
   const std::pair<const char*, const char*> table[] = {
       {R"({"role":"boss"})", "role"},
       {R"({"role":"planner"})", "cloudevents"},
@@ -86,7 +86,7 @@
   for (const auto& [text, key] : table) {
     std::string said;
     try {
-      ParseDeployFile(text);
+      ParseNodeFile(text);
     } catch (const std::exception& e) {
       said = e.what();
     }
--- a/tests/app/process.h
+++ b/tests/app/process.h
@@ -15,14 +15,14 @@
       : child({program, "serve", "--config", folder + "/" + config, "--node-file", folder + "/node.json"}, "",
               folder + "/" + log) {}
   std::uint16_t Port() {  // once it is ready; 0 until then
-    if (port == 0) port = lab::ReadyPort(child.log()).value_or(0);
+    if (port == 0) port = loadtest::ReadyPort(child.log()).value_or(0);
     return port;
   }
   int End(int signal) {
     child.Signal(signal);
     return child.Wait();
   }
-  lab::Child child;
+  loadtest::Child child;
   std::uint16_t port = 0;
 };
 
--- a/tests/app/restart_test.cpp
+++ b/tests/app/restart_test.cpp
@@ -34,7 +34,7 @@
     Until(w.loop,
           [&] { return std::ranges::all_of(ids, [&](const auto& id) { return w.CallsOf(id) == 1; }); });
     assert(w.agent.notices.empty());
-    w.dispatcher->Stop();
+    w.dispatcher->Shutdown();
     event_base_dispatch(w.loop.base());  // until nothing is held
     w.Kill();
     const std::size_t calls = w.Calls();
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -12,7 +12,7 @@
 // Planners and a forwarder on the world's loop; the world's endpoint serves destinations 0 to 9.
 struct Levels {
   explicit Levels(int planners) {
-    registry = std::make_unique<lab::Registry>(w.loop);
+    registry = std::make_unique<loadtest::Registry>(w.loop);
     for (int d = 0; d < 10; ++d) {
       registry->Put("PARTNERS", "e" + std::to_string(d), w.ports[0],
                     ",\"metadata\":{\"destination\":\"" + std::to_string(d) + "\",\"rate\":\"50\"}");
@@ -20,8 +20,8 @@
     for (int i = 0; i < planners; ++i) StartPlanner(i);
     StartForwarder(static_cast<std::size_t>(planners));
   }
-  DeployFile Deploy(Role role) const {
-    DeployFile deploy;
+  NodeFile Deploy(Role role) const {
+    NodeFile deploy;
     deploy.role = role;
     deploy.cloudevents = CloudEventsSettings{{"127.0.0.1", 0}, {}, "/"};
     deploy.eureka = EurekaSettings{};
@@ -33,7 +33,7 @@
   void StartPlanner(int i) {
     Config config = ParseConfig(w.ConfigText(), [](const char*) { return nullptr; });
     config.name = "planner" + std::to_string(i);
-    config.known.endpoints.clear();
+    config.cached_endpoint_list.endpoints.clear();
     folders.push_back(std::make_unique<Folder>());
     config.state_folder = folders.back()->path;
     this->planners.push_back(std::make_unique<Dispatcher>(w.loop, w.log, config, Deploy(Role::kPlanner)));
@@ -58,7 +58,7 @@
 
   World w;
   const Config config = ParseConfig(w.ConfigText(), [](const char*) { return nullptr; });
-  std::unique_ptr<lab::Registry> registry;
+  std::unique_ptr<loadtest::Registry> registry;
   std::vector<std::unique_ptr<Folder>> folders;
   std::vector<std::unique_ptr<Dispatcher>> planners;
   std::unique_ptr<Forwarder> forwarder;
@@ -104,15 +104,15 @@
     planners[id] = Instance{.id = id, .host = "127.0.0.1", .status = "UP", .port = 1};
   std::map<int, std::string> before;
   std::set<std::string> used;
-  for (int d = 0; d < 60; ++d) used.insert(before[d] = PickPlanner(planners, d)->id);
+  for (int d = 0; d < 60; ++d) used.insert(before[d] = SelectPlanner(planners, d)->id);
   assert(used.size() == 3);
   planners["b"].status = "DOWN";
   for (int d = 0; d < 60; ++d) {
-    const std::string now = PickPlanner(planners, d)->id;
+    const std::string now = SelectPlanner(planners, d)->id;
     assert(now != "b" && (before[d] == "b" || now == before[d]));
   }
   planners["a"].status = planners["c"].status = "STARTING";
-  assert(PickPlanner(planners, 1) == nullptr);
+  assert(SelectPlanner(planners, 1) == nullptr);
 }
 
 void PartnersAreReadFromMetadata() {
@@ -124,10 +124,10 @@
   partners["name"] = {.host = "example.test", .status = "UP", .port = 1, .metadata = {{"destination", "4"}}};
   partners["down"] = {.host = "127.0.0.1", .status = "DOWN", .port = 1, .metadata = {{"destination", "4"}}};
   std::vector<std::string> problems;
-  const ListNews news = PartnerList(partners, site, problems);
-  assert(news.whole && news.endpoints.size() == 2 && problems.size() == 2);
-  assert(news.endpoints[0].entry.state == EndpointEntry::State::kDraining);
-  assert(news.endpoints[1].entry.destination == 3 && news.endpoints[1].entry.rate == 2.5);
+  const EndpointListUpdate news = MakePartnerList(partners, site, problems);
+  assert(news.is_full_snapshot && news.endpoints.size() == 2 && problems.size() == 2);
+  assert(news.endpoints[0].record.state == EndpointRecord::State::kDraining);
+  assert(news.endpoints[1].record.destination == 3 && news.endpoints[1].record.rate == 2.5);
 }
 
 void MessagesReachPartnersThroughBothLevels() {
@@ -155,7 +155,7 @@
                          [](const std::string& a) { return a.starts_with("POST"); });
   };
   Until(l.w.loop, [&] { return posts() == 3; });
-  l.planners[0]->Stop();
+  l.planners[0]->Shutdown();
   Until(l.w.loop, [&] { return l.forwarder->planners_up() == 1; });
   for (int d = 0; d < 10; ++d) assert(l.w.Code(l.Plain("p" + std::to_string(d), d)) == 202);
   l.registry.reset();
@@ -169,12 +169,13 @@
   assert(l.w.Code(l.Plain("a", 1)) == 503);  // no planner is up
   std::vector<std::string> ids;
   std::vector<std::shared_ptr<Exchange>> held;
-  auto planner = std::make_unique<Server>(l.w.loop, Address{"127.0.0.1", 0}, Server::Limits{1 << 20, 200},
-                                          [&](const std::shared_ptr<Exchange>& e) {
-                                            ids.push_back(e->Header("ce-id"));
-                                            held.push_back(e);
-                                            if (ids.size() == 4) e->Answer(202);
-                                          });
+  auto planner = std::make_unique<HttpServer>(l.w.loop, Address{"127.0.0.1", 0},
+                                              HttpServer::HttpServerLimits{1 << 20, 200},
+                                              [&](const std::shared_ptr<Exchange>& e) {
+                                                ids.push_back(e->Header("ce-id"));
+                                                held.push_back(e);
+                                                if (ids.size() == 4) e->Respond(202);
+                                              });
   l.registry->Put("SAGETALLY", "silent", planner->port());
   Until(l.w.loop, [&] { return l.forwarder->planners_up() == 1; });
   assert(l.w.Code(l.Plain("b", 1)) == 504);  // written: nobody knows, and nothing else may be tried
--- a/tests/app/rules_test.cpp
+++ b/tests/app/rules_test.cpp
@@ -173,12 +173,12 @@
   assert(w.Code(w.Post("aviso", "a1")) == 202);
   Until(w.loop, [&] { return w.Calls() == 1; });
   const auto start = std::chrono::steady_clock::now();
-  w.dispatcher->Stop();
+  w.dispatcher->Shutdown();
   RawClient slow(w.loop, w.dispatcher->port(), "POST /aviso HTTP/1.1\r\n");  // whole after the last moment
   Ask& late = w.Post("aviso", "a2");  // the front has not heard of it yet: taken, and delivered
   assert(w.Code(late) == 202 && HeaderOf(late.headers, "Connection") == "close");
   Until(w.loop, [&] { return w.CallsOf("a2") == 1; });
-  Until(w.loop, [&] { return std::chrono::steady_clock::now() > start + Readiness::kTakeOn + 50ms; });
+  Until(w.loop, [&] { return std::chrono::steady_clock::now() > start + Readiness::kAcceptDuration + 50ms; });
   slow.Write("X-Request-Id: a3\r\nX-Class: aviso\r\nX-Deadline: 900m\r\nX-Envelope: dest=7\r\n\r\n");
   Until(w.loop, [&] { return slow.got.find("\r\n\r\n") != std::string::npos; });
   assert(slow.got.find(" 503 ") != std::string::npos);
@@ -195,7 +195,7 @@
   w.Start();
   assert(w.Code(w.Post("aviso", "a1")) == 202);
   Until(w.loop, [&] { return w.Calls() == 1; });  // the one slot
-  w.dispatcher->Stop();
+  w.dispatcher->Shutdown();
   assert(w.Code(w.Post("aviso", "a2")) == 202);
   event_base_dispatch(w.loop.base());
   w.Kill();
@@ -208,7 +208,7 @@
 // What uses discovery goes on at the new address after the version heard; calls and held messages go on.
 void ANewConfigurationMovesWatchAndNotices() {
   World w(1, 1);
-  lab::Agent other(w.loop);
+  loadtest::Agent other(w.loop);
   w.endpoints[0]->otherwise = 0;
   w.Start();
   Until(w.loop, [&] { return w.agent.watch != nullptr; });
--- a/tests/app/sites_test.cpp
+++ b/tests/app/sites_test.cpp
@@ -80,17 +80,18 @@
   config["known"]["targets"][0]["model"] = settings["flavors"].back();
   config["known"]["targets"][0]["az"] = settings["zones"].back();
   const Config read = ParseConfig(config.dump(), [](const char*) { return nullptr; });
-  const auto& classes = read.site.module.classes;
+  const auto& classes = read.site.policy.classes;
   assert(classes.size() == settings["grades"].size() && read.site.classes.size() == classes.size());
   for (std::size_t i = 0; i < classes.size(); ++i) {
     const Json& grade = settings["grades"][i];
     assert(read.site.classes[i] == grade["name"]);
     assert(classes[i].deadline == Duration(grade["deadline"].get<std::int64_t>() * 1000));
-    assert((classes[i].effect == Effect::kUnsafe) == (grade["idempotency"] == "side_effect"));
-    assert(classes[i].repeat_window == Duration(grade.value("repeatWindow", 0) * 1000));
+    assert((classes[i].idempotency == Idempotency::kNotIdempotent) ==
+           (grade["idempotency"] == "side_effect"));
+    assert(classes[i].deduplication_window == Duration(grade.value("repeatWindow", 0) * 1000));
   }
-  assert(read.site.module.list_on_request == (settings["discovery"] == "subscribe"));
-  w.dispatcher = std::make_unique<Dispatcher>(w.loop, w.log, read, DeployFile{});
+  assert(read.site.policy.endpoint_list_on_request == (settings["discovery"] == "subscribe"));
+  w.dispatcher = std::make_unique<Dispatcher>(w.loop, w.log, read, NodeFile{});
   std::size_t sent = 0;
   for (const std::string& cls : read.site.classes) {
     assert(w.Code(w.Post(cls, "of-" + cls, "x", "2000m")) == 202);
--- a/tests/app/world.h
+++ b/tests/app/world.h
@@ -33,25 +33,26 @@
 
 // Runs the loop until `done`; a minute without it is a failure.
 template <typename F>
-void Until(Loop& loop, F done) {
+void Until(EventLoop& loop, F done) {
   const auto limit = std::chrono::steady_clock::now() + 60s;
   while (!done()) {
     assert(std::chrono::steady_clock::now() < limit);
     Timer tick(loop, [] {});  // the loop turns at least this often, so that the limit is seen
-    tick.After(20ms);
+    tick.Schedule(20ms);
     event_base_loop(loop.base(), EVLOOP_ONCE);
   }
 }
-inline void RunFor(Loop& loop, Duration d) {
+inline void RunFor(EventLoop& loop, Duration d) {
   bool over = false;
   Timer timer(loop, [&] { over = true; });
-  timer.After(d);
+  timer.Schedule(d);
   Until(loop, [&] { return over; });
 }
 
 // A listener on a free port of loopback, which `port` gets.
 using ListenerPtr = std::unique_ptr<evconnlistener, Free<evconnlistener_free>>;
-inline ListenerPtr ListenOnLoopback(Loop& loop, evconnlistener_cb accepted, void* self, std::uint16_t& port) {
+inline ListenerPtr ListenOnLoopback(EventLoop& loop, evconnlistener_cb accepted, void* self,
+                                    std::uint16_t& port) {
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -72,8 +73,9 @@
 // An endpoint: answers by script, then with 200. 0 holds the call, -1 breaks its connection.
 class StandInEndpoint {
  public:
-  explicit StandInEndpoint(Loop& loop)
-      : listener_(loop, {"127.0.0.1", 0}, [this](const std::shared_ptr<lab::Call>& call) { Called(call); }) {}
+  explicit StandInEndpoint(EventLoop& loop)
+      : listener_(loop, {"127.0.0.1", 0},
+                  [this](const std::shared_ptr<loadtest::Call>& call) { Called(call); }) {}
   std::uint16_t port() const { return listener_.port(); }
   void Release() {  // answers what is held with 200, and all that comes
     script.clear();
@@ -85,10 +87,10 @@
   std::deque<int> script;
   int otherwise = 200;
   Headers headers;  // with answers other than 200
-  std::vector<std::shared_ptr<lab::Call>> held;
+  std::vector<std::shared_ptr<loadtest::Call>> held;
 
  private:
-  void Called(const std::shared_ptr<lab::Call>& call) {
+  void Called(const std::shared_ptr<loadtest::Call>& call) {
     assert(call->target == "/hook");
     calls.push_back({call->Header("X-Request-Id"), call->Header("Idempotency-Key"),
                      call->Header("X-Deadline"), call->body, call->headers,
@@ -106,13 +108,13 @@
       call->Answer(code, "", code == 200 ? Headers{} : headers);
     }
   }
-  lab::Listener listener_;
+  loadtest::Listener listener_;
 };
 
 // One client request on a connection of its own.
 class Ask {
  public:
-  Ask(Loop& loop, std::uint16_t port, const std::string& path, const Headers& headers,
+  Ask(EventLoop& loop, std::uint16_t port, const std::string& path, const Headers& headers,
       const std::string& body, evhttp_cmd_type method = EVHTTP_REQ_POST)
       : connection_(evhttp_connection_base_new(loop.base(), nullptr, "127.0.0.1", port)) {
     evhttp_connection_set_retries(connection_.get(), 0);
@@ -147,7 +149,7 @@
 // A client that writes whatever bytes it likes.
 class RawClient {
  public:
-  RawClient(Loop& loop, std::uint16_t port, const std::string& text)
+  RawClient(EventLoop& loop, std::uint16_t port, const std::string& text)
       : buffers_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)) {
     sockaddr_in to{};
     to.sin_family = AF_INET;
@@ -233,10 +235,10 @@
   }
   void Start() {
     const Config config = ParseConfig(ConfigText(), [](const char*) { return nullptr; });
-    DeployFile deploy;
+    NodeFile deploy;
     deploy.cloudevents = CloudEventsSettings{{"127.0.0.1", 0}, {}, "/results"};
     if (sink) deploy.cloudevents->sink = Address{"127.0.0.1", sink->port()};
-    deploy.kept = kept;
+    deploy.dead_letters = kept;
     deploy.journal = journal;
     dispatcher = std::make_unique<Dispatcher>(loop, log, config, deploy);
   }
@@ -277,19 +279,19 @@
     return n;
   }
 
-  Loop loop;
+  EventLoop loop;
   Logger log;
   Folder folder;
   int slots, most_held, sockets = 256;
   double disk_mb = 3;
-  lab::Agent agent{loop};
+  loadtest::Agent agent{loop};
   std::vector<std::unique_ptr<StandInEndpoint>> endpoints;
   std::vector<std::uint16_t> ports;
-  std::unique_ptr<Server> sink;
+  std::unique_ptr<HttpServer> sink;
   std::vector<std::unique_ptr<Ask>> asks;
   std::unique_ptr<Dispatcher> dispatcher;
-  std::optional<KeptSettings> kept;
-  JournalFile journal;
+  std::optional<DeadLetterSettings> kept;
+  JournalFileSettings journal;
   bool admin = false;   // the operators' door is open
   bool spread = false;  // each endpoint is a destination of its own, from 7 on
   int repeat_window_ms = 10000;
--- a/tests/dead_letter/crash_test.cpp
+++ b/tests/dead_letter/crash_test.cpp
@@ -1,4 +1,4 @@
-// The real stages, journal, keeper and store on a clock of the test's own, with a crash after every single
+// The real stages, journal, manager and store on a clock of the test's own, with a crash after every single
 // step.
 #include <set>
 
@@ -12,12 +12,12 @@
 namespace sagetally {
 namespace {
 
-using kept::Keeper;
-using kept::State;
+using dead_letter::DeadLetterManager;
+using dead_letter::DeadLetterState;
 
 struct TestClock : Clock {
   Time Now() const override { return now; }
-  Moment Stamp() const override { return {now + step, now, 9}; }
+  Timestamp CurrentTimestamp() const override { return {now + step, now, 9}; }
   Time now{1'700'000'000'000'000};
   Duration step{0};
 };
@@ -32,70 +32,73 @@
 
 // One life of a node. Calls wait in `calls` until the test answers them.
 struct QuietJournalHost : JournalHost {
-  void TurnAfter(Duration) override {}
-  void Progress() override {}
-  void Sync(std::shared_ptr<File>, std::function<void(int)>) override {}
-  void Fenced() override {}
+  void ScheduleTurn(Duration) override {}
+  void OnProgress() override {}
+  void SyncInBackground(std::shared_ptr<File>, std::function<void(int)>) override {}
+  void OnFenced() override {}
 };
 
-struct Life : Caller, Teller, Host, QuietJournalHost {
-  Life(Outside& outside, const Config& config, const KeptSettings& settings, bool on = true)
+struct Life : EndpointClient, Notifier, Scheduler, QuietJournalHost {
+  Life(Outside& outside, const Config& config, const DeadLetterSettings& settings, bool on = true)
       : outside(outside),
         store(files, JournalOf(config), ledger, outside.clock, log, *this),
         jobs([&] {
           std::filesystem::create_directory(config.state_folder + "/kept");
-          return kept::DatabaseSettings(settings, config.state_folder + "/kept");
+          return dead_letter::DatabaseSettings(settings, config.state_folder + "/kept");
         }()),
-        keeper(kept::KeeperFrom(config, settings), jobs, ledger, outside.clock, log,
-               [this](Duration d) { wake_keeper = this->outside.clock.now + d; }),
-        chain(config.site, 1, ledger, store, *this, *this, *this, outside.clock, on ? &keeper : nullptr) {
-    keeper.SetRules(
-        std::make_shared<kept::RuleSet>(kept::ParseRules(
+        manager(dead_letter::MakeManagerSettings(config, settings), jobs, ledger, outside.clock, log,
+                [this](Duration d) { wake_keeper = this->outside.clock.now + d; }),
+        chain(config.site, 1, ledger, store, *this, *this, *this, outside.clock, on ? &manager : nullptr) {
+    manager.SetRules(
+        std::make_shared<dead_letter::RuleSet>(dead_letter::ParseRules(
             "rule all: when true then resend rate 100/s times 9 window 1h deadline 2s after 0s;", {})),
         "all");
-    chain.route.Listed(config.known);
+    chain.router.OnEndpointListUpdate(config.cached_endpoint_list);
     if (on) {
-      keeper.Start({.take_again = [this](Message m) { return chain.admit.TakeAgain(std::move(m)); },
-                    .up = [this](int destination) { return chain.route.Up(destination); },
-                    .kept = [this](std::uint64_t number) { chain.book.Kept(number); }},
-                   store.fresh());
+      manager.Start(
+          {.accept_redrive = [this](Message m) { return chain.admission.AcceptRedrive(std::move(m)); },
+           .has_usable_endpoint =
+               [this](int destination) { return chain.router.HasUsableEndpoint(destination); },
+           .on_dead_lettered =
+               [this](std::uint64_t number) { chain.completion_handler.OnDeadLettered(number); }},
+          store.is_new());
     }
-    chain.Resume();
+    chain.ResumeAfterRestart();
   }
 
-  void Call(const CallOrder& order) override {
+  void StartCall(const CallRequest& order) override {
     calls.push_back(order);
     ++outside.calls[order.request->body];
     names[order.number] = order.request->body;
   }
-  void Cancel(std::uint64_t) override {}
-  void Recall(std::uint64_t) override {}
-  void CloseIdle(const std::string&) override {}
-  void Learn(const EndpointNews&) override {}
-  void Forget(const std::string&) override {}
-  void Tell(const Message& m) override { notices.push_back(m.number); }
-  void StepSoon() override { step_due = true; }
-  void WakeAfter(Duration d) override { wake_module = outside.clock.now + d; }
-  void TellPeers(const std::string&) override {}
-  void TurnAfter(Duration d) override { wake_journal = outside.clock.now + d; }
+  void CancelCall(std::uint64_t) override {}
+  void CancelCallIfUnsent(std::uint64_t) override {}
+  void CloseIdleConnections(const std::string&) override {}
+  void UpdateEndpoint(const EndpointUpdate&) override {}
+  void RemoveEndpoint(const std::string&) override {}
+  void Notify(const Message& m) override { notices.push_back(m.number); }
+  void SchedulePolicyRun() override { step_due = true; }
+  void ScheduleTimer(Duration d) override { wake_module = outside.clock.now + d; }
+  void SendGossip(const std::string&) override {}
+  void ScheduleTurn(Duration d) override { wake_journal = outside.clock.now + d; }
   static JournalSettings JournalOf(const Config& config) {
     JournalSettings s;
     s.folder = config.state_folder + "/journal";
-    s.budget = 5'000'000;
-    s.classes = config.site.classes;
+    s.disk_budget = 5'000'000;
+    s.class_names = config.site.classes;
     return s;
   }
-  void Log(const std::string&) override {}
+  void WriteLogLine(const std::string&) override {}
 
   // One thing at a time; false if there is nothing left to do but wait.
   bool DoOne(Outcome outcome, bool ran) {
     if (wake_journal <= outside.clock.now) {
       wake_journal = Time::max();
-      store.Turn();
+      store.RunDueWork();
     }
-    if (std::exchange(step_due, false)) return chain.Step(), true;
+    if (std::exchange(step_due, false)) return chain.RunPolicy(), true;
     if (!calls.empty()) {
-      const CallOrder order = calls.back();
+      const CallRequest order = calls.back();
       calls.pop_back();
       const std::string name = names[order.number];
       if (ran || outcome == Outcome::kOk) ++outside.effects[name];
@@ -103,14 +106,14 @@
       CallResult result;
       result.number = order.number;
       result.outcome = outcome;
-      chain.relay.Back(result);
+      chain.outcome_handler.OnCallResult(result);
       return true;
     }
     if (!notices.empty()) {
       const std::uint64_t number = notices.back();
       notices.pop_back();
       if (const Message* m = ledger.Find(number)) outside.told.insert(m->request.body);
-      chain.book.Heard(number);
+      chain.completion_handler.OnNotificationAcknowledged(number);
       return true;
     }
     return jobs.Deliver();
@@ -118,37 +121,39 @@
   void Wait() {  // until the next timer is due
     const Time next = std::min({wake_module, wake_keeper, outside.clock.now + std::chrono::seconds(5)});
     outside.clock.now = std::max(outside.clock.now + std::chrono::milliseconds(1), next);
-    if (outside.clock.now >= wake_module) wake_module = Time::max(), chain.route.Add(WakeDue{});
-    if (outside.clock.now >= wake_keeper) wake_keeper = Time::max(), keeper.Turn();
+    if (outside.clock.now >= wake_module) wake_module = Time::max(), chain.router.QueueEvent(TimerFired{});
+    if (outside.clock.now >= wake_keeper) wake_keeper = Time::max(), manager.RunDueWork();
   }
-  bool Post(const std::string& cls, const std::string& name, Form form = Form::kPlain) {
+  bool Post(const std::string& cls, const std::string& name,
+            IngressProtocol form = IngressProtocol::kPlatform) {
     Request r;
-    r.id = form == Form::kEvent ? "event" : name;
+    r.id = form == IngressProtocol::kCloudEvents ? "event" : name;
     r.body = name;
     r.message_class = cls == "aviso" ? 0 : cls == "pedido" ? 1 : 2;
     r.destination = 7;
     r.time_left = std::chrono::milliseconds(700);
-    if (form == Form::kPlain) r.key = "key-" + name;
-    r.form = form;
+    if (form == IngressProtocol::kPlatform) r.idempotency_key = "key-" + name;
+    r.protocol = form;
     bool taken = false;
     std::vector<Request> one;
     one.push_back(std::move(r));
-    chain.intake.Take(std::move(one),
-                      [&](const Answer& a) { return taken = a.verdict == Verdict::kTaken, true; });
-    chain.Step();
+    chain.validator.Submit(std::move(one), [&](const AdmissionResult& a) {
+      return taken = a.status == AdmissionStatus::kAccepted, true;
+    });
+    chain.RunPolicy();
     return taken;
   }
 
   Outside& outside;
   Time wake_module = Time::max(), wake_keeper = Time::max(), wake_journal = Time::max();
   Logger log{LogOptions{LogFormat::kText, LogLevel::kError}};
-  Ledger ledger;
-  RealFileSystem files;
+  MessageTable ledger;
+  PosixFileSystem files;
   SegmentJournal store;
-  kept::InlineJobs jobs;
-  Keeper keeper;
-  Chain chain;
-  std::vector<CallOrder> calls;
+  dead_letter::InlineJobRunner jobs;
+  DeadLetterManager manager;
+  MessagePipeline chain;
+  std::vector<CallRequest> calls;
   std::map<std::uint64_t, std::string> names;
   std::vector<std::uint64_t> notices;
   bool step_due = false;
@@ -160,19 +165,19 @@
     w.ports = {9};
     config = ParseConfig(w.ConfigText(), [](const char*) { return nullptr; });
     config.state_folder = outside.folder.path;
-    settings.deferred = settings.resend_deferred = true;
-    settings.slots_share = 1;
+    settings.include_deferred = settings.redrive_deferred = true;
+    settings.concurrency_fraction = 1;
     settings.destination_rate = 1000;
-    settings.backoff = settings.backoff_most = std::chrono::milliseconds(50);
+    settings.initial_backoff = settings.max_backoff = std::chrono::milliseconds(50);
   }
   Config config;
-  KeptSettings settings;
+  DeadLetterSettings settings;
 };
 
-kept::Database Reading(const Outside& outside) {
-  kept::Database::Settings settings;
+dead_letter::Database Reading(const Outside& outside) {
+  dead_letter::Database::Settings settings;
   settings.path = outside.folder.path + "/kept/kept.db";
-  return kept::Database(settings);
+  return dead_letter::Database(settings);
 }
 
 // Three messages fail, are kept and sent again. The node dies after `crash` steps, twice if `again` more
@@ -200,7 +205,7 @@
     // The first calls fail: half of them run all the same.
     const bool fail = failures > 0;
     const std::size_t before = life->calls.size();
-    if (life->DoOne(fail ? (failures % 4 == 0 ? Outcome::kFull : Outcome::kReset) : Outcome::kOk,
+    if (life->DoOne(fail ? (failures % 4 == 0 ? Outcome::kRejected : Outcome::kReset) : Outcome::kOk,
                     fail && failures % 4 == 1)) {
       if (life->calls.size() < before) --failures, last = outside.clock.now;
       ++steps;
@@ -209,9 +214,9 @@
     }
   }
   life.reset();
-  kept::Database db = Reading(outside);
-  std::map<std::string, kept::KeptMessage> stored;
-  db.ForEach(kept::Condition(), Time(0), false, [&](const kept::KeptMessage& k) {
+  dead_letter::Database db = Reading(outside);
+  std::map<std::string, dead_letter::DeadLetter> stored;
+  db.ForEach(dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& k) {
     assert(stored.emplace(k.request.id, k).second);
     return true;
   });
@@ -222,7 +227,7 @@
     // ever.
     assert(delivered || at != stored.end());
     if (at != stored.end()) {
-      assert(at->second.state == State::kDelivered || at->second.state == State::kHeld);
+      assert(at->second.state == DeadLetterState::kDelivered || at->second.state == DeadLetterState::kHeld);
       assert(at->second.attempts <= 6);
       states[static_cast<int>(at->second.state)] += 1;
     }
@@ -233,9 +238,9 @@
 }
 
 void ACrashAfterEveryStepLeavesOneTruth() {
-  int states[kept::kStates] = {};
+  int states[dead_letter::kStates] = {};
   const int steps = Run(-1, 0, states);
-  assert(states[static_cast<int>(State::kDelivered)] > 0 && steps > 30);
+  assert(states[static_cast<int>(DeadLetterState::kDelivered)] > 0 && steps > 30);
   int crashes = 0;
   for (int crash = 0; crash < steps; ++crash) {
     for (const int again : {0, 1, 4}) {
@@ -244,7 +249,8 @@
     }
   }
   std::printf("%d runs with crashes over %d steps: %d delivered by resend, %d held\n", crashes, steps,
-              states[static_cast<int>(State::kDelivered)], states[static_cast<int>(State::kHeld)]);
+              states[static_cast<int>(DeadLetterState::kDelivered)],
+              states[static_cast<int>(DeadLetterState::kHeld)]);
 }
 
 // Runs until nothing is left to do for `seconds` of the test's clock.
@@ -259,34 +265,35 @@
   Outside outside;
   Site site(outside);
   // First its kept twin waits; the client hands the event in anew, and only that copy is delivered.
-  site.settings.backoff = site.settings.backoff_most = std::chrono::seconds(30);
+  site.settings.initial_backoff = site.settings.max_backoff = std::chrono::seconds(30);
   auto life = std::make_unique<Life>(outside, site.config, site.settings);
-  assert(life->Post("pagamento", "first", Form::kEvent));
-  Settle(*life, Outcome::kFull, false, 4);
-  assert(life->ledger.held() == 0);
-  assert(life->Post("pagamento", "second", Form::kEvent));
+  assert(life->Post("pagamento", "first", IngressProtocol::kCloudEvents));
+  Settle(*life, Outcome::kRejected, false, 4);
+  assert(life->ledger.pending_count() == 0);
+  assert(life->Post("pagamento", "second", IngressProtocol::kCloudEvents));
   Settle(*life, Outcome::kOk, false, 100);
   assert(!outside.delivered.contains("first") && outside.delivered.contains("second"));
   life.reset();
-  assert(Reading(outside).Count(kept::ParseCondition("state = handed_in_again", {}), Time(0)) == 1);
+  assert(Reading(outside).Count(dead_letter::ParseCondition("state = handed_in_again", {}), Time(0)) == 1);
 }
 
 void ACopyIsRefusedWhileTheKeptOneIsBeingSent() {
   Outside outside;
   const Site site(outside);
   Life life(outside, site.config, site.settings);
-  assert(life.Post("pagamento", "first", Form::kEvent));
-  while (life.keeper.counters().kept == 0) {
+  assert(life.Post("pagamento", "first", IngressProtocol::kCloudEvents));
+  while (life.manager.counters().kept == 0) {
     if (!life.DoOne(Outcome::kConnectFailed, false)) life.Wait();
   }
   while (life.calls.empty()) {  // until a resend is out
     if (!life.DoOne(Outcome::kConnectFailed, false)) life.Wait();
   }
-  assert(life.ledger.held() == 1);
-  assert(!life.Post("pagamento", "second", Form::kEvent));
+  assert(life.ledger.pending_count() == 1);
+  assert(!life.Post("pagamento", "second", IngressProtocol::kCloudEvents));
   Settle(life, Outcome::kOk);
   assert(outside.delivered.contains("first") && outside.effects.size() == 1);
-  assert(life.Post("pagamento", "third", Form::kEvent));  // the same answer as ever, and no second message
+  assert(life.Post("pagamento", "third",
+                   IngressProtocol::kCloudEvents));  // the same answer as ever, and no second message
   Settle(life, Outcome::kOk);
   assert(outside.effects.size() == 1);
 }
@@ -298,10 +305,11 @@
   assert(life->Post("aviso", "a"));
   Settle(*life, Outcome::kError, true, 200);
   life.reset();
-  kept::Database db = Reading(outside);
-  const auto page = db.List(kept::Condition(), Time(0), std::nullopt, 9);
+  dead_letter::Database db = Reading(outside);
+  const auto page = db.List(dead_letter::Condition(), Time(0), std::nullopt, 9);
   assert(page.messages.size() == 1 && page.messages[0].attempts == 6 && page.messages[0].history.size() == 6);
-  assert(page.messages[0].state == State::kHeld && page.messages[0].ground == "attempts_used_up");
+  assert(page.messages[0].state == DeadLetterState::kHeld &&
+         page.messages[0].decision_reason == "attempts_used_up");
   assert(outside.calls["a"] == 6);
 }
 
@@ -310,23 +318,23 @@
 void AStalledStoreNeverStopsDelivery() {
   Outside outside;
   Site site(outside);
-  site.settings.owed_bytes = 20 * 700;
+  site.settings.max_pending_bytes = 20 * 700;
   auto life = std::make_unique<Life>(outside, site.config, site.settings);
   Settle(*life, Outcome::kOk, false, 1);
-  life->jobs.fail = kept::JobError{kept::StoreError::Kind::kFull, "no space", false};
+  life->jobs.fail = dead_letter::JobError{dead_letter::StoreError::Kind::kFull, "no space", false};
   for (int i = 0; i < 60; ++i) {
     assert(life->Post(i % 2 == 0 ? "pagamento" : "aviso", std::to_string(i)));
     Settle(*life, Outcome::kReset, true, 2);
   }
-  assert(life->keeper.store_failing() && life->keeper.owed() * 600 <= 20 * 700);
-  const auto lost = life->keeper.counters().owed_dropped;
+  assert(life->manager.store_failing() && life->manager.pending_transfers() * 600 <= 20 * 700);
+  const auto lost = life->manager.counters().owed_dropped;
   assert(lost >= 20 && life->store.disk_bytes() < 4'800'000);
   life->jobs.fail.reset();
   Settle(*life, Outcome::kReset, true, 10);
-  assert(life->keeper.owed() == 0 && !life->keeper.store_failing());
+  assert(life->manager.pending_transfers() == 0 && !life->manager.store_failing());
   life.reset();
-  kept::Database db = Reading(outside);
-  assert(db.Count(kept::ParseCondition("class = pagamento", {}), Time(0)) >= 18);
+  dead_letter::Database db = Reading(outside);
+  assert(db.Count(dead_letter::ParseCondition("class = pagamento", {}), Time(0)) >= 18);
 }
 
 // A window that ends while a resend waits for a slot or a destination that is gone.
@@ -340,17 +348,17 @@
       if (!life->DoOne(Outcome::kOk, false)) life->Wait();
     }
     while (outside.effects["k"] == 0) life->DoOne(Outcome::kError, true);
-    ListNews news = site.config.known;
-    news.saved = false;
+    EndpointListUpdate news = site.config.cached_endpoint_list;
+    news.is_cached = false;
     news.revision += 1;
     if (gone) news.endpoints.clear();
-    if (gone) life->chain.route.Listed(news);
+    if (gone) life->chain.router.OnEndpointListUpdate(news);
     // Full from now on: it is turned away until the window is over.
-    Settle(*life, Outcome::kFull, false, 30);
+    Settle(*life, Outcome::kRejected, false, 30);
     Settle(*life, Outcome::kOk, false, 60);
     assert(outside.effects["k"] == 1);
     life.reset();
-    assert(Reading(outside).Count(kept::ParseCondition("state = held", {}), Time(0)) == 1);
+    assert(Reading(outside).Count(dead_letter::ParseCondition("state = held", {}), Time(0)) == 1);
   }
 }
 
@@ -358,37 +366,38 @@
 void AMessageThatEndedWithItsCallOutMayHaveRun() {
   const Folder folder;
   for (const bool again : {false, true}) {
-    Ledger ledger;
-    RealFileSystem files;
+    MessageTable ledger;
+    PosixFileSystem files;
     QuietJournalHost host;
     Logger log(LogOptions{LogFormat::kText, LogLevel::kError});
     const TestClock clock;
     JournalSettings settings;
     settings.folder = folder.path + "/journal";
-    settings.classes = {"aviso"};
+    settings.class_names = {"aviso"};
     SegmentJournal store(files, settings, ledger, clock, log, host);
     if (again) {
       const Message& m = *ledger.Find(1);
-      assert(m.kept_owed && m.may_have_run == Time(77));
-      assert(kept::FromMessage(m, "n0", "pagamento", 1).may_have_run == Moment({Time(77), Time(7), 9}));
+      assert(m.dead_letter_pending && m.first_uncertain_attempt == Time(77));
+      assert(dead_letter::FromMessage(m, "n0", "pagamento", 1).first_uncertain_attempt ==
+             Timestamp({Time(77), Time(7), 9}));
       break;
     }
     Message& m = ledger.Add([] {
       Message held;
       held.request.id = "p";
-      held.taken_at = Time(70);
+      held.accepted_at = Time(70);
       return held;
     }());
     const Message* one[] = {&m};
-    assert(store.Taken(one));
-    m.out = true;
+    assert(store.AppendAccepted(one));
+    m.is_in_flight = true;
     m.attempts = 1;
-    m.out_since = Time(77);
+    m.in_flight_since = Time(77);
     m.history.push_back({{Time(77), Time(7), 9}, "s-0", {}, Duration(0)});
-    store.Attempted(m);
-    m.kept_owed = true;
-    ledger.End(m, End::kFailed, Duration(0), Time(80));
-    store.Ended(m);
+    store.AppendAttempt(m);
+    m.dead_letter_pending = true;
+    ledger.Complete(m, FinalStatus::kFailed, Duration(0), Time(80));
+    store.AppendCompletion(m);
   }
 }
 
@@ -398,14 +407,14 @@
   const Site site(outside);
   auto life = std::make_unique<Life>(outside, site.config, site.settings);
   assert(life->Post("pagamento", "first"));
-  while (life->keeper.counters().kept == 0) {
+  while (life->manager.counters().kept == 0) {
     if (!life->DoOne(Outcome::kConnectFailed, false)) life->Wait();
   }
   while (life->calls.empty()) {  // until its resend is out
     if (!life->DoOne(Outcome::kConnectFailed, false)) life->Wait();
   }
   life->calls.clear();  // its answer never comes
-  life->jobs.fail = kept::JobError{kept::StoreError::Kind::kFull, "no space", false};
+  life->jobs.fail = dead_letter::JobError{dead_letter::StoreError::Kind::kFull, "no space", false};
   assert(life->Post("pagamento", "second"));
   Settle(*life, Outcome::kReset, true, 5);
   life = nullptr;
@@ -415,11 +424,11 @@
     life = nullptr;
   }
   assert(outside.calls["first"] <= 6 && outside.effects["first"] <= 1 && outside.effects["second"] == 1);
-  kept::Database db = Reading(outside);
-  assert(db.Count(kept::Condition(), Time(0)) == 2);
-  assert(db.Count(kept::ParseCondition("id = \"first\" and state = held and may_have_run", {}), Time(0)) ==
-         1);
-  assert(db.Count(kept::ParseCondition("id = \"second\" and state = delivered", {}), Time(0)) == 1);
+  dead_letter::Database db = Reading(outside);
+  assert(db.Count(dead_letter::Condition(), Time(0)) == 2);
+  assert(db.Count(dead_letter::ParseCondition("id = \"first\" and state = held and may_have_run", {}),
+                  Time(0)) == 1);
+  assert(db.Count(dead_letter::ParseCondition("id = \"second\" and state = delivered", {}), Time(0)) == 1);
 }
 
 }  // namespace
--- a/tests/dead_letter/kill_test.cpp
+++ b/tests/dead_letter/kill_test.cpp
@@ -47,11 +47,11 @@
   }
   Until(w.loop, [&] { return process->Port() != 0; });
   partner.menu = {kWell};
-  kept::Database::Settings settings;
+  dead_letter::Database::Settings settings;
   settings.path = w.folder.path + "/kept/kept.db";
   settings.read_only = true;
   const auto count = [&](const std::string& filter) {
-    return kept::Database(settings).Count(kept::ParseCondition(filter, {}), Time(0));
+    return dead_letter::Database(settings).Count(dead_letter::ParseCondition(filter, {}), Time(0));
   };
   int quiet = 0;
   std::size_t calls = 0;
@@ -65,14 +65,15 @@
   });
   const int status = process->End(SIGTERM);
   assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-  std::map<std::string, kept::KeptMessage> stored;
-  kept::Database(settings).ForEach(kept::Condition(), Time(0), false, [&](const kept::KeptMessage& k) {
-    assert(stored.emplace(k.request.id, k).second);
-    return true;
-  });
-  std::map<kept::State, int> states;
+  std::map<std::string, dead_letter::DeadLetter> stored;
+  dead_letter::Database(settings).ForEach(dead_letter::Condition(), Time(0), false,
+                                          [&](const dead_letter::DeadLetter& k) {
+                                            assert(stored.emplace(k.request.id, k).second);
+                                            return true;
+                                          });
+  std::map<dead_letter::DeadLetterState, int> states;
   std::map<std::string, int> grounds;
-  for (const auto& [name, k] : stored) ++grounds[k.ground];
+  for (const auto& [name, k] : stored) ++grounds[k.decision_reason];
   for (const auto& [ground, n] : grounds) std::printf("  ground '%s': %d\n", ground.c_str(), n);
   int lost = 0;
   const auto taken = clients.Taken();
@@ -82,17 +83,20 @@
     if (at == stored.end() && !delivered) std::fprintf(stderr, "lost: %s\n", name.c_str()), ++lost;
     if (at == stored.end()) continue;
     ++states[at->second.state];
-    assert(at->second.state == kept::State::kDelivered || at->second.state == kept::State::kHeld);
-    if (at->second.state == kept::State::kDelivered) assert(delivered);
+    assert(at->second.state == dead_letter::DeadLetterState::kDelivered ||
+           at->second.state == dead_letter::DeadLetterState::kHeld);
+    if (at->second.state == dead_letter::DeadLetterState::kDelivered) assert(delivered);
   }
   std::printf(
       "%d kills, %d handed in, %zu taken, %zu kept, %d delivered by resend, %d held; forbidden repeats %d, "
       "second copies %d, lost %d\n",
-      kills, clients.posted, taken.size(), stored.size(), states[kept::State::kDelivered],
-      states[kept::State::kHeld], partner.forbidden_repeats, partner.Broken("second copy"), lost);
+      kills, clients.posted, taken.size(), stored.size(), states[dead_letter::DeadLetterState::kDelivered],
+      states[dead_letter::DeadLetterState::kHeld], partner.forbidden_repeats, partner.Broken("second copy"),
+      lost);
   std::fflush(stdout);
   assert(lost == 0 && partner.forbidden_repeats == 0 && partner.Broken("too many attempts") == 0);
-  assert(taken.size() > static_cast<std::size_t>(kills) && states[kept::State::kDelivered] > 0);
+  assert(taken.size() > static_cast<std::size_t>(kills) &&
+         states[dead_letter::DeadLetterState::kDelivered] > 0);
 }
 
 }  // namespace
--- a/tests/dead_letter/partner.h
+++ b/tests/dead_letter/partner.h
@@ -17,18 +17,19 @@
 
 class Partner {
  public:
-  using Fault = lab::Fault;
+  using Fault = loadtest::Fault;
 
-  Partner(Loop& loop, std::uint64_t seed, Duration memory)
+  Partner(EventLoop& loop, std::uint64_t seed, Duration memory)
       : random_(seed),
-        partner_(loop, Settings(memory), timeline_, checker_, lab::Stream(seed, "partner"), lab::NowUs()),
+        partner_(loop, Settings(memory), timeline_, checker_, loadtest::Stream(seed, "partner"),
+                 loadtest::NowUs()),
         port(partner_.port()) {
-    partner_.identify = [this](const lab::Call& call) {
+    partner_.identify = [this](const loadtest::Call& call) {
       ++calls[call.body];
-      return lab::Identity{call.body, std::nullopt, KindOf(call.body), ""};
+      return loadtest::Identity{call.body, std::nullopt, KindOf(call.body), ""};
     };
-    partner_.decide = [this](const lab::Call&) {
-      lab::FaultSpan span;
+    partner_.decide = [this](const loadtest::Call&) {
+      loadtest::FaultSpan span;
       span.fault = menu[boost::random::uniform_int_distribution<std::size_t>(0, menu.size() - 1)(random_)];
       span.ms =
           span.fault == Fault::kFull ? 20 : 300;  // given up by the dispatcher, and run later all the same
@@ -47,7 +48,7 @@
   int most_out() const { return checker_.most_out(); }
   int Broken(const std::string& rule) const {
     int count = 0;
-    for (const lab::Finding& f : checker_.findings()) count += f.rule == rule ? 1 : 0;
+    for (const loadtest::Finding& f : checker_.findings()) count += f.rule == rule ? 1 : 0;
     return count;
   }
   std::int64_t dropped_repeats() const { return partner_.dropped_repeats; }
@@ -57,18 +58,20 @@
   int forbidden_repeats = 0;
 
  private:
-  static lab::PartnerSettings Settings(Duration memory) {
-    lab::PartnerSettings settings;
+  static loadtest::PartnerSettings Settings(Duration memory) {
+    loadtest::PartnerSettings settings;
     settings.key_memory_ms = static_cast<double>(memory / 1ms);
     return settings;
   }
-  static lab::Repeat KindOf(const std::string& name) {
-    return name[0] == 'p' ? lab::Repeat::kNever : name[0] == 'k' ? lab::Repeat::kKeyed : lab::Repeat::kFree;
+  static loadtest::Repeat KindOf(const std::string& name) {
+    return name[0] == 'p'   ? loadtest::Repeat::kNever
+           : name[0] == 'k' ? loadtest::Repeat::kKeyed
+                            : loadtest::Repeat::kFree;
   }
   boost::random::mt19937_64 random_;
-  const lab::Timeline timeline_;
-  lab::Checker checker_{lab::Rules{}};
-  lab::Partner partner_;
+  const loadtest::Timeline timeline_;
+  loadtest::Checker checker_{loadtest::Rules{}};
+  loadtest::Partner partner_;
 
  public:
   const std::uint16_t port;
@@ -77,12 +80,12 @@
 // Clients that hand in messages named KIND + number at a steady rate, and remember what they were answered.
 class Clients {
  public:
-  Clients(Loop& loop, std::function<std::uint16_t()> port, std::uint64_t seed)
+  Clients(EventLoop& loop, std::function<std::uint16_t()> port, std::uint64_t seed)
       : loop_(loop), port_(std::move(port)), random_(seed), next_(loop, [this] { Post(); }) {}
 
   void Start(Duration every) {
     every_ = every;
-    next_.After(Duration(0));
+    next_.Schedule(Duration(0));
   }
   void Pause() { next_.Stop(); }
   // Names answered with 202, and those of which the client can't know.
@@ -116,9 +119,9 @@
         {"X-Envelope", "dest=" + std::to_string(7 + posted % static_cast<int>(destinations))},
         {"Idempotency-Key", "key-" + name}};
     asks_[name] = std::make_unique<Ask>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
-    next_.After(every_);
+    next_.Schedule(every_);
   }
-  Loop& loop_;
+  EventLoop& loop_;
   std::function<std::uint16_t()> port_;
   boost::random::mt19937_64 random_;
   Duration every_{0};
