--- a/tests/dead_letter/redrive_node_test.cpp
+++ b/tests/dead_letter/redrive_node_test.cpp
@@ -24,31 +24,31 @@
     sockets = 1024;
     rate = 2000;
     kept.emplace();
-    kept->deferred = kept->resend_deferred = true;
+    kept->include_deferred = kept->redrive_deferred = true;
     kept->rules_path = folder.path + "/rules";
-    kept->slots_share = 0.4;
+    kept->concurrency_fraction = 0.4;
     kept->destination_rate = 2000;
-    kept->backoff = 50ms;
-    kept->backoff_most = 400ms;
+    kept->initial_backoff = 50ms;
+    kept->max_backoff = 400ms;
     Rules("");
   }
   void Rules(const std::string& text) { std::ofstream(folder.path + "/rules") << text; }
   void Reload() {
     dispatcher->Reload(ParseConfig(ConfigText(), [](const char*) { return nullptr; }));
   }
-  kept::Keeper& keeper() { return dispatcher->kept()->keeper(); }
-  std::unique_ptr<kept::Database> Open() const {
-    kept::Database::Settings settings;
+  dead_letter::DeadLetterManager& keeper() { return dispatcher->dead_letters()->keeper(); }
+  std::unique_ptr<dead_letter::Database> Open() const {
+    dead_letter::Database::Settings settings;
     settings.path = folder.path + "/kept/kept.db";
     settings.read_only = true;
-    return std::make_unique<kept::Database>(settings);
+    return std::make_unique<dead_letter::Database>(settings);
   }
   std::int64_t Count(const std::string& filter) const {
-    return Open()->Count(kept::ParseCondition(filter, {}), Time(0));
+    return Open()->Count(dead_letter::ParseCondition(filter, {}), Time(0));
   }
-  std::map<std::string, kept::KeptMessage> Stored() const {
-    std::map<std::string, kept::KeptMessage> all;
-    Open()->ForEach(kept::Condition(), Time(0), false, [&](const kept::KeptMessage& k) {
+  std::map<std::string, dead_letter::DeadLetter> Stored() const {
+    std::map<std::string, dead_letter::DeadLetter> all;
+    Open()->ForEach(dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& k) {
       return all.emplace(k.request.id, k).second;  // none stands twice
     });
     return all;
@@ -57,7 +57,7 @@
   void Rest() {
     Until(loop, [&] {
       RunFor(loop, 100ms);
-      return keeper().owed() == 0 && Count("state in {kept, claimed}") == 0;
+      return keeper().pending_transfers() == 0 && Count("state in {kept, claimed}") == 0;
     });
   }
   // Each message that was taken ended well, at once or by a resend, or is kept still.
@@ -66,14 +66,15 @@
     for (const std::string& name : clients.Taken()) {
       const auto at = stored.find(name);
       const bool live = partner.delivered.contains(name);
-      const bool resent = at != stored.end() && at->second.state == kept::State::kDelivered;
+      const bool resent = at != stored.end() && at->second.state == dead_letter::DeadLetterState::kDelivered;
       if (at == stored.end() && !live) std::fprintf(stderr, "lost: %s\n", name.c_str());
       assert(at != stored.end() || live);
       if (resent) assert(live);
       if (at != stored.end() && !resent) {
-        if (at->second.state != kept::State::kHeld)
-          std::fprintf(stderr, "%s\n", kept::ToJson(at->second, false).c_str());
-        assert(at->second.state == kept::State::kHeld && !at->second.ground.empty());
+        if (at->second.state != dead_letter::DeadLetterState::kHeld)
+          std::fprintf(stderr, "%s\n", dead_letter::ToJson(at->second, false).c_str());
+        assert(at->second.state == dead_letter::DeadLetterState::kHeld &&
+               !at->second.decision_reason.empty());
         assert(at->second.attempts == static_cast<int>(at->second.history.size()));
       }
     }
@@ -114,9 +115,9 @@
   std::map<std::string, int> grounds, reasons;
   int delivered = 0;
   for (const auto& [name, k] : stored) {
-    delivered += k.state == kept::State::kDelivered;
-    ++grounds[k.ground];
-    ++reasons[std::string(kept::Name(k.reason))];
+    delivered += k.state == dead_letter::DeadLetterState::kDelivered;
+    ++grounds[k.decision_reason];
+    ++reasons[std::string(dead_letter::Name(k.failure_reason))];
   }
   std::printf("kept %zu, delivered by resend %d, dropped as repeats by key %ld\n", stored.size(), delivered,
               w.partner.dropped_repeats());
--- a/tests/dead_letter/redrive_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -5,7 +5,7 @@
 #include "dead_letter/redrive_planner.h"
 #include "sample.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 using namespace std::chrono_literals;
@@ -19,9 +19,9 @@
       "rule rest: when attribute \"type\" = \"a \\\"b\\\"\" or destination in {3, 7..9} then hold;\n"
       "rule junk: when body_size > 4kb then drop;",
       kClasses);
-  assert(set.rules.size() == 3 && set.rules[0].then.resend.rate == 0.5 &&
-         set.rules[0].then.resend.times == 3);
-  assert(set.rules[0].then.resend.after == 30s && set.rules[2].when.values[0].from.number == 4096);
+  assert(set.rules.size() == 3 && set.rules[0].then.redrive.rate == 0.5 &&
+         set.rules[0].then.redrive.times == 3);
+  assert(set.rules[0].then.redrive.after == 30s && set.rules[2].when.values[0].from.number == 4096);
   assert(ParseCondition("not not class = aviso", kClasses) == ParseCondition("class = aviso", kClasses));
 
   const std::pair<const char*, const char*> table[] = {
@@ -72,16 +72,16 @@
     RuleSet again = ParseRules(text, kClasses);
     RC_ASSERT(again.rules.size() == set.rules.size());
     for (std::size_t i = 0; i < set.rules.size(); ++i) {
-      Resend& rate = again.rules[i].then.resend;
-      RC_ASSERT(std::abs(rate.rate - set.rules[i].then.resend.rate) < 1e-9);
-      rate.rate = set.rules[i].then.resend.rate;
+      RedriveAction& rate = again.rules[i].then.redrive;
+      RC_ASSERT(std::abs(rate.rate - set.rules[i].then.redrive.rate) < 1e-9);
+      rate.rate = set.rules[i].then.redrive.rate;
     }
     RC_ASSERT(again == set);
   }));
 }
 
 void TheNextChangeIsNeverPassed() {
-  assert(rc::check("nothing changes before", [](const RuleSet& printed, const KeptMessage& k) {
+  assert(rc::check("nothing changes before", [](const RuleSet& printed, const DeadLetter& k) {
     const RuleSet set = ParseRules(Print(printed), kClasses);
     const Time now = k.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100'000'000));
     const Time next = NextChange(set, k, now).value_or(now + 400s);
@@ -96,62 +96,67 @@
   ReviewSettings site;
   site.class_names = kClasses;
   site.classes.resize(3);
-  site.classes[0].effect = Effect::kSafe;
-  site.classes[1].effect = Effect::kKeyed;
-  site.classes[1].repeat_window = 10s;
-  site.classes[2].effect = Effect::kUnsafe;
-  site.judge = {6, true};
+  site.classes[0].idempotency = Idempotency::kIdempotent;
+  site.classes[1].idempotency = Idempotency::kIdempotentWithKey;
+  site.classes[1].deduplication_window = 10s;
+  site.classes[2].idempotency = Idempotency::kNotIdempotent;
+  site.policy = {6, true};
   return site;
 }
 
-KeptMessage Failed(const char* name, int attempts, bool may_have_run, Moment first = {100s, 50s, 9}) {
-  KeptMessage k;
+DeadLetter Failed(const char* name, int attempts, bool may_have_run, Timestamp first = {100s, 50s, 9}) {
+  DeadLetter k;
   k.class_name = name;
-  k.request.key = "key";
-  k.end = End::kFailed;
+  k.request.idempotency_key = "key";
+  k.final_status = FinalStatus::kFailed;
   k.attempts = attempts;
-  k.ended_at = first.wall;
-  if (may_have_run) k.may_have_run = first;
+  k.ended_at = first.wall_time;
+  if (may_have_run) k.first_uncertain_attempt = first;
   return k;
 }
 
 void TheJudgeForbidsWhatCouldLandTwice() {
   const ReviewSettings site = Site();
-  const auto ground = [&](KeptMessage k, Moment now, bool resend_deferred = true) {
-    JudgeSettings settings = site.judge;
-    settings.resend_deferred = resend_deferred;
-    return Judge(k, site.Class(k.class_name), settings, now).ground;
+  const auto ground = [&](DeadLetter k, Timestamp now, bool resend_deferred = true) {
+    RedrivePolicySettings settings = site.policy;
+    settings.redrive_deferred = resend_deferred;
+    return DecideRedrive(k, site.Class(k.class_name), settings, now).reason;
   };
-  const Moment soon{102s, 52s, 9};
-  assert(ground(Failed("pagamento", 1, true), soon) == Ground::kMayHaveRun);
-  assert(ground(Failed("pagamento", 1, false), soon) == Ground::kNone);
-  assert(ground(Failed("aviso", 5, true), soon) == Ground::kNone);
-  assert(ground(Failed("aviso", 6, true), soon) == Ground::kAttemptsUsedUp);
-  assert(ground(Failed("pedido", 1, true), soon) == Ground::kNone);
-  assert(ground(Failed("gone", 0, false), soon) == Ground::kClassUnknown);
-  const Judgement within = Judge(Failed("pedido", 1, true), &site.classes[1], site.judge, soon);
-  assert(within.latest == Time(110s) - kWindowMargin);
-  assert(ground(Failed("pedido", 1, true), {110s, 60s, 9}) == Ground::kRepeatWindowOver);
-  assert(ground(Failed("pedido", 1, true), {109800ms, 59800ms, 9}) == Ground::kRepeatWindowOver);
+  const Timestamp soon{102s, 52s, 9};
+  assert(ground(Failed("pagamento", 1, true), soon) == DecisionReason::kMayHaveTakenEffect);
+  assert(ground(Failed("pagamento", 1, false), soon) == DecisionReason::kNone);
+  assert(ground(Failed("aviso", 5, true), soon) == DecisionReason::kNone);
+  assert(ground(Failed("aviso", 6, true), soon) == DecisionReason::kAttemptsExhausted);
+  assert(ground(Failed("pedido", 1, true), soon) == DecisionReason::kNone);
+  assert(ground(Failed("gone", 0, false), soon) == DecisionReason::kClassUnknown);
+  const RedriveDecisionResult within =
+      DecideRedrive(Failed("pedido", 1, true), &site.classes[1], site.policy, soon);
+  assert(within.latest_send_time == Time(110s) - kWindowMargin);
+  assert(ground(Failed("pedido", 1, true), {110s, 60s, 9}) == DecisionReason::kDeduplicationWindowExpired);
+  assert(ground(Failed("pedido", 1, true), {109800ms, 59800ms, 9}) ==
+         DecisionReason::kDeduplicationWindowExpired);
   // The wall clock was set back by 8 s, or forwards; the machine's own count knows.
-  assert(ground(Failed("pedido", 1, true), {103s, 61s, 9}) == Ground::kRepeatWindowOver);
-  assert(ground(Failed("pedido", 1, true), {111s, 52s, 9}) == Ground::kRepeatWindowOver);
+  assert(ground(Failed("pedido", 1, true), {103s, 61s, 9}) == DecisionReason::kDeduplicationWindowExpired);
+  assert(ground(Failed("pedido", 1, true), {111s, 52s, 9}) == DecisionReason::kDeduplicationWindowExpired);
   assert(ground(Failed("pedido", 1, true), {102s, 2s, 8}) ==
-         Ground::kClockUnsure);  // the machine started anew
-  assert(ground(Failed("pedido", 1, true), {102s, 49s, 9}) == Ground::kClockUnsure);
-  assert(ground(Failed("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) == Ground::kClockUnsure);
-  KeptMessage k = Failed("pedido", 1, true);
-  k.request.key.clear();
-  assert(ground(k, soon) == Ground::kNoKey);
+         DecisionReason::kClockUncertain);  // the machine started anew
+  assert(ground(Failed("pedido", 1, true), {102s, 49s, 9}) == DecisionReason::kClockUncertain);
+  assert(ground(Failed("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) ==
+         DecisionReason::kClockUncertain);
+  DeadLetter k = Failed("pedido", 1, true);
+  k.request.idempotency_key.clear();
+  assert(ground(k, soon) == DecisionReason::kNoKey);
   k = Failed("pedido", 0, false);
-  k.end = End::kRefused;
-  assert(ground(k, soon) == Ground::kNone && ground(k, soon, false) == Ground::kClientMayHandInAgain);
-  for (const State state : {State::kDelivered, State::kDropped, State::kHandedInAgain}) {
+  k.final_status = FinalStatus::kRejected;
+  assert(ground(k, soon) == DecisionReason::kNone &&
+         ground(k, soon, false) == DecisionReason::kClientMayRetry);
+  for (const DeadLetterState state :
+       {DeadLetterState::kDelivered, DeadLetterState::kDropped, DeadLetterState::kResubmitted}) {
     k.state = state;
-    assert(ground(k, soon) == Ground::kOver);
+    assert(ground(k, soon) == DecisionReason::kExpired);
   }
-  k.state = State::kClaimed;
-  assert(Judge(k, &site.classes[1], site.judge, soon).ruling == Ruling::kNotYet);
+  k.state = DeadLetterState::kClaimed;
+  assert(DecideRedrive(k, &site.classes[1], site.policy, soon).decision == RedriveDecision::kRetryLater);
 }
 
 // Whatever the clocks do, an allowed resend that ends by `latest` ends inside the true window.
@@ -160,29 +165,30 @@
     const ReviewSettings site = Site();
     const auto elapsed = Duration(*rc::gen::inRange<std::int64_t>(0, 15'000'000));
     const auto step = Duration(*rc::gen::inRange<std::int64_t>(-12'000'000, 12'000'000));
-    const Moment first{Time(1000s), Time(500s), 9};
-    Moment now{first.wall + elapsed + step, first.steady + elapsed, 9};
-    if (rebooted) now = {now.wall, Time(*rc::gen::inRange<std::int64_t>(0, 900'000'000)), 10};
-    const Judgement judgement = Judge(Failed("pedido", 1, true, first), &site.classes[1], site.judge, now);
-    if (rebooted) RC_ASSERT(judgement.ruling == Ruling::kForbidden);
-    if (judgement.ruling != Ruling::kAllowed) return;
-    const Duration call = *judgement.latest - now.wall;
-    RC_ASSERT(call >= kLeastCall && elapsed + call <= 10s);
+    const Timestamp first{Time(1000s), Time(500s), 9};
+    Timestamp now{first.wall_time + elapsed + step, first.steady_time + elapsed, 9};
+    if (rebooted) now = {now.wall_time, Time(*rc::gen::inRange<std::int64_t>(0, 900'000'000)), 10};
+    const RedriveDecisionResult judgement =
+        DecideRedrive(Failed("pedido", 1, true, first), &site.classes[1], site.policy, now);
+    if (rebooted) RC_ASSERT(judgement.decision == RedriveDecision::kForbidden);
+    if (judgement.decision != RedriveDecision::kAllowed) return;
+    const Duration call = *judgement.latest_send_time - now.wall_time;
+    RC_ASSERT(call >= kMinCallTime && elapsed + call <= 10s);
   }));
 }
 
 void NoRuleOverridesTheJudge() {
-  assert(rc::check("forbidden stays forbidden", [](const RuleSet& printed, KeptMessage k) {
+  assert(rc::check("forbidden stays forbidden", [](const RuleSet& printed, DeadLetter k) {
     const RuleSet set = ParseRules(Print(printed), kClasses);
     const ReviewSettings site = Site();
-    const Moment now{k.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 20'000'000)), Time(20s), 9};
-    k.by_hand = *rc::gen::arbitrary<bool>();
+    const Timestamp now{k.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 20'000'000)), Time(20s), 9};
+    k.requested_by_operator = *rc::gen::arbitrary<bool>();
     const Review review = ReviewOf(k, set, site, now);
-    const Judgement judgement = Judge(k, site.Class(k.class_name), site.judge, now);
-    if (review.kind != Review::Kind::kSend) return;
-    RC_ASSERT(judgement.ruling == Ruling::kAllowed && k.attempts < 6);
-    RC_ASSERT(!judgement.latest || review.deadline <= *judgement.latest);
-    RC_ASSERT(!(k.class_name == "pagamento" && k.may_have_run));
+    const RedriveDecisionResult judgement = DecideRedrive(k, site.Class(k.class_name), site.policy, now);
+    if (review.kind != Review::Kind::kRedrive) return;
+    RC_ASSERT(judgement.decision == RedriveDecision::kAllowed && k.attempts < 6);
+    RC_ASSERT(!judgement.latest_send_time || review.deadline <= *judgement.latest_send_time);
+    RC_ASSERT(!(k.class_name == "pagamento" && k.first_uncertain_attempt));
   }));
 }
 
@@ -190,13 +196,13 @@
 
 void ThePlannerKeepsItsLimits() {
   assert(rc::check("against a plain count", [] {
-    ResendPlanner::Limits limits;
-    limits.slots = *rc::gen::inRange(1, 40);
-    limits.most_held = 200;
-    limits.slots_share = *rc::gen::element(0.05, 0.25, 1.0);
+    RedrivePlanner::Limits limits;
+    limits.max_concurrent_calls = *rc::gen::inRange(1, 40);
+    limits.max_pending_messages = 200;
+    limits.concurrency_fraction = *rc::gen::element(0.05, 0.25, 1.0);
     limits.destination_rate = 5;
-    ResendPlanner planner(limits, 1, Time(0));
-    Resend resend;
+    RedrivePlanner planner(limits, 1, Time(0));
+    RedriveAction resend;
     resend.rate = *rc::gen::inRange(1, 20);
     resend.after = *rc::gen::element<Duration>(0s, 2s);
     Time now(0);
@@ -212,30 +218,33 @@
         case 0:
           if (out[d] == 0) break;
           --out[d], --all;
-          planner.Ended(d, *rc::gen::arbitrary<bool>(), now);
+          planner.OnMessageCompleted(d, *rc::gen::arbitrary<bool>(), now);
           break;
         case 1:
           failed[d] = now;
           wait[d] = std::max(wait[d], now + 300ms);
-          planner.CallEnded(d, Outcome::kFull, 300ms, now);
+          planner.OnCallCompleted(d, Outcome::kRejected, 300ms, now);
           break;
         default: {
           const bool up = *rc::gen::inRange(0, 10) > 0;
-          const ResendPlanner::Load load{*rc::gen::inRange(0, limits.slots + 1), *rc::gen::inRange(0, 201)};
-          const auto grant = planner.Ask("r", resend, d, up, load, now);
+          const RedrivePlanner::Load load{*rc::gen::inRange(0, limits.max_concurrent_calls + 1),
+                                          *rc::gen::inRange(0, 201)};
+          const auto grant = planner.RequestGrant("r", resend, d, up, load, now);
           if (!grant.granted()) {
-            RC_ASSERT(grant.again >= now);
+            RC_ASSERT(grant.retry_after >= now);
             break;
           }
-          RC_ASSERT(up && load.held < limits.most_held && load.calls_out < limits.slots);
+          RC_ASSERT(up && load.pending_messages < limits.max_pending_messages &&
+                    load.calls_in_flight < limits.max_concurrent_calls);
           RC_ASSERT(now >= wait[d] && (!failed.contains(d) || now >= failed[d] + resend.after));
           ++out[d], ++all;
           granted[d].push_back(now);
           by_rule.push_back(now);
         }
       }
-      RC_ASSERT(all == planner.out() && all <= planner.MostOut());
-      RC_ASSERT(planner.MostOut() <= std::max(1.0, limits.slots_share * limits.slots));
+      RC_ASSERT(all == planner.in_flight_count() && all <= planner.MaxInFlight());
+      RC_ASSERT(planner.MaxInFlight() <=
+                std::max(1.0, limits.concurrency_fraction * limits.max_concurrent_calls));
     }
     // A bucket of one second's worth: never more than that and the rate over any stretch.
     const auto fits = [](const std::vector<Time>& times, double rate) {
@@ -254,8 +263,8 @@
 
 // Back for 3 s and down again: the second time it is left alone for longer, one resend at a time.
 void APartnerThatFailsAgainIsLeftAlone() {
-  ResendPlanner planner({100, 1000, 0.5, 0.5, 100, 1s, 60s}, 1, Time(0));
-  Resend resend;
+  RedrivePlanner planner({100, 1000, 0.5, 0.5, 100, 1s, 60s}, 1, Time(0));
+  RedriveAction resend;
   resend.rate = 1000;
   resend.after = 1s;
   std::vector<Duration> rests;
@@ -263,24 +272,24 @@
   for (int round = 0; round < 3; ++round) {
     int sent = 0;
     for (const Time end = now + 3s; now < end; now += 100ms) {
-      if (!planner.Ask("r", resend, 7, true, {}, now).granted()) continue;
+      if (!planner.RequestGrant("r", resend, 7, true, {}, now).granted()) continue;
       ++sent;
-      planner.Ended(7, true, now + 50ms);
+      planner.OnMessageCompleted(7, true, now + 50ms);
     }
     assert(sent > 5);
     now += 100ms;
     int at_once = 0;
-    while (planner.Ask("r", resend, 7, true, {}, now).granted()) ++at_once;
+    while (planner.RequestGrant("r", resend, 7, true, {}, now).granted()) ++at_once;
     assert(at_once > 1);  // it had gained trust
     for (int i = 0; i < at_once; ++i) {
-      planner.CallEnded(7, Outcome::kTimeout, 0s, now);
-      planner.Ended(7, false, now);
+      planner.OnCallCompleted(7, Outcome::kTimeout, 0s, now);
+      planner.OnMessageCompleted(7, false, now);
     }
     const Time down = now;
-    while (!planner.Ask("r", resend, 7, true, {}, now).granted()) now += 100ms;
+    while (!planner.RequestGrant("r", resend, 7, true, {}, now).granted()) now += 100ms;
     rests.push_back(now - down);
-    assert(!planner.Ask("r", resend, 7, true, {}, now).granted());  // and is tried with one alone
-    planner.Ended(7, true, now);
+    assert(!planner.RequestGrant("r", resend, 7, true, {}, now).granted());  // and is tried with one alone
+    planner.OnMessageCompleted(7, true, now);
   }
   assert(rests[0] >= 1s && rests[1] > rests[0]);
 }
@@ -308,23 +317,23 @@
   for (const auto& [line, expected] : table) {
     std::string said;
     try {
-      ReadOperation(line, kClasses);
+      ParseOperatorRequest(line, kClasses);
     } catch (const std::exception& error) {
       said = error.what();
     }
     if (said.find(expected) == said.npos) std::fprintf(stderr, "%s: said %s\n", line, said.c_str());
     assert(said.find(expected) != said.npos);
   }
-  const Operation good =
-      ReadOperation(R"({"v":1,"op":"list","filter":"class = aviso","after":"a/b/7","limit":3})", kClasses);
-  assert(good.limit == 3 && good.after == Id({"a/b", 7}) && !good.Writes());
+  const OperatorRequest good = ParseOperatorRequest(
+      R"({"v":1,"op":"list","filter":"class = aviso","after":"a/b/7","limit":3})", kClasses);
+  assert(good.limit == 3 && good.after == DeadLetterId({"a/b", 7}) && !good.IsWrite());
 }
 
 }  // namespace
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 int main() {
-  using namespace sagetally::kept;
+  using namespace sagetally::dead_letter;
   RulesAreReadAndErrorsNameThePlace();
   ReadingWhatWasPrintedGivesTheSame();
   TheNextChangeIsNeverPassed();
--- a/tests/dead_letter/sample.h
+++ b/tests/dead_letter/sample.h
@@ -11,7 +11,7 @@
 
 #include "dead_letter/redrive_rules.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 
 inline const std::vector<std::string> kClasses = {"aviso", "pedido", "pagamento"};
 
@@ -19,33 +19,33 @@
   return rc::gen::container<std::string>(rc::gen::elementOf(std::string("abc\"\\' %_{}().;#")));
 }
 
-inline rc::Gen<KeptMessage> MessageGen() {
+inline rc::Gen<DeadLetter> MessageGen() {
   return rc::gen::exec([] {
-    KeptMessage k;
+    DeadLetter k;
     k.id = {"n0", *rc::gen::inRange<std::uint64_t>(1, 1'000'000'000)};
     k.class_name = *rc::gen::elementOf(kClasses);
     k.request.id = *TextGen();
-    k.request.key = *TextGen();
+    k.request.idempotency_key = *TextGen();
     k.request.destination = *rc::gen::inRange(0, 9);
     for (const char* name : {"source", "type"}) {
       if (*rc::gen::arbitrary<bool>()) k.request.attributes[name] = *TextGen();
     }
     k.body_size = static_cast<std::size_t>(*rc::gen::inRange(0, 5000));
-    k.taken_at = Time(*rc::gen::inRange<std::int64_t>(0, 100)) * 1'000'000;
-    k.ended_at = k.taken_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100) * 500'000);
-    k.end = *rc::gen::element(End::kFailed, End::kRefused);
-    k.reason = static_cast<Reason>(*rc::gen::inRange(1, 10));
-    k.state = static_cast<State>(*rc::gen::inRange(0, kStates));
+    k.accepted_at = Time(*rc::gen::inRange<std::int64_t>(0, 100)) * 1'000'000;
+    k.ended_at = k.accepted_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100) * 500'000);
+    k.final_status = *rc::gen::element(FinalStatus::kFailed, FinalStatus::kRejected);
+    k.failure_reason = static_cast<FailureReason>(*rc::gen::inRange(1, 10));
+    k.state = static_cast<DeadLetterState>(*rc::gen::inRange(0, kStates));
     k.attempts = *rc::gen::inRange(0, 7);
-    k.resends = *rc::gen::inRange(0, 4);
+    k.redrives = *rc::gen::inRange(0, 4);
     for (int i = 0; i < k.attempts; ++i) {
-      AttemptNote note;
-      note.sent = {k.taken_at + Duration(i), Time(i + 1), 9};
+      AttemptRecord note;
+      note.sent_at = {k.accepted_at + Duration(i), Time(i + 1), 9};
       note.endpoint = "s-" + std::to_string(i);
       if (*rc::gen::arbitrary<bool>()) note.outcome = static_cast<Outcome>(*rc::gen::inRange(0, 8));
       k.history.push_back(note);
     }
-    if (k.attempts > 0 && *rc::gen::arbitrary<bool>()) k.may_have_run = k.history.front().sent;
+    if (k.attempts > 0 && *rc::gen::arbitrary<bool>()) k.first_uncertain_attempt = k.history.front().sent_at;
     return k;
   });
 }
@@ -152,9 +152,10 @@
       Rule rule;
       rule.name = "r" + std::to_string(i);
       rule.when = *ConditionGen();
-      rule.then.kind = *rc::gen::element(Action::Kind::kResend, Action::Kind::kHold, Action::Kind::kDrop);
-      if (rule.then.kind == Action::Kind::kResend) {
-        Resend& r = rule.then.resend;
+      rule.then.kind =
+          *rc::gen::element(RuleAction::Kind::kRedrive, RuleAction::Kind::kHold, RuleAction::Kind::kDrop);
+      if (rule.then.kind == RuleAction::Kind::kRedrive) {
+        RedriveAction& r = rule.then.redrive;
         r.rate = *rc::gen::inRange(1, 500) / *rc::gen::element(1.0, 60.0, 3600.0, 86400.0);
         r.times = *rc::gen::inRange(1, 1001);
         r.window = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000'000));
@@ -167,20 +168,20 @@
   });
 }
 
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 namespace rc {
 template <>
-struct Arbitrary<sagetally::kept::KeptMessage> {
-  static Gen<sagetally::kept::KeptMessage> arbitrary() { return sagetally::kept::MessageGen(); }
+struct Arbitrary<sagetally::dead_letter::DeadLetter> {
+  static Gen<sagetally::dead_letter::DeadLetter> arbitrary() { return sagetally::dead_letter::MessageGen(); }
 };
 template <>
-struct Arbitrary<sagetally::kept::RuleSet> {
-  static Gen<sagetally::kept::RuleSet> arbitrary() { return sagetally::kept::RuleSetGen(); }
+struct Arbitrary<sagetally::dead_letter::RuleSet> {
+  static Gen<sagetally::dead_letter::RuleSet> arbitrary() { return sagetally::dead_letter::RuleSetGen(); }
 };
 template <>
-struct Arbitrary<sagetally::kept::Condition> {
-  static Gen<sagetally::kept::Condition> arbitrary() { return sagetally::kept::ConditionGen(); }
+struct Arbitrary<sagetally::dead_letter::Condition> {
+  static Gen<sagetally::dead_letter::Condition> arbitrary() { return sagetally::dead_letter::ConditionGen(); }
 };
 }  // namespace rc
 
--- a/tests/dead_letter/store_test.cpp
+++ b/tests/dead_letter/store_test.cpp
@@ -10,30 +10,30 @@
 #include "dead_letter/storage/worker.h"
 #include "sample.h"
 
-namespace sagetally::kept {
+namespace sagetally::dead_letter {
 namespace {
 
 Database::Settings At(const Folder& folder) {
   Database::Settings settings;
   settings.path = folder.path + "/kept.db";
-  settings.age = std::chrono::hours(100'000'000 / 3600);
+  settings.max_age = std::chrono::hours(100'000'000 / 3600);
   return settings;
 }
 
-KeptMessage Plain(std::uint64_t number, const std::string& name = "aviso", std::size_t body = 10) {
-  KeptMessage k;
+DeadLetter Plain(std::uint64_t number, const std::string& name = "aviso", std::size_t body = 10) {
+  DeadLetter k;
   k.id = {"n0", number};
   k.class_name = name;
   k.request.id = "m" + std::to_string(number);
   k.request.body = std::string(body, 'b');
   k.body_size = body;
-  k.end = End::kFailed;
+  k.final_status = FinalStatus::kFailed;
   k.ended_at = Time(static_cast<std::int64_t>(number));
   return k;
 }
 
 void SqlAndMatchesFindTheSame() {
-  assert(rc::check("filters", [](const std::vector<KeptMessage>& messages, const Condition& printed) {
+  assert(rc::check("filters", [](const std::vector<DeadLetter>& messages, const Condition& printed) {
     const Folder folder;
     Database::Settings settings = At(folder);
     settings.scan_first = *rc::gen::inRange(0, 5);  // rows first, then the index
@@ -43,71 +43,71 @@
     std::vector<Database::Entry> entries;
     std::size_t expected = 0;
     std::uint64_t number = 0;
-    for (KeptMessage k : messages) {
+    for (DeadLetter k : messages) {
       k.id.number = ++number;
       entries.push_back({k, false, Time(0), 0});
       expected += Matches(filter, k, now);
     }
-    db.Keep(entries);
+    db.Store(entries);
     const Database::Page page = db.List(filter, now, std::nullopt, 1000);
     RC_ASSERT(page.messages.size() == expected);
     RC_ASSERT(db.Count(filter, now) == static_cast<std::int64_t>(expected));
-    for (const KeptMessage& k : page.messages) RC_ASSERT(Matches(filter, k, now));
+    for (const DeadLetter& k : page.messages) RC_ASSERT(Matches(filter, k, now));
   }));
 }
 
 void WhatIsKeptIsReadAsItWas() {
   const Folder folder;
   Database db(At(folder));
-  KeptMessage k = Plain(7);
+  DeadLetter k = Plain(7);
   k.request.body = std::string("\0\xff\r\n", 4);
   k.body_size = 4;
-  k.request.form = Form::kEvent;
+  k.request.protocol = IngressProtocol::kCloudEvents;
   k.request.attributes = {{"source", "/shop"}, {"type", "order"}};
-  k.history = {{{Time(5), Time(6), 7}, "s-1", Outcome::kFull, std::chrono::milliseconds(250)},
+  k.history = {{{Time(5), Time(6), 7}, "s-1", Outcome::kRejected, std::chrono::milliseconds(250)},
                {{Time(8), Time(9), 7}, "s-2", std::nullopt, Duration(0)}};
   k.attempts = 2;
-  k.may_have_run = k.history[1].sent;
-  k.may_have_run_at = "s-2";
+  k.first_uncertain_attempt = k.history[1].sent_at;
+  k.first_uncertain_endpoint = "s-2";
   const Database::Entry entry{k, false, Time(0), 5};
-  db.Keep({entry});
-  db.Keep({entry});  // twice is once
+  db.Store({entry});
+  db.Store({entry});  // twice is once
   assert(db.Count(Condition(), Time(0)) == 1 && db.Show(k.id, true) == k);
   struct stat mode {};
   assert(::stat((folder.path + "/kept.db").c_str(), &mode) == 0 && (mode.st_mode & 0777) == 0600);
   // The same number for another message: the clock was set back while the journal was empty.
-  KeptMessage other = Plain(7);
+  DeadLetter other = Plain(7);
   other.ended_at = Time(99);
-  db.Keep({{other, false, Time(0), 0}});
+  db.Store({{other, false, Time(0), 0}});
   assert(db.Count(Condition(), Time(0)) == 2 && db.HighestNumber("n0") == 8);
 }
 
 void OnlyOneResendIsUnderWayAndItsResultCountsOnce() {
   const Folder folder;
   Database db(At(folder));
-  db.Keep({{Plain(1), false, Time(0), 11}});
-  std::optional<KeptMessage> claimed = db.Claim({"n0", 1}, "r");
+  db.Store({{Plain(1), false, Time(0), 11}});
+  std::optional<DeadLetter> claimed = db.Claim({"n0", 1}, "r");
   assert(claimed && claimed->request.body.size() == 10 && !db.Claim({"n0", 1}, "r"));
-  assert(db.HandedInAgain(11, 2) == 0);  // too late: it is being sent
-  KeptMessage result = *claimed;
+  assert(db.MarkResubmitted(11, 2) == 0);  // too late: it is being sent
+  DeadLetter result = *claimed;
   result.attempts = 2;
   result.history.resize(2);
-  result.end = End::kRefused;
-  for (int i = 0; i < 2; ++i) db.Keep({{result, true, Time(500), 11}});  // told twice
-  const KeptMessage after = *db.Show({"n0", 1}, false);
-  assert(after.state == State::kKept && after.resends == 1 && after.attempts == 2 &&
-         after.end == End::kFailed);
+  result.final_status = FinalStatus::kRejected;
+  for (int i = 0; i < 2; ++i) db.Store({{result, true, Time(500), 11}});  // told twice
+  const DeadLetter after = *db.Show({"n0", 1}, false);
+  assert(after.state == DeadLetterState::kStored && after.redrives == 1 && after.attempts == 2 &&
+         after.final_status == FinalStatus::kFailed);
   assert(after.not_before == Time(500));
-  assert(db.HandedInAgain(11, 1) == 0 && db.HandedInAgain(11, 2) == 1);  // only by a later message
+  assert(db.MarkResubmitted(11, 1) == 0 && db.MarkResubmitted(11, 2) == 1);  // only by a later message
   assert(!db.Claim({"n0", 1}, "r"));
   // Claimed by a process that died before its journal knew.
-  db.Keep({{Plain(2), false, Time(0), 0}, {Plain(3), false, Time(0), 0}});
+  db.Store({{Plain(2), false, Time(0), 0}, {Plain(3), false, Time(0), 0}});
   assert(db.Claim({"n0", 2}, "r") && db.Claim({"n0", 3}, "r"));
   assert(db.Reconcile({{"n0", 2}}, false, Time(9)) == 1);
-  assert(db.Show({"n0", 2}, false)->state == State::kClaimed &&
-         db.Show({"n0", 3}, false)->state == State::kKept);
+  assert(db.Show({"n0", 2}, false)->state == DeadLetterState::kClaimed &&
+         db.Show({"n0", 3}, false)->state == DeadLetterState::kStored);
   assert(db.Reconcile({}, true, Time(9)) == 1 &&
-         db.Show({"n0", 2}, false)->may_have_run);  // the journal is gone
+         db.Show({"n0", 2}, false)->first_uncertain_attempt);  // the journal is gone
 }
 
 void EvictionTakesTheLeastWorthAndTheOldest() {
@@ -117,13 +117,13 @@
   Database db(settings);
   std::vector<Database::Entry> entries;
   for (std::uint64_t n = 1; n <= 300; ++n) {
-    KeptMessage k = Plain(n, n % 3 == 0 ? "pagamento" : "aviso", 10'000);
-    k.worth = n % 3 == 0 ? 5 : 1;
+    DeadLetter k = Plain(n, n % 3 == 0 ? "pagamento" : "aviso", 10'000);
+    k.priority_weight = n % 3 == 0 ? 5 : 1;
     entries.push_back({k, false, Time(0), 0});
   }
   for (std::size_t i = 0; i < entries.size(); i += 20) {
-    db.Keep({entries.begin() + static_cast<std::ptrdiff_t>(i),
-             entries.begin() + static_cast<std::ptrdiff_t>(i + 20)});
+    db.Store({entries.begin() + static_cast<std::ptrdiff_t>(i),
+              entries.begin() + static_cast<std::ptrdiff_t>(i + 20)});
     db.Evict(Time(1000));
     assert(db.UsedBytes() <= 2'100'000);
   }
@@ -132,7 +132,7 @@
       db.List(ParseCondition("class = aviso", kClasses), Time(0), std::nullopt, 1000).messages;
   assert(!avisos.empty() && avisos.size() < 120 && avisos.back().id.number == 299);
   for (std::size_t i = 1; i < avisos.size(); ++i) assert(avisos[i].id.number - avisos[i - 1].id.number <= 2);
-  settings.age = std::chrono::microseconds(100);
+  settings.max_age = std::chrono::microseconds(100);
   const Database::Evicted by_age = Database(settings).Evict(Time(350));
   assert(by_age.by_age > 0 && by_age.messages == 0);
 }
@@ -142,30 +142,31 @@
   Database db(At(folder));
   std::vector<Database::Entry> entries;
   for (std::uint64_t n = 1; n <= 40; ++n) entries.push_back({Plain(n), false, Time(0), 0});
-  db.Keep(entries);
+  db.Store(entries);
   ReviewSettings site;
   site.class_names = {"aviso"};
   site.classes.resize(1);
-  site.classes[0].effect = Effect::kSafe;
-  site.judge.max_attempts = 6;
+  site.classes[0].idempotency = Idempotency::kIdempotent;
+  site.policy.max_attempts = 6;
   const RuleSet slow = ParseRules("rule a: when true then resend rate 10/s;", {});
   const std::int64_t first = db.Generation(1);
-  const Moment now{Time(1'000'000), Time(1), 1};
+  const Timestamp now{Time(1'000'000), Time(1), 1};
   std::map<std::string, Database::Pace> paces;
   assert(db.Due(slow, site, first, now, {}, 5, paces).list.size() == 5);
   assert(db.Due(slow, site, first, now, {0}, 5, paces).list.empty());  // its destination can't take any
-  paces["a"].bound_until = now.wall + std::chrono::seconds(1);
+  paces["a"].bound_until = now.wall_time + std::chrono::seconds(1);
   Database::Candidates due = db.Due(slow, site, first, now, {}, 5, paces);
   assert(due.list.empty() && due.next == paces["a"].bound_until);
-  assert(paces["a"].spread == now.wall + std::chrono::seconds(5));  // 40 of them, 10 a second
-  const Moment later{now.wall + std::chrono::milliseconds(1450), Time(2), 1};
+  assert(paces["a"].spread == now.wall_time + std::chrono::seconds(5));  // 40 of them, 10 a second
+  const Timestamp later{now.wall_time + std::chrono::milliseconds(1450), Time(2), 1};
   paces.clear();
   assert(db.Due(slow, site, first, later, {}, 50, paces).list.size() == 5);
   // Another file: what the old one held is looked at anew; what an operator holds is not.
   const RuleSet hold = ParseRules("rule h: when destination = 0 then hold;", {});
   assert(db.Generation(1) == first && db.Generation(2) == first + 1);
   assert(db.Due(hold, site, first + 1, later, {}, 50, paces).held == 40);
-  db.Act(Action::Kind::kHold, ParseCondition("id = \"m1\"", {}), site, later, 0, 100, false);
+  db.ApplyOperatorAction(RuleAction::Kind::kHold, ParseCondition("id = \"m1\"", {}), site, later, 0, 100,
+                         false);
   assert(db.Generation(3) == first + 2);
   assert(db.Due(slow, site, first + 2, later, {}, 50, paces).list.size() == 39);
 }
@@ -186,7 +187,7 @@
   {
     Database db(At(folder));
     assert(db.Show({"n0", 5}, true)->request.body == "x");
-    db.Keep({{Plain(6), false, Time(0), 3}});
+    db.Store({{Plain(6), false, Time(0), 3}});
     assert(db.Identities().size() == 1);
   }
   assert(sqlite3_open(path.c_str(), &raw) == SQLITE_OK);
@@ -203,7 +204,7 @@
   OpenStore store(At(folder));
   const std::string path = folder.path + "/kept.db";
   const auto keep = [&](std::uint64_t n) {
-    return store.Run([&](Database& db) { db.Keep({{Plain(n, "aviso", 5000), false, Time(0), 0}}); });
+    return store.Run([&](Database& db) { db.Store({{Plain(n, "aviso", 5000), false, Time(0), 0}}); });
   };
   for (std::uint64_t n = 1; n <= 50; ++n) assert(!keep(n));
   // Locked by another process.
@@ -221,14 +222,14 @@
   assert(error && error->set_aside && !keep(52));
   // Cut to a part of its pages.
   OpenStore(At(folder)).Run([&](Database& db) {
-    for (std::uint64_t n = 1; n <= 50; ++n) db.Keep({{Plain(n, "aviso", 5000), false, Time(0), 0}});
+    for (std::uint64_t n = 1; n <= 50; ++n) db.Store({{Plain(n, "aviso", 5000), false, Time(0), 0}});
   });
   for (const char* part : {"-wal", "-shm"}) std::filesystem::remove(path + part);
   std::filesystem::resize_file(path, std::filesystem::file_size(path) / 2 + 100);
   OpenStore cut(At(folder));
   const auto use = [](Database& db) {
-    db.ForEach(Condition(), Time(0), true, [](const KeptMessage&) { return true; });
-    db.Keep({{Plain(99), false, Time(0), 0}});
+    db.ForEach(Condition(), Time(0), true, [](const DeadLetter&) { return true; });
+    db.Store({{Plain(99), false, Time(0), 0}});
   };
   error = cut.Run(use);
   assert(error && error->kind == StoreError::Kind::kDamaged && error->set_aside);
@@ -250,18 +251,18 @@
   OpenStore store(settings);
   std::optional<JobError> error;
   for (std::uint64_t n = 1; n <= 100 && !error; ++n) {
-    error = store.Run([&](Database& db) { db.Keep({{Plain(n, "aviso", 60'000), false, Time(0), 0}}); });
+    error = store.Run([&](Database& db) { db.Store({{Plain(n, "aviso", 60'000), false, Time(0), 0}}); });
   }
   assert(error && error->kind == StoreError::Kind::kFull);
   assert(!store.Run([](Database& db) { assert(db.Evict(Time(1000)).messages > 0); }));
-  assert(!store.Run([&](Database& db) { db.Keep({{Plain(200), false, Time(0), 0}}); }));
+  assert(!store.Run([&](Database& db) { db.Store({{Plain(200), false, Time(0), 0}}); }));
 }
 
 }  // namespace
-}  // namespace sagetally::kept
+}  // namespace sagetally::dead_letter
 
 int main() {
-  using namespace sagetally::kept;
+  using namespace sagetally::dead_letter;
   SqlAndMatchesFindTheSame();
   WhatIsKeptIsReadAsItWas();
   OnlyOneResendIsUnderWayAndItsResultCountsOnce();
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -8,22 +8,24 @@
 int main() {
   using namespace std::chrono_literals;
   sagetally::Settings settings;
-  settings.classes.push_back({.aim = 2s, .deadline = 20s, .effect = sagetally::Effect::kSafe});
+  settings.classes.push_back(
+      {.latency_objective = 2s, .deadline = 20s, .idempotency = sagetally::Idempotency::kIdempotent});
   settings.kinds.push_back({});
-  settings.slots = 4;
-  settings.most_held = 100;
+  settings.max_concurrent_calls = 4;
+  settings.max_pending_messages = 100;
   settings.max_attempts = 5;
-  sagetally::Sender sender(settings, /*seed=*/1);
+  sagetally::DispatchPolicy sender(settings, /*seed=*/1);
 
   std::vector<sagetally::Event> events;
-  events.push_back(sagetally::ListChanged{.kind = sagetally::ListChanged::Kind::kWhole,
-                                          .entries = {{.endpoint = "192.0.2.1:443", .destination = 7}}});
-  events.push_back(sagetally::MessageTaken{.id = "order-1", .destination = 7, .time_left = 20s});
+  events.push_back(
+      sagetally::EndpointListUpdated{.kind = sagetally::EndpointListUpdated::Kind::kFullSnapshot,
+                                     .endpoints = {{.endpoint = "192.0.2.1:443", .destination = 7}}});
+  events.push_back(sagetally::MessageAccepted{.id = "order-1", .destination = 7, .time_left = 20s});
 
   std::vector<sagetally::Action> actions;
-  sender.Step(/*now=*/0s, events, actions);
+  sender.Process(/*now=*/0s, events, actions);
   for (const sagetally::Action& action : actions) {
-    if (const auto* send = std::get_if<sagetally::Send>(&action)) {
+    if (const auto* send = std::get_if<sagetally::StartAttempt>(&action)) {
       std::printf("send %s to %s\n", send->id.c_str(), send->endpoint.c_str());
     }
   }
--- a/tests/fuzz/admin_fuzz.cpp
+++ b/tests/fuzz/admin_fuzz.cpp
@@ -6,15 +6,16 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace sagetally;
   const std::string_view all(reinterpret_cast<const char*>(data), size);
-  const ReadCall read = ReadOperatorCall(all);
-  const bool ended = read.state != ReadCall::State::kUnfinished;
-  if ((read.state == ReadCall::State::kRead) != (read.call != OperatorCall::kNone)) std::abort();
-  if (!ended && (size >= kMostOperatorLine || all.find('\n') != all.npos)) std::abort();
+  const AdminRequest read = ParseAdminRequest(all);
+  const bool ended = read.state != AdminRequest::State::kIncomplete;
+  if ((read.state == AdminRequest::State::kComplete) != (read.command != AdminCommand::kNone)) std::abort();
+  if (!ended && (size >= kMaxAdminLineBytes || all.find('\n') != all.npos)) std::abort();
   // What is not finished yet stays open until it is, and nothing shorter than a call's line is one.
   for (std::size_t cut = 0; cut < size; ++cut) {
-    const ReadCall part = ReadOperatorCall(all.substr(0, cut));
-    if (part.state == ReadCall::State::kRead && read.state == ReadCall::State::kRead) std::abort();
-    if (!ended && part.state != ReadCall::State::kUnfinished) std::abort();
+    const AdminRequest part = ParseAdminRequest(all.substr(0, cut));
+    if (part.state == AdminRequest::State::kComplete && read.state == AdminRequest::State::kComplete)
+      std::abort();
+    if (!ended && part.state != AdminRequest::State::kIncomplete) std::abort();
   }
   return 0;
 }
--- a/tests/fuzz/control_fuzz.cpp
+++ b/tests/fuzz/control_fuzz.cpp
@@ -6,7 +6,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   try {
-    sagetally::kept::ReadOperation({reinterpret_cast<const char*>(data), size}, {"aviso", "pedido"});
+    sagetally::dead_letter::ParseOperatorRequest({reinterpret_cast<const char*>(data), size},
+                                                 {"aviso", "pedido"});
   } catch (const std::runtime_error&) {
   }
   return 0;
--- a/tests/fuzz/journal_fuzz.cpp
+++ b/tests/fuzz/journal_fuzz.cpp
@@ -14,12 +14,12 @@
 
 // Frames whose checksums hold, so that records are reached: the input says their lengths.
 std::string Sealed(std::string_view records) {
-  std::string out = HeaderBytes({kJournalFormat, 1, 1, 1, 5, "n0"});
+  std::string out = EncodeSegmentHeader({kJournalFormat, 1, 1, 1, 5, "n0"});
   std::uint64_t sequence = 1;
   while (!records.empty()) {
     const std::size_t size =
         std::min<std::size_t>(records.size(), 1 + static_cast<unsigned char>(records[0]));
-    out += Framed(records.substr(0, size), sequence++, 5);
+    out += EncodeFrame(records.substr(0, size), sequence++, 5);
     records.remove_prefix(size);
   }
   return out;
@@ -30,24 +30,24 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
   const std::string_view text(reinterpret_cast<const char*>(data) + 1, size - 1);
-  FaultyFileSystem disk;
-  Ledger ledger;
+  FaultInjectingFileSystem disk;
+  MessageTable messages;
   try {
     if (data[0] % 4 == 3) {
-      ReadLegacy(disk, "/log", ledger);
+      ReadFormat1(disk, "/log", messages);
       disk.Put("/log", std::string(text));
-      ReadLegacy(disk, "/log", ledger);
+      ReadFormat1(disk, "/log", messages);
       return 0;
     }
     disk.Put("/j/" + SegmentName(1), data[0] % 4 == 0 ? std::string(text) : Sealed(text));
     if (data[0] % 4 == 2) disk.Put("/j/MANIFEST", std::string(text));
-    Applier applier(ledger);
+    RecordApplier applier(messages);
     Replay(disk, "/j", applier);
-    for (const auto& [number, message] : ledger.messages()) {
+    for (const auto& [number, message] : messages.messages()) {
       Message again;
       std::uint32_t ordinal = 0;
-      if (!ReadState(StateRecord(message, 7), again, ordinal) || ordinal != 7) std::abort();
-      if (StateRecord(again, 7) != StateRecord(message, 7)) std::abort();
+      if (!DecodeState(EncodeState(message, 7), again, ordinal) || ordinal != 7) std::abort();
+      if (EncodeState(again, 7) != EncodeState(message, 7)) std::abort();
     }
   } catch (const std::runtime_error&) {
   }
--- a/tests/fuzz/rules_fuzz.cpp
+++ b/tests/fuzz/rules_fuzz.cpp
@@ -5,7 +5,7 @@
 #include "dead_letter/redrive_rules.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace sagetally::kept;
+  using namespace sagetally::dead_letter;
   const std::string text(reinterpret_cast<const char*>(data), size);
   try {
     const RuleSet rules = ParseRules(text, {"aviso", "pedido"});
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -213,11 +213,11 @@
   w.clients->Start(5ms);
   struct Host : JournalHost {
     explicit Host(Predecessor& old) : old(old) {}
-    void TurnAfter(Duration) override {}
-    void Progress() override {}
-    void Sync(std::shared_ptr<File>, std::function<void(int)>) override {}
-    void Begins() override { old.Ready(); }
-    void Fenced() override {}
+    void ScheduleTurn(Duration) override {}
+    void OnProgress() override {}
+    void SyncInBackground(std::shared_ptr<File>, std::function<void(int)>) override {}
+    void BeforeFirstWrite() override { old.Ready(); }
+    void OnFenced() override {}
     Predecessor& old;
   };
   const Config config = ParseConfig(w.ConfigText(), [](const char*) -> const char* { return nullptr; });
@@ -226,13 +226,13 @@
     {
       const auto old = Predecessor::Find(config);
       assert(old != nullptr);
-      RealFileSystem files;
+      PosixFileSystem files;
       files.Adopt(std::move(old->lock));
-      Ledger ledger;
+      MessageTable ledger;
       const SystemClock clock;
       Logger log{LogOptions{LogFormat::kText, static_cast<LogLevel>(9)}};
       Host host(*old);
-      const SegmentJournal journal(files, JournalFrom(config, {}), ledger, clock, log, host);
+      const SegmentJournal journal(files, MakeJournalSettings(config, {}), ledger, clock, log, host);
       assert(journal.epoch() == 2 * i);
     }
     const std::size_t before = w.partner.delivered.size();
@@ -249,7 +249,7 @@
   Upgrades w(program, 5);
   assert(w.Ask(*w.serving, "PAUSE\n").starts_with("done ") &&
          w.Ask(*w.serving, "STATUS\n") == "error drained\n");
-  lab::Agent moved(w.loop);
+  loadtest::Agent moved(w.loop);
   std::string config = w.ConfigText();
   const std::string was = At(w.agent.port());
   config.replace(config.find(was), was.size(), At(moved.port()));
@@ -290,7 +290,7 @@
   Upgrades w(program, 7);
   w.clients->Start(5ms);
   Until(w.loop, [&] { return w.partner.delivered.size() > 10; });
-  const lab::Child next(
+  const loadtest::Child next(
       {"/bin/sh", "-c", "trap '' XFSZ; ulimit -f 0; exec \"$0\" \"$@\"", program, "serve", "--config",
        w.folder.path + "/config.json", "--node-file", w.folder.path + "/node.json"},
       "", w.folder.path + "/full");
--- a/tests/journal/crash_test.cpp
+++ b/tests/journal/crash_test.cpp
@@ -9,7 +9,9 @@
 constexpr std::uint64_t kCallsOfAStep = 150;  // no step makes more
 
 // Looks only when the step that comes may be the one: a look costs more than the step.
-bool Near(const FaultyFileSystem& disk, std::uint64_t at) { return disk.calls() + kCallsOfAStep >= at; }
+bool Near(const FaultInjectingFileSystem& disk, std::uint64_t at) {
+  return disk.calls() + kCallsOfAStep >= at;
+}
 
 bool IsWhole(const View& found, const View& before, const View& after) {
   return found == before || found == after;
@@ -36,7 +38,7 @@
 
 // Runs the workload until the plan ends the process; true if it did. `before` and `after`: what was known
 // before the step that it ended in, and what that step made of it.
-bool RunUntilCrash(FaultyFileSystem& disk, TestClock& clock, const JournalSettings& settings,
+bool RunUntilCrash(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings,
                    std::uint64_t seed, std::uint64_t at, View& before, View& after) {
   boost::random::mt19937_64 random(seed);
   int names = 0;
@@ -57,7 +59,7 @@
 }
 
 // One recovery; true if the plan ended the process in it.
-bool Recover(FaultyFileSystem& disk, TestClock& clock, const JournalSettings& settings, View& found) {
+bool Recover(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings, View& found) {
   try {
     Life life(disk, clock, settings);
     found = ViewOf(life.ledger);
@@ -68,28 +70,28 @@
 }
 
 std::uint64_t CallsOf(const JournalSettings& settings, std::uint64_t seed, std::uint64_t* compactions) {
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   TestClock clock;
   boost::random::mt19937_64 random(seed);
   int names = 0;
   Life life(disk, clock, settings);
   for (int i = 0; i < kSteps; ++i) OneStep(life, random, names);
-  if (compactions != nullptr) *compactions = life.journal.counters().drops;
-  assert(life.journal.counters().copied > 0 && life.journal.disk_bytes() <= settings.budget);
-  assert(disk.Used() <= settings.budget);
+  if (compactions != nullptr) *compactions = life.journal.counters().segments_dropped;
+  assert(life.journal.counters().bytes_copied > 0 && life.journal.disk_bytes() <= settings.disk_budget);
+  assert(disk.Used() <= settings.disk_budget);
   return disk.calls();
 }
 
 void ACrashAfterEveryCallLeavesWhatWasKnown() {
   JournalSettings settings = SmallJournal();
-  settings.budget = 60'000;
+  settings.disk_budget = 60'000;
   std::uint64_t drops = 0;
   const std::uint64_t calls = CallsOf(settings, 3, &drops);
   assert(drops > 10);
   int crashes = 0, within_recovery = 0;
   for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn}) {
     for (std::uint64_t at = 1; at <= calls; ++at) {
-      FaultyFileSystem disk;
+      FaultInjectingFileSystem disk;
       TestClock clock;
       View before, after, found;
       disk.plan = [&](std::uint64_t call, std::string_view) {
@@ -103,7 +105,7 @@
       if (at % 97 == 0) {
         const std::uint64_t begun = disk.calls();
         for (std::uint64_t again = 1; again < 200; ++again) {
-          FaultyFileSystem twin = disk;
+          FaultInjectingFileSystem twin = disk;
           twin.plan = [&](std::uint64_t call, std::string_view) {
             return Step{call == begun + again ? fault : Fault::kNone, 0};
           };
@@ -128,13 +130,13 @@
 // An error instead: the journal goes on, and once the disk is well all is on record.
 void AnErrorAtEveryCallLosesNothing() {
   JournalSettings settings = SmallJournal();
-  settings.budget = 60'000;
+  settings.disk_budget = 60'000;
   const std::uint64_t calls = CallsOf(settings, 5, nullptr);
   int errors = 0, unwritable = 0;
   for (const int error : {EIO, ENOSPC, EINTR}) {
     for (const int lasting : {1, 6}) {
       for (std::uint64_t at = 1; at <= calls; at += lasting == 1 ? 1 : 7) {
-        FaultyFileSystem disk;
+        FaultInjectingFileSystem disk;
         TestClock clock;
         disk.plan = [&](std::uint64_t call, std::string_view what) {
           const bool fails = call >= at && call < at + static_cast<std::uint64_t>(lasting) &&
@@ -151,20 +153,20 @@
         int names = 0;
         for (int i = 0; i < kSteps; ++i) {
           OneStep(*life, random, names);
-          unwritable += life->journal.writable() ? 0 : 1;
+          unwritable += life->journal.is_writable() ? 0 : 1;
         }
         ++errors;
         disk.plan = nullptr;
         life->Pass(std::chrono::seconds(10));
-        assert(life->journal.writable() && !life->journal.full());
-        for (const auto& [number, m] : life->ledger.messages()) assert(life->journal.Safe(m));
+        assert(life->journal.is_writable() && !life->journal.is_full());
+        for (const auto& [number, m] : life->ledger.messages()) assert(life->journal.IsDurable(m));
         const View known = ViewOf(life->ledger);
         life.reset();
         disk.Restart();
         Life next(disk, clock, settings);
         const View found = ViewOf(next.ledger);
         if (found != known) Differ("an error", at, found, known, known);
-        assert(!next.journal.report().damaged());
+        assert(!next.journal.report().is_damaged());
       }
     }
   }
@@ -175,10 +177,10 @@
 // While an error lasts the process ends: what was called safe is known all the same.
 void WhatIsSafeOutlastsAnErrorAndACrash() {
   JournalSettings settings = SmallJournal();
-  settings.budget = 60'000;
+  settings.disk_budget = 60'000;
   int crashes = 0, unsafe = 0;
   for (std::uint64_t at = 20; at < 700; at += 3) {
-    FaultyFileSystem disk;
+    FaultInjectingFileSystem disk;
     TestClock clock;
     disk.plan = [&](std::uint64_t call, std::string_view what) {
       const bool fails = call >= at && what != "read" && what != "open";
@@ -197,7 +199,7 @@
       OneStep(*life, random, names);
     View safe;
     for (const auto& [number, text] : ViewOf(life->ledger)) {
-      if (life->journal.Safe(*life->ledger.Find(number))) {
+      if (life->journal.IsDurable(*life->ledger.Find(number))) {
         safe[number] = text;
       } else {
         ++unsafe;
@@ -221,11 +223,11 @@
 // Synced: what was safe outlasts the machine's power; a sync that fails is never trusted.
 void WhatIsSyncedOutlastsTheMachinesPower() {
   JournalSettings settings = SmallJournal();
-  settings.budget = 60'000;
-  settings.durability_of[2] = Durability::kSynced;
+  settings.disk_budget = 60'000;
+  settings.class_durability[2] = Durability::kSynced;
   int losses = 0, failed = 0;
   for (std::uint64_t at = 10; at < 900; ++at) {
-    FaultyFileSystem disk;
+    FaultInjectingFileSystem disk;
     TestClock clock;
     std::uint64_t syncs = 0;
     const bool sync_fails = at % 3 == 0;
@@ -241,7 +243,7 @@
       View view;
       for (const auto& [number, text] : ViewOf(life->ledger)) {
         const Message& m = *life->ledger.Find(number);
-        if (m.request.message_class == 2 && life->journal.Safe(m)) view[number] = text;
+        if (m.request.message_class == 2 && life->journal.IsDurable(m)) view[number] = text;
       }
       return view;
     };
--- a/tests/journal/format1_log.h
+++ b/tests/journal/format1_log.h
@@ -18,22 +18,41 @@
   const auto add = [&](const std::string& record) {
     const auto crc =
         crc32(0, reinterpret_cast<const Bytef*>(record.data()), static_cast<uInt>(record.size()));
-    log += Writer()
-               .Number(static_cast<std::uint32_t>(record.size()))
-               .Number(static_cast<std::uint32_t>(crc))
-               .out();
+    log += ByteWriter()
+               .AppendNumber(static_cast<std::uint32_t>(record.size()))
+               .AppendNumber(static_cast<std::uint32_t>(crc))
+               .bytes();
     log += record;
   };
   for (std::uint64_t n = 1; n <= static_cast<std::uint64_t>(messages); ++n) {
     const std::string id = "old" + std::to_string(n);
-    Writer w;
-    w.Number('S').Number(n).Text(id).Number<std::int32_t>(message_class).Number<std::int32_t>(7);
-    w.At(deadline).Text("key").Text("a" + id).Number(Form::kPlain).Number<std::uint32_t>(0);
-    w.Number<std::int32_t>(0).Number(false).At(Time(0)).Text("").Number(false).At(Time(0)).Text("");
-    w.Number(End::kNone).At(Time(0)).At(Time(0)).Number(false);
-    add(w.out());
+    ByteWriter w;
+    w.AppendNumber('S')
+        .AppendNumber(n)
+        .AppendString(id)
+        .AppendNumber<std::int32_t>(message_class)
+        .AppendNumber<std::int32_t>(7);
+    w.AppendTime(deadline)
+        .AppendString("key")
+        .AppendString("a" + id)
+        .AppendNumber(IngressProtocol::kPlatform)
+        .AppendNumber<std::uint32_t>(0);
+    w.AppendNumber<std::int32_t>(0)
+        .AppendNumber(false)
+        .AppendTime(Time(0))
+        .AppendString("")
+        .AppendNumber(false)
+        .AppendTime(Time(0))
+        .AppendString("");
+    w.AppendNumber(FinalStatus::kPending).AppendTime(Time(0)).AppendTime(Time(0)).AppendNumber(false);
+    add(w.bytes());
   }
-  add(Writer().Number('A').Number<std::uint64_t>(1).At(Time(55)).Text("s-0").out());
+  add(ByteWriter()
+          .AppendNumber('A')
+          .AppendNumber<std::uint64_t>(1)
+          .AppendTime(Time(55))
+          .AppendString("s-0")
+          .bytes());
   return torn ? log.substr(0, log.size() - 5) : log;
 }
 
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -24,43 +24,43 @@
 JournalSettings OneSegment() {
   JournalSettings s = SmallJournal();
   s.segment_bytes = 1'000'000;
-  s.budget = 30'000'000;
+  s.disk_budget = 30'000'000;
   return s;
 }
 
 // Offsets at which the frames of a segment begin, and its end.
 std::vector<std::size_t> Frames(const std::string& bytes) {
   SegmentHeader header;
-  std::vector<std::size_t> at = {*ReadHeader(bytes, header)};
+  std::vector<std::size_t> at = {*DecodeSegmentHeader(bytes, header)};
   while (at.back() < bytes.size()) {
-    Reader in(std::string_view(bytes).substr(at.back(), 4));
-    at.push_back(at.back() + kFrameBytes + in.Number<std::uint32_t>());
+    ByteReader in(std::string_view(bytes).substr(at.back(), 4));
+    at.push_back(at.back() + kFrameBytes + in.ReadNumber<std::uint32_t>());
   }
   return at;
 }
 
 // Three messages, the first with a call out.
-void Fill(FaultyFileSystem& disk, TestClock& clock, const JournalSettings& settings) {
+void Fill(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings) {
   Life life(disk, clock, settings);
   for (const char* id : {"a", "b", "c"}) assert(life.Take(id, 40, 2) != nullptr);
   life.Attempt(*life.ledger.Find(1));
 }
 
 void ATornTailIsCutOffWhereverItWasTorn() {
-  FaultyFileSystem whole;
+  FaultInjectingFileSystem whole;
   TestClock clock;
   const JournalSettings settings = OneSegment();
   Fill(whole, clock, settings);
   const std::string bytes = whole.Content(kFirst);
   const std::vector<std::size_t> frames = Frames(bytes);
   for (std::size_t cut = frames.front(); cut < bytes.size(); ++cut) {
-    FaultyFileSystem disk = whole;
+    FaultInjectingFileSystem disk = whole;
     disk.Restart();
     disk.Put(kFirst, bytes.substr(0, cut));
     Life life(disk, clock, settings);
     const auto kept = std::upper_bound(frames.begin(), frames.end(), cut) - frames.begin() - 1;
-    assert(life.ledger.held() == std::min<long>(3, kept) && !life.journal.report().damaged());
-    assert(kept == 0 || !life.ledger.Find(1)->may_have_run);
+    assert(life.ledger.pending_count() == std::min<long>(3, kept) && !life.journal.report().is_damaged());
+    assert(kept == 0 || !life.ledger.Find(1)->first_uncertain_attempt);
     assert((life.journal.report().unreadable_bytes == 0) == (cut == frames[static_cast<std::size_t>(kept)]));
   }
 }
@@ -70,32 +70,32 @@
 void DamageInTheMiddleCostsOnlyWhatItHit() {
   TestClock clock;
   const JournalSettings settings = OneSegment();
-  FaultyFileSystem whole;
+  FaultInjectingFileSystem whole;
   {
     Life life(whole, clock, settings);
     Message& early = *life.Take("early", 40, 2);      // no record after the damage
     Message& through = *life.Take("through", 40, 2);  // records on both sides, none of its own missing
     life.Attempt(through);
     life.Take("hit", 40, 2);
-    life.Outcome(through, Outcome::kFull);
+    life.Outcome(through, Outcome::kRejected);
     Message& late = *life.Take("late", 40, 2);
     life.Attempt(late);
-    life.Outcome(late, Outcome::kFull);
+    life.Outcome(late, Outcome::kRejected);
     assert(early.number == 1 && through.number == 2 && late.number == 4);
   }
   const std::string bytes = whole.Content(kFirst);
   const std::vector<std::size_t> frames = Frames(bytes);
   for (std::size_t at = frames[3]; at < frames[4]; at += 3) {  // the state of "hit"
-    FaultyFileSystem disk = whole;
+    FaultInjectingFileSystem disk = whole;
     disk.Restart();
     disk.FlipBit(kFirst, at, static_cast<int>(at % 8));
     auto life = std::make_unique<Life>(disk, clock, settings);
     const ReplayReport& report = life->journal.report();
-    assert(report.damaged() && report.missing.size() == 1 &&
+    assert(report.is_damaged() && report.missing.size() == 1 &&
            report.missing[0].to - report.missing[0].from == 1);
-    assert(life->ledger.held() == 3 && life->ledger.Find(3) == nullptr);
-    assert(life->ledger.Find(1)->may_have_run == Time(0));
-    assert(!life->ledger.Find(2)->may_have_run && !life->ledger.Find(4)->may_have_run);
+    assert(life->ledger.pending_count() == 3 && life->ledger.Find(3) == nullptr);
+    assert(life->ledger.Find(1)->first_uncertain_attempt == Time(0));
+    assert(!life->ledger.Find(2)->first_uncertain_attempt && !life->ledger.Find(4)->first_uncertain_attempt);
     int error = 0;
     int set_aside = 0;
     for (const std::string& name : disk.List(settings.folder, error)) {
@@ -108,44 +108,46 @@
     life.reset();
     disk.Restart();
     life = std::make_unique<Life>(disk, clock, settings);
-    assert(!life->journal.report().damaged() && life->ledger.Find(1)->may_have_run == Time(0));
-    assert(!life->ledger.Find(2)->may_have_run);
+    assert(!life->journal.report().is_damaged() && life->ledger.Find(1)->first_uncertain_attempt == Time(0));
+    assert(!life->ledger.Find(2)->first_uncertain_attempt);
   }
   // A record that is cut out whole leaves only the gap in the numbers.
-  FaultyFileSystem disk = whole;
+  FaultInjectingFileSystem disk = whole;
   disk.Restart();
   disk.CutOut(kFirst, frames[4], frames[5] - frames[4]);  // the outcome of "through"
   Life life(disk, clock, settings);
   assert(life.journal.report().missing.size() == 1 && life.journal.report().unreadable_bytes == 0);
-  assert(life.ledger.held() == 4 && life.ledger.Find(2)->may_have_run && life.ledger.Find(1)->may_have_run);
+  assert(life.ledger.pending_count() == 4 && life.ledger.Find(2)->first_uncertain_attempt &&
+         life.ledger.Find(1)->first_uncertain_attempt);
 }
 
 void AMissingSegmentIsDamageAndALostManifestIsNot() {
   TestClock clock;
   JournalSettings settings = SmallJournal();
-  FaultyFileSystem whole;
+  FaultInjectingFileSystem whole;
   {
     Life life(whole, clock, settings);
     for (int i = 0; i < 40; ++i) assert(life.Take("m" + std::to_string(i), 300) != nullptr);
     assert(life.journal.segments() > 4);
   }
-  FaultyFileSystem disk = whole;
+  FaultInjectingFileSystem disk = whole;
   disk.Restart();
   disk.Remove(settings.folder + "/" + SegmentName(3));
   {
     Life life(disk, clock, settings);
-    assert(life.journal.report().damaged() && !life.journal.report().missing.empty());
-    assert(life.ledger.held() > 20 && life.ledger.held() < 40);
+    assert(life.journal.report().is_damaged() && !life.journal.report().missing.empty());
+    assert(life.ledger.pending_count() > 20 && life.ledger.pending_count() < 40);
   }
-  FaultyFileSystem bare = whole;
+  FaultInjectingFileSystem bare = whole;
   bare.Restart();
   bare.FlipBit(settings.folder + "/" + kManifestName, 20, 3);
   Life life(bare, clock, settings);
-  assert(life.journal.report().manifest_lost && life.ledger.held() == 40 && life.journal.epoch() == 2);
+  assert(life.journal.report().manifest_lost && life.ledger.pending_count() == 40 &&
+         life.journal.epoch() == 2);
 }
 
 void ABatchIsOnRecordWholeOrNotAtAll() {
-  FaultyFileSystem whole;
+  FaultInjectingFileSystem whole;
   TestClock clock;
   const JournalSettings settings = OneSegment();
   {
@@ -155,50 +157,50 @@
   const std::string bytes = whole.Content(kFirst);
   const std::size_t begins = Frames(bytes).front();
   for (std::size_t cut = begins; cut <= bytes.size(); cut += cut + 40 < bytes.size() ? 17 : 1) {
-    FaultyFileSystem disk = whole;
+    FaultInjectingFileSystem disk = whole;
     disk.Restart();
     disk.Put(kFirst, bytes.substr(0, cut));
     Life life(disk, clock, settings);
-    assert(life.ledger.held() == (cut == bytes.size() ? 5 : 0));
+    assert(life.ledger.pending_count() == (cut == bytes.size() ? 5 : 0));
   }
 }
 
 void ALongRecordAtASegmentsEnd() {
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   TestClock clock;
   JournalSettings settings = SmallJournal();
-  settings.budget = 600'000;
+  settings.disk_budget = 600'000;
   auto life = std::make_unique<Life>(disk, clock, settings);
   for (int i = 0; life->Take("m" + std::to_string(i), i % 3 == 0 ? 65'536 : 1'000) != nullptr; ++i) {
   }
-  const int held = life->ledger.held();
-  assert(held >= 7 && disk.Used() <= settings.budget);
+  const int held = life->ledger.pending_count();
+  assert(held >= 7 && disk.Used() <= settings.disk_budget);
   life.reset();
   disk.Restart();
   life = std::make_unique<Life>(disk, clock, settings);
-  assert(life->ledger.held() == held && life->ledger.Find(1)->request.body.size() == 65'536);
+  assert(life->ledger.pending_count() == held && life->ledger.Find(1)->request.body.size() == 65'536);
 }
 
 void ALogOfTheOldFormIsTakenOver() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
   for (const bool torn : {false, true}) {
-    FaultyFileSystem fresh;
-    fresh.Put(settings.legacy, LegacyLog(9, torn));
-    const auto check = [&](FaultyFileSystem& disk) {
+    FaultInjectingFileSystem fresh;
+    fresh.Put(settings.format1_path, LegacyLog(9, torn));
+    const auto check = [&](FaultInjectingFileSystem& disk) {
       Life life(disk, clock, settings);
-      assert(life.ledger.held() == 9 && life.ledger.Find(9)->request.id == "old9");
-      assert(life.ledger.Find(1)->may_have_run.has_value() == !torn && !life.journal.fresh());
-      assert(!disk.Exists(settings.legacy));
+      assert(life.ledger.pending_count() == 9 && life.ledger.Find(9)->request.id == "old9");
+      assert(life.ledger.Find(1)->first_uncertain_attempt.has_value() == !torn && !life.journal.is_new());
+      assert(!disk.Exists(settings.format1_path));
     };
-    FaultyFileSystem clean = fresh;
+    FaultInjectingFileSystem clean = fresh;
     check(clean);
     const std::uint64_t calls = clean.calls();
     clean.Restart();
     check(clean);
     for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn}) {
       for (std::uint64_t at = 1; at <= calls; ++at) {  // the process ends while it takes over
-        FaultyFileSystem disk = fresh;
+        FaultInjectingFileSystem disk = fresh;
         disk.plan = [&](std::uint64_t call, std::string_view) {
           return Step{call == at ? fault : Fault::kNone, 0};
         };
@@ -217,14 +219,14 @@
 void ANewerFormatIsRefusedByName() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   Fill(disk, clock, settings);
   disk.Restart();
   SegmentHeader header;
   const std::string bytes = disk.Content(kFirst);
-  const std::size_t size = *ReadHeader(bytes, header);
+  const std::size_t size = *DecodeSegmentHeader(bytes, header);
   header.format = 3;
-  disk.Put(kFirst, HeaderBytes(header) + bytes.substr(size));
+  disk.Put(kFirst, EncodeSegmentHeader(header) + bytes.substr(size));
   std::string why = Refusal([&] { Life(disk, clock, settings); });
   assert(why.find("0000000000000001.seg") != why.npos && why.find("format 3") != why.npos);
   disk.Restart();
@@ -236,13 +238,13 @@
 void OnlyOneProcessHoldsAJournal() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   Life first(disk, clock, settings);
   assert(first.Take("a", 100) != nullptr);
   const std::string why = Refusal([&] { Life(disk, clock, settings); });
   assert(why.find("another process holds this journal") != why.npos);
   // The lock's file was taken away and made anew: both have one. The older process notices and says no more.
-  FaultyFileSystem shared(disk);
+  FaultInjectingFileSystem shared(disk);
   const Manifest newer = [&] {
     int error = 0;
     Manifest m = *ReadManifestFile(shared, settings.folder, error);
@@ -252,13 +254,13 @@
   assert(WriteManifest(disk, settings.folder, newer, false) == 0);
   Message& a = *first.ledger.Find(1);
   for (int i = 0; i < 60 && !first.fenced; ++i) first.Take("b" + std::to_string(i), 300);
-  assert(first.fenced && !first.journal.writable() && first.Take("c", 10) == nullptr);
+  assert(first.fenced && !first.journal.is_writable() && first.Take("c", 10) == nullptr);
   first.Attempt(a);
-  assert(!first.journal.Safe(a));
+  assert(!first.journal.IsDurable(a));
 }
 
 // The files of one that was to go on with this journal, and died amid it.
-void Overwrite(FaultyFileSystem& disk, FaultyFileSystem& other) {
+void Overwrite(FaultInjectingFileSystem& disk, FaultInjectingFileSystem& other) {
   int error = 0;
   for (const std::string& name : other.List("/state/journal", error)) {
     const std::string path = "/state/journal/" + name;
@@ -270,65 +272,66 @@
   TestClock clock;
   for (const bool reserve : {false, true}) {
     JournalSettings settings = SmallJournal();
-    settings.reserve = reserve;
-    FaultyFileSystem disk;
+    settings.reserve_disk_space = reserve;
+    FaultInjectingFileSystem disk;
     {
       Life old(disk, clock, settings);
       old.Take("a", 40, 2);
       old.Attempt(*old.ledger.Find(1));
-      assert(old.journal.TakeBack() && old.journal.epoch() == 1);  // nobody has begun anything
-      for (const std::uint64_t epoch : {3, 5}) {                   // more than once
-        FaultyFileSystem other = disk;
+      assert(old.journal.Reclaim() && old.journal.epoch() == 1);  // nobody has begun anything
+      for (const std::uint64_t epoch : {3, 5}) {                  // more than once
+        FaultInjectingFileSystem other = disk;
         other.Restart();
         {
           const Life next(other, clock, settings);
           assert(next.journal.epoch() == epoch - 1);
         }
         Overwrite(disk, other);
-        assert(old.journal.TakeBack() && old.journal.epoch() == epoch && old.journal.writable());
+        assert(old.journal.Reclaim() && old.journal.epoch() == epoch && old.journal.is_writable());
         assert(old.Take("b" + std::to_string(epoch), 40) != nullptr && !old.fenced);
       }
-      old.Outcome(*old.ledger.Find(1), Outcome::kFull);  // on from the record before
+      old.Outcome(*old.ledger.Find(1), Outcome::kRejected);  // on from the record before
       for (int i = 0; i < 100; ++i) old.Take("more", 200);
-      assert(old.ledger.held() > 20 && !old.fenced);
+      assert(old.ledger.pending_count() > 20 && !old.fenced);
     }
     disk.Restart();
     const Life after(disk, clock, settings);
-    assert(after.ledger.held() > 20 && !after.journal.report().damaged());
-    assert(!after.ledger.messages().at(1).may_have_run && after.ledger.messages().at(1).attempts == 1);
+    assert(after.ledger.pending_count() > 20 && !after.journal.report().is_damaged());
+    assert(!after.ledger.messages().at(1).first_uncertain_attempt &&
+           after.ledger.messages().at(1).attempts == 1);
   }
   // One that has written more than the beginning of its epoch: records, or under other classes.
   for (const bool classes : {false, true}) {
-    FaultyFileSystem disk;
+    FaultInjectingFileSystem disk;
     JournalSettings settings = SmallJournal();
     Life old(disk, clock, settings);
     old.Take("a", 40, 2);
-    FaultyFileSystem other = disk;
+    FaultInjectingFileSystem other = disk;
     other.Restart();
-    if (classes) std::swap(settings.classes[0], settings.classes[2]);
+    if (classes) std::swap(settings.class_names[0], settings.class_names[2]);
     {
       Life next(other, clock, settings);
       if (!classes) next.Take("b", 40);
     }
     Overwrite(disk, other);
-    assert(!old.journal.TakeBack());
+    assert(!old.journal.Reclaim());
   }
   // No room for one epoch more.
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   Life old(disk, clock, SmallJournal());
-  FaultyFileSystem other = disk;
+  FaultInjectingFileSystem other = disk;
   other.Restart();
   { const Life next(other, clock, SmallJournal()); }
   Overwrite(disk, other);
   disk.capacity = disk.Used();
-  assert(!old.journal.TakeBack());
+  assert(!old.journal.Reclaim());
 }
 
 void AFolderThatCannotBeWrittenIsNamed() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
   for (const char* call : {"mkdir", "lock", "create", "append", "rename"}) {
-    FaultyFileSystem disk;
+    FaultInjectingFileSystem disk;
     disk.plan = [&](std::uint64_t, std::string_view what) {
       return Step{what == call ? Fault::kError : Fault::kNone, EROFS};
     };
@@ -342,9 +345,9 @@
 void AFullDiskStopsOnlyWhatIsNew() {
   for (const bool reserve : {false, true}) {
     JournalSettings settings = SmallJournal();
-    settings.reserve = reserve;
-    settings.budget = 400'000;
-    FaultyFileSystem disk;
+    settings.reserve_disk_space = reserve;
+    settings.disk_budget = 400'000;
+    FaultInjectingFileSystem disk;
     TestClock clock;
     auto life = std::make_unique<Life>(disk, clock, settings);
     std::vector<Message*> all;
@@ -354,22 +357,22 @@
     for (Message* m : all) {
       for (int call = 0; call < 5; ++call) {
         life->Attempt(*m);
-        safe += life->journal.Safe(*m) ? 1 : 0;
-        life->Outcome(*m, Outcome::kFull);
+        safe += life->journal.IsDurable(*m) ? 1 : 0;
+        life->Outcome(*m, Outcome::kRejected);
       }
-      life->End(*m, End::kFailed);
-      safe += life->journal.Safe(*m) ? 1 : 0;
+      life->End(*m, FinalStatus::kFailed);
+      safe += life->journal.IsDurable(*m) ? 1 : 0;
       if (reserve) life->Told(*m);
     }
-    assert(life->journal.full() && life->Take("new", 100) == nullptr);
+    assert(life->journal.is_full() && life->Take("new", 100) == nullptr);
     if (reserve) {
-      assert(safe == 40 * 6 && life->journal.writable() && life->ledger.size() == 0);
+      assert(safe == 40 * 6 && life->journal.is_writable() && life->ledger.size() == 0);
     } else {
-      assert(safe < 40 && !life->journal.writable());
+      assert(safe < 40 && !life->journal.is_writable());
     }
     disk.capacity = UINT64_MAX;
     life->Pass(std::chrono::seconds(5));
-    assert(!life->journal.full() && life->journal.writable() && life->Take("again", 100) != nullptr);
+    assert(!life->journal.is_full() && life->journal.is_writable() && life->Take("again", 100) != nullptr);
     const View known = ViewOf(life->ledger);
     life.reset();
     disk.Restart();
@@ -380,12 +383,12 @@
 void ClassesAreKnownByTheirNames() {
   JournalSettings settings = SmallJournal();
   TestClock clock;
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   {
     Life life(disk, clock, settings);
     for (int cls = 0; cls < 3; ++cls) life.Take("m" + std::to_string(cls), 50, cls);
   }
-  settings.classes = {"pagamento", "novo", "aviso"};
+  settings.class_names = {"pagamento", "novo", "aviso"};
   for (int start = 0; start < 2; ++start) {
     disk.Restart();
     Life life(disk, clock, settings);
@@ -399,7 +402,7 @@
 void WhatARestoredSnapshotHoldsMayHaveRun() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   Fill(disk, clock, settings);
   disk.Restart();
   int error = 0;
@@ -409,24 +412,26 @@
   for (int start = 0; start < 2; ++start) {
     disk.Restart();
     Life life(disk, clock, settings);
-    for (std::uint64_t n = 1; n <= 3; ++n) assert(life.ledger.Find(n)->may_have_run == Time(0));
+    for (std::uint64_t n = 1; n <= 3; ++n) assert(life.ledger.Find(n)->first_uncertain_attempt == Time(0));
     if (start == 0) assert(life.Take("new", 10) != nullptr);
-    if (start == 1) assert(!life.ledger.Find(4)->may_have_run);
+    if (start == 1) assert(!life.ledger.Find(4)->first_uncertain_attempt);
   }
 }
 
 void TheClockGoesOnOverARestart() {
   SystemClock clock;
-  const Moment now = clock.Stamp();
-  assert(clock.CarryOn({now.wall - std::chrono::hours(1), now.steady, now.boot}).by == Duration(0));
+  const Timestamp now = clock.CurrentTimestamp();
+  assert(clock.ContinueFrom({now.wall_time - std::chrono::hours(1), now.steady_time, now.boot_id}).amount ==
+         Duration(0));
   // The wall's clock was set back by an hour; 7 s went by on the steady one.
-  const auto carried =
-      clock.CarryOn({now.wall + std::chrono::hours(1), now.steady - std::chrono::seconds(7), now.boot});
-  assert(carried.measured && clock.Now() - now.wall >= std::chrono::hours(1) + std::chrono::seconds(7));
+  const auto carried = clock.ContinueFrom(
+      {now.wall_time + std::chrono::hours(1), now.steady_time - std::chrono::seconds(7), now.boot_id});
+  assert(carried.is_measured &&
+         clock.Now() - now.wall_time >= std::chrono::hours(1) + std::chrono::seconds(7));
   SystemClock other;
-  assert(!other.CarryOn({other.Now() + std::chrono::hours(1), Time(5), 0}).measured);
+  assert(!other.ContinueFrom({other.Now() + std::chrono::hours(1), Time(5), 0}).is_measured);
   // What the journal tells of its last moment: the latest attempt, by the steady clock of its process.
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   TestClock test;
   const JournalSettings settings = SmallJournal();
   const Time begun = test.now;
@@ -438,17 +443,18 @@
   }
   disk.Restart();
   Life life(disk, test, settings);
-  const Moment last = life.journal.report().last_moment;
-  assert(last.wall == begun + std::chrono::seconds(3) && last.steady == last.wall && last.boot == 9);
+  const Timestamp last = life.journal.report().latest_timestamp;
+  assert(last.wall_time == begun + std::chrono::seconds(3) && last.steady_time == last.wall_time &&
+         last.boot_id == 9);
 }
 
 // A segment size that leaves little of the budget: what lives still fits, and compaction ends.
 void SegmentsTooLargeForTheBudgetAreMadeSmaller() {
   for (const std::uint64_t segment : {6'000, 14'000, 30'000, 90'000}) {
     JournalSettings settings = SmallJournal();
-    settings.budget = 50'000;
+    settings.disk_budget = 50'000;
     settings.segment_bytes = segment;
-    FaultyFileSystem disk;
+    FaultInjectingFileSystem disk;
     TestClock clock;
     Life life(disk, clock, settings);
     boost::random::mt19937_64 random(segment);
@@ -456,9 +462,9 @@
     for (int i = 0; i < 3000; ++i) {
       refused += life.Take("full" + std::to_string(i), 400) == nullptr ? 1 : 0;
       OneStep(life, random, names);
-      assert(life.journal.writable() && disk.Used() <= settings.budget);
+      assert(life.journal.is_writable() && disk.Used() <= settings.disk_budget);
     }
-    assert(refused > 0 && life.journal.counters().drops > 10);
+    assert(refused > 0 && life.journal.counters().segments_dropped > 10);
   }
 }
 
@@ -466,7 +472,7 @@
 void ACallThatWasCutOffStaysOneThatMayHaveRun() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   {
     Life life(disk, clock, settings);
     life.Attempt(*life.Take("a", 40, 1));
@@ -477,9 +483,9 @@
     clock.now += std::chrono::seconds(1);
     Life life(disk, clock, settings);
     Message& m = *life.ledger.Find(1);
-    assert(m.may_have_run == cut);
+    assert(m.first_uncertain_attempt == cut);
     life.Attempt(m);
-    life.Outcome(m, Outcome::kFull);
+    life.Outcome(m, Outcome::kRejected);
   }
 }
 
@@ -487,7 +493,7 @@
 void ABodyCannotForgeARecord() {
   const JournalSettings settings = OneSegment();
   TestClock clock;
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   {
     Life life(disk, clock, settings);
     Message forged;
@@ -495,10 +501,10 @@
     forged.request.id = "forged";
     Message m;
     m.request.id = "a";
-    m.request.body = Framed(StateRecord(forged, 1), 2, 0) + Framed(StateRecord(forged, 1), 2, 1);
+    m.request.body = EncodeFrame(EncodeState(forged, 1), 2, 0) + EncodeFrame(EncodeState(forged, 1), 2, 1);
     const Message& added = life.ledger.Add(std::move(m));
     const Message* one[] = {&added};
-    assert(life.journal.Taken(one));
+    assert(life.journal.AppendAccepted(one));
   }
   disk.Restart();
   disk.FlipBit(kFirst, Frames(disk.Content(kFirst)).front() + kFrameBytes + 3, 0);
--- a/tests/journal/journal_world.h
+++ b/tests/journal/journal_world.h
@@ -15,30 +15,32 @@
 
 namespace sagetally {
 
-using Fault = FaultyFileSystem::Fault;
-using Step = FaultyFileSystem::Step;
+using Fault = FaultInjectingFileSystem::Fault;
+using Step = FaultInjectingFileSystem::Step;
 
 struct TestClock : Clock {
   Time Now() const override { return now; }
-  Moment Stamp() const override { return {now, now, 9}; }
+  Timestamp CurrentTimestamp() const override { return {now, now, 9}; }
   Time now{1'700'000'000'000'000};
 };
 
 // What a message is after a restart, whatever became of its last call.
 inline std::string Canonical(const Message& m) {
-  const bool may = m.end != End::kDelivered && (m.may_have_run.has_value() || m.out);
+  const bool may =
+      m.final_status != FinalStatus::kDelivered && (m.first_uncertain_attempt.has_value() || m.is_in_flight);
   return m.request.id + " class " + std::to_string(m.request.message_class) + " body " +
-         std::to_string(m.end == End::kNone ? m.request.body.size() : 0) + " attempts " +
+         std::to_string(m.final_status == FinalStatus::kPending ? m.request.body.size() : 0) + " attempts " +
          std::to_string(m.attempts) + (may ? " may" : "") + " end " +
-         std::to_string(static_cast<int>(m.end)) + (m.notice_owed ? " owed" : "") +
-         (m.kept_owed ? " kept" : "") + " notes " + std::to_string(m.history.size());
+         std::to_string(static_cast<int>(m.final_status)) + (m.notification_pending ? " owed" : "") +
+         (m.dead_letter_pending ? " kept" : "") + " notes " + std::to_string(m.history.size());
 }
 using View = std::map<std::uint64_t, std::string>;
-inline View ViewOf(const Ledger& ledger) {
+inline View ViewOf(const MessageTable& ledger) {
   View view;
   for (const auto& [number, m] : ledger.messages()) {
     // With its call out an ended message waits; a restart lets it go.
-    const bool goes = m.end != End::kNone && !m.notice_owed && !m.kept_owed && m.request.form == Form::kPlain;
+    const bool goes = m.final_status != FinalStatus::kPending && !m.notification_pending &&
+                      !m.dead_letter_pending && m.request.protocol == IngressProtocol::kPlatform;
     if (!goes) view[number] = Canonical(m);
   }
   return view;
@@ -46,22 +48,22 @@
 
 // One process.
 struct Life : JournalHost {
-  Life(FaultyFileSystem& disk, TestClock& clock, const JournalSettings& settings)
+  Life(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings)
       : clock(clock), journal(disk, settings, ledger, clock, log, *this) {}
 
-  void TurnAfter(Duration d) override { due = clock.now + d; }
-  void Progress() override { ++progress; }
-  void Sync(std::shared_ptr<File> file, std::function<void(int)> done) override {
+  void ScheduleTurn(Duration d) override { due = clock.now + d; }
+  void OnProgress() override { ++progress; }
+  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override {
     syncs.emplace_back(std::move(file), std::move(done));
   }
-  void Fenced() override { fenced = true; }
+  void OnFenced() override { fenced = true; }
 
   void Pass(Duration d) {  // lets time pass, turn by turn
     const Time until = clock.now + d;
     while (due <= until) {
       clock.now = std::max(clock.now, due);
       due = Time::max();
-      journal.Turn();
+      journal.RunDueWork();
       FinishSyncs();
     }
     clock.now = until;
@@ -73,13 +75,13 @@
   Message* Take(const std::string& id, std::size_t body, int cls = 0) {
     Message m;
     m.request.id = id;
-    m.request.key = "key-" + id;
+    m.request.idempotency_key = "key-" + id;
     m.request.message_class = cls;
     m.request.body = std::string(body, 'b');
     m.deadline = clock.now + std::chrono::seconds(10);
     Message& added = ledger.Add(std::move(m));
     const Message* one[] = {&added};
-    if (journal.Taken(one)) return &added;
+    if (journal.AppendAccepted(one)) return &added;
     ledger.Remove(added.number);
     return nullptr;
   }
@@ -88,43 +90,43 @@
     for (int i = 0; i < count; ++i) {
       Message m;
       m.request.id = id + "." + std::to_string(i);
-      m.request.form = Form::kEvent;
+      m.request.protocol = IngressProtocol::kCloudEvents;
       m.request.body = std::string(body, 'e');
       m.request.attributes = {{"source", "/test"}, {"id", m.request.id}};
       all.push_back(&ledger.Add(std::move(m)));
     }
-    if (journal.Taken(all)) return true;
+    if (journal.AppendAccepted(all)) return true;
     for (const Message* m : all) ledger.Remove(m->number);
     return false;
   }
   void Attempt(Message& m) {
-    m.out = true;
+    m.is_in_flight = true;
     m.attempts += 1;
-    m.out_since = clock.now;
-    m.out_at = "s-1";
-    journal.Attempted(m);
+    m.in_flight_since = clock.now;
+    m.in_flight_endpoint = "s-1";
+    journal.AppendAttempt(m);
   }
   void Outcome(Message& m, sagetally::Outcome outcome) {
-    m.out = false;
-    if (MayHaveRun(outcome) && !m.may_have_run) m.may_have_run = m.out_since;
-    journal.Outcame(m, outcome);
+    m.is_in_flight = false;
+    if (MayHaveRun(outcome) && !m.first_uncertain_attempt) m.first_uncertain_attempt = m.in_flight_since;
+    journal.AppendOutcome(m, outcome);
   }
-  void End(Message& m, enum End end) {
-    ledger.End(m, end, Duration(0), clock.now);
-    journal.Ended(m);
-    ledger.Settle(m);
+  void End(Message& m, enum FinalStatus end) {
+    ledger.Complete(m, end, Duration(0), clock.now);
+    journal.AppendCompletion(m);
+    ledger.RemoveIfFinished(m);
   }
   void Told(Message& m) {
-    if (m.out) NoteMayHaveRun(m);
-    m.out = false;
-    m.notice_owed = false;
-    journal.Told(m);
-    ledger.Settle(m);
+    if (m.is_in_flight) MarkUncertainAttempt(m);
+    m.is_in_flight = false;
+    m.notification_pending = false;
+    journal.AppendNotified(m);
+    ledger.RemoveIfFinished(m);
   }
 
   TestClock& clock;
   Logger log{LogOptions{LogFormat::kText, static_cast<LogLevel>(9)}};
-  Ledger ledger;
+  MessageTable ledger;
   Time due = Time::max();
   std::vector<std::pair<std::shared_ptr<File>, std::function<void(int)>>> syncs;
   int progress = 0;
@@ -135,11 +137,11 @@
 inline JournalSettings SmallJournal() {
   JournalSettings s;
   s.folder = "/state/journal";
-  s.legacy = "/state/log";
-  s.node = "n0";
-  s.budget = 160'000;
+  s.format1_path = "/state/log";
+  s.node_name = "n0";
+  s.disk_budget = 160'000;
   s.segment_bytes = 4'096;
-  s.classes = {"aviso", "pedido", "pagamento"};
+  s.class_names = {"aviso", "pedido", "pagamento"};
   return s;
 }
 
@@ -150,8 +152,8 @@
   life.Pass(std::chrono::milliseconds(draw(3)));
   std::vector<Message*> live, owed;
   for (const auto& [number, m] : life.ledger.messages()) {
-    if (m.end == End::kNone) live.push_back(life.ledger.Find(number));
-    if (m.notice_owed) owed.push_back(life.ledger.Find(number));
+    if (m.final_status == FinalStatus::kPending) live.push_back(life.ledger.Find(number));
+    if (m.notification_pending) owed.push_back(life.ledger.Find(number));
   }
   const int what = draw(9);
   if (live.empty() || (what < 3 && live.size() < 40)) {
@@ -166,13 +168,14 @@
   // The latest ones mostly, so that some old ones stay and must be copied forward.
   const std::size_t back = static_cast<std::size_t>(draw(draw(5) == 0 ? 39 : 4));
   Message& m = *live[live.size() - 1 - std::min(back, live.size() - 1)];
-  if (!m.out && m.attempts < 6 && what < 7) return life.Attempt(m);
-  if (m.out && what < 8) return life.Outcome(m, what % 2 == 0 ? Outcome::kFull : Outcome::kReset);
-  if (what == 8 && m.attempts == 0) return life.End(m, End::kFailed);
+  if (!m.is_in_flight && m.attempts < 6 && what < 7) return life.Attempt(m);
+  if (m.is_in_flight && what < 8)
+    return life.Outcome(m, what % 2 == 0 ? Outcome::kRejected : Outcome::kReset);
+  if (what == 8 && m.attempts == 0) return life.End(m, FinalStatus::kFailed);
   // A delivered one's call has come back; one that failed may end with its call out.
   const bool delivered = what % 2 != 0;
-  if (delivered) m.out = false;
-  life.End(m, delivered ? End::kDelivered : End::kFailed);
+  if (delivered) m.is_in_flight = false;
+  life.End(m, delivered ? FinalStatus::kDelivered : FinalStatus::kFailed);
 }
 
 }  // namespace sagetally
--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -14,7 +14,7 @@
 // Calls back at the n-th change of a file in a folder.
 class Watcher {
  public:
-  Watcher(Loop& loop, const std::string& folder, std::function<void()> reached)
+  Watcher(EventLoop& loop, const std::string& folder, std::function<void()> reached)
       : reached_(std::move(reached)),
         fd_(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)),
         event_(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Heard, this)) {
@@ -36,7 +36,7 @@
     }
   }
   const std::function<void()> reached_;
-  Fd fd_;
+  FileDescriptor fd_;
   EventPtr event_;
   int left_ = 0;
 };
--- a/tests/journal/pipeline_test.cpp
+++ b/tests/journal/pipeline_test.cpp
@@ -11,7 +11,7 @@
 // and all of it goes on by itself once there is room.
 void AFullDiskHoldsBackTheCall() {
   const Config config = OneEndpoint();
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   TestClock clock;
   Whole node(disk, clock, config, SmallJournal());
   bool full = false;
@@ -22,27 +22,27 @@
   };
   full = true;
   node.Post(kPagamento, "p");
-  assert(node.calls.empty() && !node.journal.writable() && node.ledger.held() == 1);
+  assert(node.calls.empty() && !node.journal.is_writable() && node.ledger.pending_count() == 1);
   node.Post(kPagamento, "later");
-  assert(node.answers.at("later").verdict == Verdict::kRefused);
-  assert(node.answers.at("later").again == std::chrono::seconds(1));
+  assert(node.answers.at("later").status == AdmissionStatus::kRejected);
+  assert(node.answers.at("later").retry_after == std::chrono::seconds(1));
   node.Pass(std::chrono::seconds(2));
   assert(node.calls.empty() && node.told.empty());
   full = false;
   node.Pass(std::chrono::seconds(4));
-  assert(node.journal.writable() && node.calls.size() == 1 &&
-         node.answers.at("p").verdict == Verdict::kTaken);
-  assert(node.ledger.Find(node.calls[0].number)->may_have_run == std::nullopt);
+  assert(node.journal.is_writable() && node.calls.size() == 1 &&
+         node.answers.at("p").status == AdmissionStatus::kAccepted);
+  assert(node.ledger.Find(node.calls[0].number)->first_uncertain_attempt == std::nullopt);
   node.Finish(Outcome::kOk);
   assert(node.ledger.size() == 0);
   node.Post(kPagamento, "again");
-  assert(node.answers.at("again").verdict == Verdict::kTaken && node.calls.size() == 1);
+  assert(node.answers.at("again").status == AdmissionStatus::kAccepted && node.calls.size() == 1);
 }
 
 // It runs out of time meanwhile: its end is told once it is on record, and once.
 void AnEndIsToldOnceItIsOnRecord() {
   const Config config = OneEndpoint();
-  FaultyFileSystem disk;
+  FaultInjectingFileSystem disk;
   TestClock clock;
   auto node = std::make_unique<Whole>(disk, clock, config, SmallJournal());
   node->Post(kPagamento, "p");
@@ -52,12 +52,12 @@
   };
   node->Finish(Outcome::kReset);  // it may have run: its end is to be told
   node->Pass(std::chrono::seconds(9));
-  assert(node->told.empty() && node->ledger.held() == 0 && node->ledger.size() == 1);
+  assert(node->told.empty() && node->ledger.pending_count() == 0 && node->ledger.size() == 1);
   disk.plan = nullptr;
   node->Pass(std::chrono::seconds(4));
   assert(node->told.size() == 1);
   const std::uint64_t number = node->told.front();
-  node->chain.book.Heard(number);
+  node->chain.completion_handler.OnNotificationAcknowledged(number);
   assert(node->ledger.size() == 0);
   node.reset();
   disk.Restart();
@@ -69,29 +69,29 @@
 void WhatIsSyncedWaitsForTheDisk() {
   const Config config = OneEndpoint();
   JournalSettings settings = SmallJournal();
-  settings.durability_of[kPagamento] = Durability::kSynced;
-  FaultyFileSystem disk;
+  settings.class_durability[kPagamento] = Durability::kSynced;
+  FaultInjectingFileSystem disk;
   TestClock clock;
   Whole node(disk, clock, config, settings);
   node.Post(0, "a");
   assert(node.answers.contains("a") && node.calls.size() == 1);
   node.Post(kPagamento, "p");
   assert(!node.answers.contains("p") && node.calls.size() == 1);
-  node.Pass(settings.group);
+  node.Pass(settings.group_commit_delay);
   assert(node.syncs.size() == 1 && !node.answers.contains("p"));
   node.FinishSyncs();
-  assert(node.answers.at("p").verdict == Verdict::kTaken && node.calls.size() == 2);
+  assert(node.answers.at("p").status == AdmissionStatus::kAccepted && node.calls.size() == 2);
   node.Finish(Outcome::kOk);
   node.Finish(Outcome::kReset);
   node.Pass(std::chrono::milliseconds(1));
   assert(node.told.empty());
-  node.Pass(settings.group);
+  node.Pass(settings.group_commit_delay);
   node.FinishSyncs();
   assert(node.told.size() == 1);
   // A disk that takes longer than a choice stays fresh: the call is given back and chosen anew, never sent
   // late.
   node.Post(kPagamento, "slow");
-  node.Pass(settings.group);
+  node.Pass(settings.group_commit_delay);
   clock.now += std::chrono::milliseconds(80);
   node.FinishSyncs();
   assert(node.calls.empty() || node.ledger.Find(node.calls[0].number)->attempts == 2);
--- a/tests/journal/property_test.cpp
+++ b/tests/journal/property_test.cpp
@@ -13,10 +13,10 @@
   boost::random::mt19937_64 random(seed);
   const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
   JournalSettings settings = SmallJournal();
-  settings.budget = static_cast<std::uint64_t>(50'000 + draw(100'000));
+  settings.disk_budget = static_cast<std::uint64_t>(50'000 + draw(100'000));
   settings.segment_bytes = static_cast<std::uint64_t>(2'000 + draw(12'000));
-  settings.reserve = draw(3) == 0 && settings.budget > 100'000;
-  FaultyFileSystem disk;
+  settings.reserve_disk_space = draw(3) == 0 && settings.disk_budget > 100'000;
+  FaultInjectingFileSystem disk;
   TestClock clock;
   View known;
   int names = 0;
@@ -50,8 +50,9 @@
       assert(!life && error_at != UINT64_MAX);  // the error came as it began
     }
     if (life) {
-      for (const auto& [number, m] : life->ledger.messages()) all_safe = all_safe && life->journal.Safe(m);
-      all_safe = all_safe && life->journal.writable();
+      for (const auto& [number, m] : life->ledger.messages())
+        all_safe = all_safe && life->journal.IsDurable(m);
+      all_safe = all_safe && life->journal.is_writable();
     } else {
       before = after = known;
     }
@@ -64,7 +65,7 @@
     }
     disk.Restart();
     if (all_safe && found != before && found != after) return false;
-    if (disk.Used() > settings.budget) return false;
+    if (disk.Used() > settings.disk_budget) return false;
     known = found;
   }
   return true;
@@ -73,7 +74,7 @@
 // A snapshot taken while a node writes is the journal as it stood at one of its steps.
 bool ASnapshotIsOneMoment() {
   return rc::check("a snapshot is one moment", [](std::uint16_t seed) {
-    FaultyFileSystem disk;
+    FaultInjectingFileSystem disk;
     TestClock clock;
     const JournalSettings settings = SmallJournal();
     boost::random::mt19937_64 random(seed);
@@ -96,21 +97,21 @@
       return Step{};
     };
     moments.push_back(ViewOf(life.ledger));
-    TakeSnapshot(disk, settings.folder, "/copy");
+    WriteSnapshot(disk, settings.folder, "/copy");
     disk.plan = nullptr;
-    Ledger ledger;
+    MessageTable ledger;
     const ReplayReport report = ReplayLive(disk, "/copy", ledger);
-    RC_ASSERT(!report.damaged());
+    RC_ASSERT(!report.is_damaged());
     RC_ASSERT(std::find(moments.begin(), moments.end(), ViewOf(ledger)) != moments.end());
     // Put back elsewhere: everything that was held is there, under a later epoch, and may have run.
     RestoreSnapshot(disk, "/copy", "/other/journal", {});
     JournalSettings other = settings;
     other.folder = "/other/journal";
     Life restored(disk, clock, other);
-    RC_ASSERT(restored.ledger.held() == ledger.held());
+    RC_ASSERT(restored.ledger.pending_count() == ledger.pending_count());
     RC_ASSERT(restored.journal.epoch() > life.journal.epoch());
     for (const auto& [number, m] : restored.ledger.messages()) {
-      RC_ASSERT(m.end != End::kNone || m.may_have_run == Time(0));
+      RC_ASSERT(m.final_status != FinalStatus::kPending || m.first_uncertain_attempt == Time(0));
     }
     bool refused = false;
     try {
--- a/tests/journal/whole_node.h
+++ b/tests/journal/whole_node.h
@@ -9,62 +9,62 @@
 
 namespace sagetally {
 
-struct Whole : Caller, Teller, Host, JournalHost {
-  Whole(FaultyFileSystem& disk, TestClock& clock, const Config& config, const JournalSettings& settings,
-        std::function<void(const Message&)> on_told = {})
+struct Whole : EndpointClient, Notifier, Scheduler, JournalHost {
+  Whole(FaultInjectingFileSystem& disk, TestClock& clock, const Config& config,
+        const JournalSettings& settings, std::function<void(const Message&)> on_told = {})
       : clock(clock),
         on_told(std::move(on_told)),
         journal(disk, settings, ledger, clock, log, *this),
         figures(config.site.classes),
         chain(config.site, 1, ledger, journal, *this, *this, *this, clock, nullptr, &figures) {
-    chain.route.Listed(config.known);
-    chain.Resume();
+    chain.router.OnEndpointListUpdate(config.cached_endpoint_list);
+    chain.ResumeAfterRestart();
   }
-  void Call(const CallOrder& order) override { calls.push_back(order); }
-  void Cancel(std::uint64_t) override {}
-  void Recall(std::uint64_t) override {}
-  void CloseIdle(const std::string&) override {}
-  void Learn(const EndpointNews&) override {}
-  void Forget(const std::string&) override {}
-  void Tell(const Message& m) override {
+  void StartCall(const CallRequest& order) override { calls.push_back(order); }
+  void CancelCall(std::uint64_t) override {}
+  void CancelCallIfUnsent(std::uint64_t) override {}
+  void CloseIdleConnections(const std::string&) override {}
+  void UpdateEndpoint(const EndpointUpdate&) override {}
+  void RemoveEndpoint(const std::string&) override {}
+  void Notify(const Message& m) override {
     told.push_back(m.number);
     if (on_told) on_told(m);
   }
-  void StepSoon() override { step = true; }
-  void WakeAfter(Duration d) override { wake = clock.now + d; }
-  void TellPeers(const std::string&) override {}
-  void Log(const std::string&) override {}
-  void TurnAfter(Duration d) override { turn = clock.now + d; }
-  void Progress() override { progress = true; }
-  void Sync(std::shared_ptr<File> file, std::function<void(int)> done) override {
+  void SchedulePolicyRun() override { step = true; }
+  void ScheduleTimer(Duration d) override { wake = clock.now + d; }
+  void SendGossip(const std::string&) override {}
+  void WriteLogLine(const std::string&) override {}
+  void ScheduleTurn(Duration d) override { turn = clock.now + d; }
+  void OnProgress() override { progress = true; }
+  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override {
     syncs.emplace_back(std::move(file), std::move(done));
   }
-  void Fenced() override {}
+  void OnFenced() override {}
 
   void Settle() {
     while (step || progress) {
-      if (std::exchange(progress, false)) chain.Progress();
-      if (std::exchange(step, false)) chain.Step();
+      if (std::exchange(progress, false)) chain.OnJournalProgress();
+      if (std::exchange(step, false)) chain.RunPolicy();
     }
   }
   void Pass(Duration d) {
     const Time until = clock.now + d;
     for (Settle(); std::min(wake, turn) <= until; Settle()) {
       clock.now = std::max(clock.now, std::min(wake, turn));
-      if (turn <= clock.now) turn = Time::max(), journal.Turn();
-      if (wake <= clock.now) wake = Time::max(), chain.route.Add(WakeDue{});
+      if (turn <= clock.now) turn = Time::max(), journal.RunDueWork();
+      if (wake <= clock.now) wake = Time::max(), chain.router.QueueEvent(TimerFired{});
     }
     clock.now = until;
   }
   void Post(int cls, const std::string& id) {
     Request r;
     r.id = id;
-    r.key = "key-" + id;
+    r.idempotency_key = "key-" + id;
     r.message_class = cls;
     r.destination = 7;
     r.time_left = std::chrono::seconds(8);
     std::vector<Request> one = {r};
-    chain.intake.Take(std::move(one), [this, id](const Answer& answer) {
+    chain.validator.Submit(std::move(one), [this, id](const AdmissionResult& answer) {
       answers[id] = answer;
       return true;
     });
@@ -72,11 +72,11 @@
   }
   void Finish(Outcome outcome, bool over = false) {
     CallResult result;
-    result.over = over;
+    result.completed = over;
     result.number = calls.front().number;
     result.outcome = outcome;
     calls.erase(calls.begin());
-    chain.relay.Back(result);
+    chain.outcome_handler.OnCallResult(result);
     Settle();
   }
   void FinishSyncs() {
@@ -86,17 +86,17 @@
 
   TestClock& clock;
   Logger log{LogOptions{LogFormat::kText, static_cast<LogLevel>(9)}};
-  Ledger ledger;
+  MessageTable ledger;
   bool step = false, progress = false;
   Time wake = Time::max(), turn = Time::max();
   std::vector<std::pair<std::shared_ptr<File>, std::function<void(int)>>> syncs;
-  std::vector<CallOrder> calls;
+  std::vector<CallRequest> calls;
   std::vector<std::uint64_t> told;
   std::function<void(const Message&)> on_told;
-  std::map<std::string, Answer> answers;
+  std::map<std::string, AdmissionResult> answers;
   SegmentJournal journal;
-  Figures figures;
-  Chain chain;
+  Metrics figures;
+  MessagePipeline chain;
 };
 
 inline Config OneEndpoint() {
--- a/tests/loadtest/arrivals_test.cpp
+++ b/tests/loadtest/arrivals_test.cpp
@@ -10,7 +10,7 @@
 #include "loadtest/load/plan.h"
 #include "rejected.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 // The chance that a sample of the distribution lies at least so far off, by 50 bins of equal chance.
@@ -240,10 +240,10 @@
 }
 
 }  // namespace
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 int main() {
-  using namespace sagetally::lab;
+  using namespace sagetally::loadtest;
   DistributionsAreWhatTheySay();
   BadDistributionsAreRefused();
   ARampStretchesSpacingsExactly();
--- a/tests/loadtest/load_test.cpp
+++ b/tests/loadtest/load_test.cpp
@@ -17,7 +17,7 @@
 #include "loadtest/stub/thread.h"
 #include "rejected.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -162,7 +162,7 @@
 void APartnerThatDeliversTwiceIsFoundAndNamed() {
   const StandInSettings settings = StandInSettingsFromJson(
       {{"partners", {{{"destination", 0}}}}, {"timeline", {{{"fault", "twice"}, {"share", 0.2}}}}});
-  Loop loop;
+  EventLoop loop;
   StandIns standins(loop, settings);
   Clients clients(loop, {{"127.0.0.1", standins.partners[0]->port()}}, 4, std::chrono::seconds(5));
   int answers = 0;
@@ -285,10 +285,10 @@
 }
 
 }  // namespace
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 int main() {
-  using namespace sagetally::lab;
+  using namespace sagetally::loadtest;
   std::signal(SIGPIPE, SIG_IGN);
   ACleanRunIsAccountedForInFull();
   APauseIsReportedInFull();
--- a/tests/loadtest/rejected.h
+++ b/tests/loadtest/rejected.h
@@ -7,7 +7,7 @@
 #include <exception>
 #include <string>
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 
 template <typename F>
 std::string Refused(F call) {
@@ -29,6 +29,6 @@
   }
 }
 
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 #endif  // SAGETALLY_TESTS_LOADTEST_REJECTED_H_
--- a/tests/loadtest/report_test.cpp
+++ b/tests/loadtest/report_test.cpp
@@ -15,7 +15,7 @@
 #include "loadtest/stub/checker.h"
 #include "rejected.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 void QuantilesAreRightToAPerCent() {
@@ -336,10 +336,10 @@
 }
 
 }  // namespace
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 int main() {
-  using namespace sagetally::lab;
+  using namespace sagetally::loadtest;
   QuantilesAreRightToAPerCent();
   IntervalsAreStudentsAndWelchs();
   EachMessageHasOneFate();
--- a/tests/loadtest/stub_test.cpp
+++ b/tests/loadtest/stub_test.cpp
@@ -12,7 +12,7 @@
 #include "loadtest/stub/stub_set.h"
 #include "rejected.h"
 
-namespace sagetally::lab {
+namespace sagetally::loadtest {
 namespace {
 
 using Json = nlohmann::json;
@@ -44,7 +44,7 @@
   }
   void Wait(Duration d) {
     Timer timer(loop, [&] { loop.Break(); });
-    timer.After(d);
+    timer.Schedule(d);
     loop.Run();
   }
   std::string Broken() const {
@@ -56,7 +56,7 @@
     for (const Sighting& s : standins.sightings) n += s.kind == SeenKind::kEffect && s.id == id ? 1 : 0;
     return n;
   }
-  Loop loop;
+  EventLoop loop;
   StandIns standins;
   Clients clients;
   int out = 0;
@@ -234,10 +234,10 @@
 }
 
 }  // namespace
-}  // namespace sagetally::lab
+}  // namespace sagetally::loadtest
 
 int main() {
-  using namespace sagetally::lab;
+  using namespace sagetally::loadtest;
   std::signal(SIGPIPE, SIG_IGN);
   EachFaultIsSeen();
   LimitsTurnCallsAway();
--- a/tests/net/discovery_races_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -19,47 +19,47 @@
 
 // A discovery whose calls the test answers, and a watch on it that holds version 41.
 struct Watched {
-  Watched(Loop& loop, bool on_request, int senders = 3, std::uint64_t seed = 1)
-      : discovery(loop, {"127.0.0.1", 0}, [this](const std::shared_ptr<lab::Call>& call) {
+  Watched(EventLoop& loop, bool on_request, int senders = 3, std::uint64_t seed = 1)
+      : discovery(loop, {"127.0.0.1", 0}, [this](const std::shared_ptr<loadtest::Call>& call) {
           calls.push_back(call);
           asked_at.push_back(Clock::now());
           if (answer) answer(*call);
         }) {
-    site.module.list_on_request = on_request;
-    site.module.senders = senders;
-    site.module.ask_every = 10s;
-    watch = std::make_unique<Watch>(
+    site.policy.endpoint_list_on_request = on_request;
+    site.policy.dispatcher_count = senders;
+    site.policy.max_poll_interval = 10s;
+    watch = std::make_unique<EndpointListWatcher>(
         loop, Address{"127.0.0.1", discovery.port()}, site, 41, seed,
-        [this](const ListNews& news) {
-          for (const EndpointNews& e : news.endpoints) heard.push_back(e.entry.state);
+        [this](const EndpointListUpdate& news) {
+          for (const EndpointUpdate& e : news.endpoints) heard.push_back(e.record.state);
           heard_at = Clock::now();
         },
         log);
   }
-  lab::Call& call() { return *calls.back(); }
-  bool Drained() const { return !heard.empty() && heard.back() == EndpointEntry::State::kDraining; }
-  std::function<void(lab::Call&)> answer;
-  std::vector<std::shared_ptr<lab::Call>> calls;
+  loadtest::Call& call() { return *calls.back(); }
+  bool Drained() const { return !heard.empty() && heard.back() == EndpointRecord::State::kDraining; }
+  std::function<void(loadtest::Call&)> answer;
+  std::vector<std::shared_ptr<loadtest::Call>> calls;
   std::vector<Clock::time_point> asked_at;
-  std::vector<EndpointEntry::State> heard;
+  std::vector<EndpointRecord::State> heard;
   Clock::time_point heard_at, silent_at;
   SiteSettings site;
   Logger log;
-  lab::Listener discovery;
-  std::unique_ptr<Watch> watch;
+  loadtest::Listener discovery;
+  std::unique_ptr<EndpointListWatcher> watch;
 };
 
 // The watch falls silent after a line, then a drain is listed. The next ask is never answered, refused late,
 // reset, ended or spoilt: the drain is heard before it binds, 6 + 2 s later, all the same.
 void ASilentWatchHearsOfADrainBeforeItBinds() {
-  Loop loop;
+  EventLoop loop;
   std::vector<std::unique_ptr<Watched>> all;
   std::vector<std::unique_ptr<Timer>> late;
   for (const bool on_request : {false, true}) {
     for (int how = 0; how < 5; ++how) {
       all.push_back(std::make_unique<Watched>(loop, on_request));
       Watched& w = *all.back();
-      w.answer = [&w, &late, &loop, how](lab::Call& call) {
+      w.answer = [&w, &late, &loop, how](loadtest::Call& call) {
         if (w.calls.size() == 1) {
           call.StartChunks();
           call.Chunk(List(41, "in_service", true) + "\n");
@@ -70,7 +70,7 @@
         } else if (how == 1) {
           late.push_back(
               std::make_unique<Timer>(loop, [held = w.calls.back()] { held->Answer(503, "busy\n"); }));
-          late.back()->After(1900ms);
+          late.back()->Schedule(1900ms);
         } else if (how == 2) {
           call.Reset();
         } else if (how == 3) {
@@ -89,18 +89,18 @@
 // Discovery is down, then back: whoever it has refused for long asks again in time, in a small fleet and in a
 // large one, and none of them more often than a large fleet may.
 void DiscoveryThatComesBackIsAskedInTime() {
-  Loop loop;
+  EventLoop loop;
   std::vector<std::unique_ptr<Watched>> all;
   for (int i = 0; i < 60; ++i) {
     all.push_back(std::make_unique<Watched>(loop, true, i < 30 ? 3 : 300, static_cast<std::uint64_t>(i)));
-    all.back()->answer = [](lab::Call& call) { call.Answer(503); };
+    all.back()->answer = [](loadtest::Call& call) { call.Answer(503); };
   }
   RunFor(loop, 6s);  // the protocol's own time
   const auto back = Clock::now();
   for (int i = 0; i < 60; ++i) {
     assert(i < 30 ? all[static_cast<std::size_t>(i)]->calls.size() >= 6
                   : all[static_cast<std::size_t>(i)]->calls.size() <= 12);
-    all[static_cast<std::size_t>(i)]->answer = [](lab::Call& call) {
+    all[static_cast<std::size_t>(i)]->answer = [](loadtest::Call& call) {
       call.StartChunks();
       call.Chunk(List(42, "terminating") + "\n");
     };
@@ -111,7 +111,7 @@
 
 // As some discoveries write them, in any pieces; an empty line between two is a sign of life.
 void ListsMayBeIndented() {
-  Loop loop;
+  EventLoop loop;
   Watched w(loop, false);
   Until(loop, [&] { return !w.calls.empty(); });
   w.call().StartChunks();
@@ -128,9 +128,9 @@
 
 // Nothing has changed: the head comes at once and the first line only with the next sign of life.
 void AWatchWithNothingToTellIsNotLost() {
-  Loop loop;
+  EventLoop loop;
   Watched w(loop, false), asked(loop, true);
-  for (Watched* each : {&w, &asked}) each->answer = [](lab::Call& call) { call.StartChunks(); };
+  for (Watched* each : {&w, &asked}) each->answer = [](loadtest::Call& call) { call.StartChunks(); };
   Until(loop, [&] { return !w.calls.empty() && !asked.calls.empty(); });
   RunFor(loop, 2500ms);  // longer than an ask may stay without an answer
   for (Watched* each : {&w, &asked}) assert(each->calls.size() == 1 && each->call().Chunk("\n"));
@@ -146,7 +146,7 @@
                                 "[1,2,3]\n",
                                 R"({"rev":"x"})"};
   for (const std::string& text : spoilt) {
-    Loop loop;
+    EventLoop loop;
     Watched w(loop, false);
     Until(loop, [&] { return !w.calls.empty(); });
     w.call().StartChunks();
@@ -162,14 +162,14 @@
 
 // SIGHUP amid an ask: what the old address still answers is nobody's.
 void TheOldAddressAnswerNeverWins() {
-  Loop loop;
+  EventLoop loop;
   Watched w(loop, false);
   Until(loop, [&] { return !w.calls.empty(); });
-  std::shared_ptr<lab::Call> at_new;
-  lab::Listener other(loop, {"127.0.0.1", 0}, [&](const auto& call) { at_new = call; });
+  std::shared_ptr<loadtest::Call> at_new;
+  loadtest::Listener other(loop, {"127.0.0.1", 0}, [&](const auto& call) { at_new = call; });
   w.call().StartChunks();
   w.call().Chunk(List(99, "in_service", true) + "\n");  // on its way
-  w.watch->Move({"127.0.0.1", other.port()});
+  w.watch->ChangeAddress({"127.0.0.1", other.port()});
   Until(loop, [&] { return at_new != nullptr; });
   w.call().Chunk(List(100, "in_service", true) + "\n");
   at_new->StartChunks();
@@ -180,7 +180,7 @@
 
 // A discovery that lags behind does not bring back what was told to drain; one that counts anew is followed.
 void AnOlderListWaitsUntilItIsTheOnlyOne() {
-  Loop loop;
+  EventLoop loop;
   Watched lags(loop, false), anew(loop, false);
   for (Watched* w : {&lags, &anew}) {
     Until(loop, [&] { return !w->calls.empty(); });
@@ -192,16 +192,16 @@
   Until(loop, [&] { return !lags.heard.empty(); });
   assert(lags.Drained() && lags.heard.size() == 1);
   const std::size_t calls = anew.calls.size();
-  anew.answer = [](lab::Call& call) {
+  anew.answer = [](loadtest::Call& call) {
     call.StartChunks();
     call.Chunk(List(2, "terminating", true) + "\n");
   };
   Timer beat(loop, [&] {
     anew.calls[0]->Chunk("\n");
     lags.calls[0]->Chunk("\n");
-    beat.After(1s);
+    beat.Schedule(1s);
   });
-  beat.After(1s);
+  beat.Schedule(1s);
   Until(loop, [&] { return !anew.heard.empty(); });
   // As it counts as told 4 s after a move, and binds 2 s later.
   assert(Clock::now() - begun < 6s && anew.Drained() && anew.watch->revision() == 2);
@@ -214,11 +214,11 @@
        {std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffff0\r\n"),
         std::string("HTTP/1.1 200 OK\r\nX-Endless: "),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")}) {
-    Loop loop;
+    EventLoop loop;
     std::uint16_t port = 0;
     struct Peer {
-      Loop& loop;
-      std::vector<Fd> fds = {};
+      EventLoop& loop;
+      std::vector<FileDescriptor> fds = {};
     } peer{loop};
     const ListenerPtr listener = ListenOnLoopback(
         loop,
@@ -229,8 +229,8 @@
     SiteSettings site;
     Logger log;
     int heard = 0;
-    Watch watch(
-        loop, {"127.0.0.1", port}, site, 0, 1, [&](const ListNews&) { ++heard; }, log);
+    EndpointListWatcher watch(
+        loop, {"127.0.0.1", port}, site, 0, 1, [&](const EndpointListUpdate&) { ++heard; }, log);
     Until(loop, [&] { return !peer.fds.empty(); });
     assert(::send(peer.fds[0].get(), head.data(), head.size(), MSG_NOSIGNAL) > 0);
     const std::string more(65536, '{');
@@ -247,20 +247,20 @@
 // The answer to a post that was given up comes after the next one has gone: it ends only what it was asked
 // for.
 void ALateAnswerEndsNoOtherNotice() {
-  Loop loop;
-  std::vector<std::shared_ptr<lab::Call>> posts;
-  lab::Listener agent(loop, {"127.0.0.1", 0}, [&](const auto& call) { posts.push_back(call); });
+  EventLoop loop;
+  std::vector<std::shared_ptr<loadtest::Call>> posts;
+  loadtest::Listener agent(loop, {"127.0.0.1", 0}, [&](const auto& call) { posts.push_back(call); });
   std::vector<std::uint64_t> heard;
   Logger log;
-  Notices notices(
-      loop, {"127.0.0.1", agent.port()}, Notices::Platform(), [&](std::uint64_t n) { heard.push_back(n); },
-      log);
+  NotificationClient notices(
+      loop, {"127.0.0.1", agent.port()}, NotificationClient::PlatformEncoding(),
+      [&](std::uint64_t n) { heard.push_back(n); }, log);
   const auto tell = [&](std::uint64_t number) {
     Message m;
     m.number = number;
     m.request.id = "m" + std::to_string(number);
-    m.end = End::kFailed;
-    notices.Tell(m);
+    m.final_status = FinalStatus::kFailed;
+    notices.Notify(m);
   };
   tell(1);
   Until(loop, [&] { return posts.size() == 1; });
--- a/tests/net/endpoint_list_watcher_test.cpp
+++ b/tests/net/endpoint_list_watcher_test.cpp
@@ -16,28 +16,28 @@
 
 void EachWaitIsDrawnUnderABoundThatDoubles() {
   for (const std::uint64_t seed : {1, 2, 3}) {
-    BackOff back_off(100ms, 700ms, seed);
+    Backoff back_off(100ms, 700ms, seed);
     for (int round = 0; round < 2; ++round) {
       for (const Duration bound : {100ms, 200ms, 400ms, 700ms, 700ms}) {
-        const Duration wait = back_off.Next();
+        const Duration wait = back_off.NextDelay();
         assert(wait >= 0ms && wait <= bound);
       }
-      back_off.Succeeded();
+      back_off.Reset();
     }
   }
-  BackOff constant(200ms, 0ms, 1);
-  BackOff huge_fleet(150s, 10s, 1);  // thousands of senders may not be away for minutes
-  for (int i = 0; i < 5; ++i) assert(constant.Next() <= 200ms && huge_fleet.Next() <= 10s);
+  Backoff constant(200ms, 0ms, 1);
+  Backoff huge_fleet(150s, 10s, 1);  // thousands of senders may not be away for minutes
+  for (int i = 0; i < 5; ++i) assert(constant.NextDelay() <= 200ms && huge_fleet.NextDelay() <= 10s);
 }
 
 // In virtual time: discovery serves `most` calls in any second, refused ones counted, and hears each of
 // `senders` again until it has been served. Returns how many it has served after 60 s.
 int Served(int senders, std::size_t most, Duration first, Duration longest) {
-  std::vector<BackOff> waits;
+  std::vector<Backoff> waits;
   std::priority_queue<std::pair<Duration, int>, std::vector<std::pair<Duration, int>>, std::greater<>> due;
   for (int i = 0; i < senders; ++i) {
     waits.emplace_back(first, longest, static_cast<std::uint64_t>(i));
-    due.emplace(waits.back().Next(), i);
+    due.emplace(waits.back().NextDelay(), i);
   }
   std::deque<Duration> heard;
   int served = 0;
@@ -48,7 +48,7 @@
     if (heard.size() <= most) {
       served += 1;
     } else {
-      due.emplace(now + waits[static_cast<std::size_t>(sender)].Next(), sender);
+      due.emplace(now + waits[static_cast<std::size_t>(sender)].NextDelay(), sender);
     }
   }
   return served;
@@ -64,24 +64,24 @@
 // How often discovery that refuses is asked until `until` by twenty of `senders`, in the mean.
 double Asks(bool on_request, int senders, Duration until) {
   constexpr int kWatches = 20;
-  Loop loop;
+  EventLoop loop;
   int asks = 0;
-  lab::Listener refuses(loop, {"127.0.0.1", 0}, [&](const std::shared_ptr<lab::Call>& call) {
+  loadtest::Listener refuses(loop, {"127.0.0.1", 0}, [&](const std::shared_ptr<loadtest::Call>& call) {
     asks += 1;
     call->Answer(503);
   });
   SiteSettings site;
-  site.module.list_on_request = on_request;
-  site.module.senders = senders;
-  site.module.ask_every = 10s;
+  site.policy.endpoint_list_on_request = on_request;
+  site.policy.dispatcher_count = senders;
+  site.policy.max_poll_interval = 10s;
   Logger log;
-  std::vector<std::unique_ptr<Watch>> watches;
+  std::vector<std::unique_ptr<EndpointListWatcher>> watches;
   for (std::uint64_t seed = 1; seed <= kWatches; ++seed) {
-    watches.push_back(std::make_unique<Watch>(
-        loop, Address{"127.0.0.1", refuses.port()}, site, 0, seed, [](const ListNews&) {}, log));
+    watches.push_back(std::make_unique<EndpointListWatcher>(
+        loop, Address{"127.0.0.1", refuses.port()}, site, 0, seed, [](const EndpointListUpdate&) {}, log));
   }
   Timer end(loop, [&] { loop.Break(); });
-  end.After(until);
+  end.Schedule(until);
   loop.Run();
   return static_cast<double>(asks) / kWatches;
 }
--- a/tests/net/endpoint_pool_races_test.cpp
+++ b/tests/net/endpoint_pool_races_test.cpp
@@ -24,64 +24,64 @@
   std::uint16_t port() const { return ntohs(at_.sin_port); }
   // From now on connections wait to come up, until Open().
   void Shut() {
-    blocker_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
+    blocker_ = FileDescriptor(::socket(AF_INET, SOCK_STREAM, 0));
     assert(::connect(blocker_.get(), reinterpret_cast<sockaddr*>(&at_), sizeof at_) == 0);
   }
   void Open() {
-    const Fd first(Accept());
+    const FileDescriptor first(Accept());
     assert(first.get() >= 0);
-    blocker_ = Fd();
+    blocker_ = FileDescriptor();
   }
   int Accept() { return ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK); }  // -1: none has come
 
  private:
   sockaddr_in at_{};
-  Fd listener_, blocker_;
+  FileDescriptor listener_, blocker_;
 };
 
-void Say(const Fd& fd, const std::string& text) {
+void Say(const FileDescriptor& fd, const std::string& text) {
   assert(::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
 }
-std::string Heard(const Fd& fd) {
+std::string Heard(const FileDescriptor& fd) {
   char text[4096];
   const ssize_t n = ::recv(fd.get(), text, sizeof text, MSG_DONTWAIT);
   return n > 0 ? std::string(text, static_cast<std::size_t>(n)) : "";
 }
-void Reset(Fd& fd) {
+void Reset(FileDescriptor& fd) {
   const linger at_once{1, 0};
   ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-  fd = Fd();
+  fd = FileDescriptor();
 }
 
 // A pool with one endpoint, and what came back: one result for each call, or the test fails.
 struct PoolWorld {
   PoolWorld() {
     std::signal(SIGPIPE, SIG_IGN);
-    Tell(EndpointEntry::State::kUp);
+    Tell(EndpointRecord::State::kUp);
     request.id = "a";
   }
-  void Tell(EndpointEntry::State state) {
-    EndpointNews news;
-    news.entry.endpoint = "s";
-    news.entry.state = state;
+  void Tell(EndpointRecord::State state) {
+    EndpointUpdate news;
+    news.record.endpoint = "s";
+    news.record.state = state;
     news.address = At(partner.port());
-    pool.Learn(news);
+    pool.UpdateEndpoint(news);
   }
   void Call(std::uint64_t number, Duration time_out = 5s, std::optional<Duration> write_within = {}) {
-    pool.Call({number, &request, "s", time_out, write_within});
+    pool.StartCall({number, &request, "s", time_out, write_within});
   }
-  Fd Accepted() {
-    Fd fd;
-    Until(loop, [&] { return (fd = Fd(partner.Accept())).get() >= 0; });
+  FileDescriptor Accepted() {
+    FileDescriptor fd;
+    Until(loop, [&] { return (fd = FileDescriptor(partner.Accept())).get() >= 0; });
     return fd;
   }
-  Fd Called(std::uint64_t number) {  // on a new connection
+  FileDescriptor Called(std::uint64_t number) {  // on a new connection
     Call(number);
-    Fd fd = Accepted();
+    FileDescriptor fd = Accepted();
     Hears(fd);
     return fd;
   }
-  void Hears(const Fd& fd) {
+  void Hears(const FileDescriptor& fd) {
     std::string heard;
     Until(loop, [&] { return (heard += Heard(fd)).ends_with("\r\n\r\n"); });
     assert(heard.starts_with("POST /hook "));
@@ -90,13 +90,13 @@
     Until(loop, [&] { return back.contains(number); });
     return back.at(number);
   }
-  Loop loop;
+  EventLoop loop;
   Partner partner;
   std::map<std::uint64_t, Outcome> back;
   Duration told_wait{0};  // by the last result
   EndpointPool pool{loop, {1500ms, 15s, 8, 8}, [this](const CallResult& r) {
                       assert(back.emplace(r.number, r.outcome).second);
-                      told_wait = r.told_wait;
+                      told_wait = r.retry_after;
                     }};
   Request request;
 };
@@ -105,19 +105,19 @@
 void WhatComesBeforeTheCallIsNoDelivery() {
   PoolWorld w;
   w.Call(1);
-  Fd fd(w.partner.Accept());  // connected, and the loop has not told the pool yet
+  FileDescriptor fd(w.partner.Accept());  // connected, and the loop has not told the pool yet
   assert(fd.get() >= 0);
   Say(fd, kGood);
   assert(w.Back(1) == Outcome::kConnectFailed && Heard(fd).empty());
   w.Call(2);
-  fd = Fd(w.partner.Accept());
+  fd = FileDescriptor(w.partner.Accept());
   Say(fd,
       "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");  // no place in its table: it need not read a call
-  assert(w.Back(2) == Outcome::kFull && Heard(fd).empty());
+  assert(w.Back(2) == Outcome::kRejected && Heard(fd).empty());
   w.Call(3);
-  fd = Fd(w.partner.Accept());
+  fd = FileDescriptor(w.partner.Accept());
   Say(fd, "HTTP/1.1 200");  // half a line, and then nothing
-  fd = Fd();
+  fd = FileDescriptor();
   assert(w.Back(3) == Outcome::kConnectFailed);
 }
 
@@ -125,14 +125,14 @@
 void ARestingConnectionThatHasEndedIsNotPicked() {
   for (const int how : {0, 1, 2}) {
     PoolWorld w;
-    Fd fd = w.Called(1);
+    FileDescriptor fd = w.Called(1);
     Say(fd, kGood);
     assert(w.Back(1) == Outcome::kOk);
-    if (how == 0) fd = Fd();
+    if (how == 0) fd = FileDescriptor();
     if (how == 1) Reset(fd);
     if (how == 2) Say(fd, "HTTP/1.1 20");
     w.Call(2);  // before the loop has told of it
-    Fd next = w.Accepted();
+    FileDescriptor next = w.Accepted();
     w.Hears(next);
     Say(next, kGood);
     assert(w.Back(2) == Outcome::kOk);
@@ -143,12 +143,12 @@
 void ARestingConnectionThatEndsUnderACallIsAReset() {
   for (const bool read : {false, true}) {
     PoolWorld w;
-    Fd fd = w.Called(1);
+    FileDescriptor fd = w.Called(1);
     Say(fd, kGood);
     assert(w.Back(1) == Outcome::kOk);
     w.Call(2);
     if (read) assert(Heard(fd).starts_with("POST"));
-    fd = Fd();
+    fd = FileDescriptor();
     assert(w.Back(2) == Outcome::kReset);
   }
 }
@@ -163,10 +163,10 @@
   for (const auto& [said, outcome] : table) {
     for (const bool later : {false, true}) {
       PoolWorld w;
-      Fd fd = w.Called(1);
+      FileDescriptor fd = w.Called(1);
       Say(fd, said);
       if (later) {
-        Fd second = w.Called(2);
+        FileDescriptor second = w.Called(2);
         Say(second, kGood);
         assert(w.Back(2) == Outcome::kOk);
       }
@@ -182,10 +182,10 @@
 void AnAnswerThatCrossesItsTimeOutIsHeard() {
   PoolWorld w;
   for (const std::uint64_t number : {11, 12}) {
-    Fd fd = w.Called(number);
+    FileDescriptor fd = w.Called(number);
     const std::string wait = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 400\r\nContent-Length: 0\r\n\r\n";
     if (number == 11) Say(fd, wait);
-    w.pool.Cancel(number);
+    w.pool.CancelCall(number);
     std::string end = "-";
     if (number == 12) {  // written when the partner hears that it was given up
       Until(w.loop, [&] { return ::recv(fd.get(), end.data(), 1, MSG_DONTWAIT) == 0; });
@@ -194,25 +194,25 @@
     assert(w.Back(number) == Outcome::kCancelled && w.told_wait == 400ms);
   }
   for (const std::uint64_t number : {13, 14}) {
-    Fd fd = w.Called(number);
+    FileDescriptor fd = w.Called(number);
     if (number == 13) Say(fd, kGood);
     if (number == 14) Say(fd, "HTTP/1.1 200 OK\r\nContent-");
-    w.pool.Cancel(number);
+    w.pool.CancelCall(number);
     assert(w.Back(number) == Outcome::kCancelled);
   }
   {  // its first line was read before, as another call shows that came and went since
-    Fd fd = w.Called(15);
+    FileDescriptor fd = w.Called(15);
     Say(fd, "HTTP/1.1 200 OK\r\nContent-");
-    Fd other = w.Called(16);
+    FileDescriptor other = w.Called(16);
     Say(other, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     assert(w.Back(16) == Outcome::kOk);
-    w.pool.Cancel(15);
+    w.pool.CancelCall(15);
     assert(w.Back(15) == Outcome::kOk);
   }
-  Fd fd = w.Called(1);
-  w.pool.Cancel(1);
-  w.pool.Cancel(1);
-  Fd second = w.Called(2);
+  FileDescriptor fd = w.Called(1);
+  w.pool.CancelCall(1);
+  w.pool.CancelCall(1);
+  FileDescriptor second = w.Called(2);
   assert(w.Back(1) == Outcome::kCancelled);
   Say(second, kGood);
   assert(w.Back(2) == Outcome::kOk);
@@ -220,7 +220,7 @@
   w.Hears(second);
   assert(w.Back(3) == Outcome::kTimeout);
   assert(::send(second.get(), kGood.data(), kGood.size(), MSG_NOSIGNAL) > 0 || errno == EPIPE);
-  Fd third = w.Called(4);
+  FileDescriptor third = w.Called(4);
   assert(!w.back.contains(4));
   Say(third, kGood);
   assert(w.Back(4) == Outcome::kOk && w.back.size() == 10);
@@ -234,12 +234,12 @@
     w.partner.Shut();
     w.Call(1, 5s, how == 0 ? std::optional<Duration>(300ms) : std::nullopt);
     RunFor(w.loop, 1ms);  // the dial has begun
-    if (how == 1) w.Tell(EndpointEntry::State::kDraining);
-    if (how == 2) w.pool.Forget("s");
-    if (how < 3) assert(w.Back(1) == Outcome::kMoot);
+    if (how == 1) w.Tell(EndpointRecord::State::kDraining);
+    if (how == 2) w.pool.RemoveEndpoint("s");
+    if (how < 3) assert(w.Back(1) == Outcome::kNotSent);
     w.partner.Open();
     if (how < 3) continue;
-    Fd fd = w.Accepted();  // as the system dials again, a second after the first time
+    FileDescriptor fd = w.Accepted();  // as the system dials again, a second after the first time
     w.Hears(fd);
     Say(fd, kGood);
     assert(w.Back(1) == Outcome::kOk);
@@ -256,8 +256,8 @@
   w.repeat_window_ms = 600;
   w.Start();
   w.Post("pedido", "late");
-  Fd fd;
-  Until(w.loop, [&] { return (fd = Fd(partner.Accept())).get() >= 0; });
+  FileDescriptor fd;
+  Until(w.loop, [&] { return (fd = FileDescriptor(partner.Accept())).get() >= 0; });
   std::string heard;
   Until(w.loop, [&] { return (heard += Heard(fd)).find("X-Request-Id: late\r\n") != heard.npos; });
   const auto first = std::chrono::steady_clock::now();
@@ -267,7 +267,7 @@
   partner.Open();
   std::string second;
   Until(w.loop, [&] {
-    if (fd.get() < 0) fd = Fd(partner.Accept());
+    if (fd.get() < 0) fd = FileDescriptor(partner.Accept());
     if (fd.get() >= 0) second += Heard(fd);
     return !second.empty() || w.agent.Told("\"late\"");
   });
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -12,7 +12,7 @@
 using Steady = std::chrono::steady_clock;
 
 void ATimerCountsFromWhenItIsSet() {
-  Loop loop;
+  EventLoop loop;
   Steady::time_point set, fired;
   Timer wait(loop, [&] {
     fired = Steady::now();
@@ -24,10 +24,10 @@
     while (Steady::now() < until) {
     }
     set = Steady::now();
-    wait.After(milliseconds(40));
-    other.After(milliseconds(11));
+    wait.Schedule(milliseconds(40));
+    other.Schedule(milliseconds(11));
   });
-  busy.After(Duration(0));
+  busy.Schedule(Duration(0));
   loop.Run();
   assert(fired - set >= milliseconds(40));
 }
--- a/tests/net/http_server_races_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -24,7 +24,7 @@
   void Reset() {
     const linger at_once{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-    fd_ = Fd();
+    fd_ = FileDescriptor();
   }
   // What has come; `ended` once the other side has ended in order, `reset` if it broke.
   const std::string& Got() {
@@ -45,7 +45,7 @@
   bool ended = false, reset = false;
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
   std::string got_;
 };
 
@@ -57,7 +57,7 @@
                  if (hold) {
                    held.push_back(exchange);
                  } else {
-                   exchange->Answer(200);
+                   exchange->Respond(200);
                  }
                  if (then) then();
                }) {}
@@ -75,13 +75,13 @@
     Until(loop, [&] { return client.Got(), client.ended || client.reset; });
     assert(!client.reset);
   }
-  Loop loop;
+  EventLoop loop;
   int asked = 0;
   bool hold = false;
   std::function<void()> then;
   std::vector<std::shared_ptr<Exchange>> held;
   std::vector<std::unique_ptr<Client>> clients;
-  Server server;
+  HttpServer server;
 };
 
 // The shutdown comes in the round in which an answer was given and not yet written.
@@ -157,7 +157,7 @@
   Client& client = w.Add("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
   Until(w.loop, [&] { return w.held.size() == 1; });
   assert(client.Say(kAsk + kAsk));
-  w.held[0]->Answer(200);
+  w.held[0]->Respond(200);
   w.UntilEnded(client);
   assert(client.Answers() == 1 && w.asked == 1);
 }
@@ -171,9 +171,9 @@
     Until(w.loop, [&] { return w.held.size() == 1; });
     if (reset) client.Reset();
     if (!reset) w.clients.clear();
-    w.held[0]->Answer(200, std::string(100, 'x'));  // before the loop has told of it
+    w.held[0]->Respond(200, std::string(100, 'x'));  // before the loop has told of it
     Until(w.loop, [&] { return w.server.connections() == 0; });
-    assert(!w.held[0]->Answer(200));
+    assert(!w.held[0]->Respond(200));
   }
 }
 
@@ -207,7 +207,7 @@
   Client queued(w.dispatcher->port());
   assert(queued.Say(message("queued")));
   const auto begun = std::chrono::steady_clock::now();
-  w.dispatcher->Stop();
+  w.dispatcher->Shutdown();
   assert(half.Say(message("half").substr(40)) && rests.Say(message("late")));
   event_base_dispatch(w.loop.base());
   assert(std::chrono::steady_clock::now() - begun < 3700ms);
--- a/tests/policy/cold_return_test.cpp
+++ b/tests/policy/cold_return_test.cpp
@@ -37,8 +37,8 @@
  public:
   ColdReturn(const Play& play, std::uint64_t seed)
       : play_(play), settings_(FleetSettings(play.senders, 6, 60)), random_(seed) {
-    settings_.warm_within = 11s;
-    settings_.rates = Rates::kRough;
+    settings_.warm_up_time = 11s;
+    settings_.advertised_rates = AdvertisedRates::kApproximate;
     for (int i = 0; i < play.senders; ++i) members_.push_back(std::make_unique<Member>());
     for (int i = 0; i < play.senders; ++i) Start(i, 0s);
   }
@@ -46,7 +46,7 @@
   // The first fall; none: it warmed up.
   std::optional<Fall> Run() {
     const double rate = play_.load * play_.capacity;
-    for (Time t = Gap(rate); t < kDown + play_.outage + settings_.warm_within + 4s; t += Gap(rate)) {
+    for (Time t = Gap(rate); t < kDown + play_.outage + settings_.warm_up_time + 4s; t += Gap(rate)) {
       const bool busy = Chance(1.0 / 3);
       Put(t, Pick(busy ? std::max(1, play_.senders / 10) : play_.senders), Kind::kArrival);
     }
@@ -65,7 +65,7 @@
       } else if (due.kind == Kind::kRestart) {
         Start(due.sender, now_);
       } else if (due.kind == Kind::kWake) {
-        if (member.life == due.life && member.wake == now_) Step(due.sender, {WakeDue{}});
+        if (member.life == due.life && member.wake == now_) Step(due.sender, {TimerFired{}});
       } else if (member.life == due.life) {
         Arrive(due);
       }
@@ -82,7 +82,7 @@
     std::uint64_t order;
     int sender, life;
     Kind kind;
-    AttemptEnded ended;
+    AttemptCompleted ended;
     bool operator<(const Due& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
   };
   struct Held {
@@ -92,7 +92,7 @@
     Time out{0};  // sent then; 0: waits
   };
   struct Member {
-    std::unique_ptr<Sender> sender;
+    std::unique_ptr<DispatchPolicy> sender;
     std::map<std::string, Held> held;
     Time wake = Time::max();
     int life = 0;
@@ -105,7 +105,7 @@
   Time Gap(double rate) {
     return Time(static_cast<std::int64_t>(std::exponential_distribution<double>(rate)(random_) * 1e6) + 1);
   }
-  void Put(Time at, int sender, Kind kind, const AttemptEnded& ended = {}) {
+  void Put(Time at, int sender, Kind kind, const AttemptCompleted& ended = {}) {
     due_.push({at, next_++, sender, members_[static_cast<std::size_t>(sender)]->life, kind, ended});
   }
 
@@ -116,19 +116,19 @@
     member.life += 1;
     member.told = false;
     member.wake = Time::max();
-    settings_.ordinal = i;
-    member.sender = std::make_unique<Sender>(settings_, random_());
-    ListChanged list{.kind = ListChanged::Kind::kWhole, .entries = {}};
+    settings_.dispatcher_index = i;
+    member.sender = std::make_unique<DispatchPolicy>(settings_, random_());
+    EndpointListUpdated list{.kind = EndpointListUpdated::Kind::kFullSnapshot, .endpoints = {}};
     for (int e = 0; e < play_.endpoints; ++e) {
-      list.entries.push_back(At("e" + std::to_string(e), 0, 1, play_.told * play_.capacity));
+      list.endpoints.push_back(At("e" + std::to_string(e), 0, 1, play_.told * play_.capacity));
     }
     std::vector<Event> events = {list};
     for (auto& [id, held] : member.held) {
-      MessageTaken taken = Node::Taken(id, held.message_class, held.deadline - now);
+      MessageAccepted taken = Node::Taken(id, held.message_class, held.deadline - now);
       if (held.out > 0s && !held.may_have_run) held.may_have_run = held.out;
       held.out = 0s;
       taken.attempts = held.attempts;
-      taken.may_have_run = held.may_have_run;
+      taken.first_uncertain_attempt = held.may_have_run;
       events.push_back(taken);
     }
     Step(i, events);
@@ -137,35 +137,35 @@
   void Step(int i, const std::vector<Event>& events) {
     Member& member = *members_[static_cast<std::size_t>(i)];
     std::vector<Action> actions;
-    member.sender->Step(now_, events, actions);
+    member.sender->Process(now_, events, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) Call(i, *send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) member.held.erase(refuse->id);
-      if (const auto* fail = std::get_if<Fail>(&action)) member.held.erase(fail->id);
-      if (const auto* wake = std::get_if<Wake>(&action)) {
-        member.wake = now_ + wake->after;
+      if (const auto* send = std::get_if<StartAttempt>(&action)) Call(i, *send);
+      if (const auto* refuse = std::get_if<RejectMessage>(&action)) member.held.erase(refuse->id);
+      if (const auto* fail = std::get_if<FailMessage>(&action)) member.held.erase(fail->id);
+      if (const auto* wake = std::get_if<ScheduleTimer>(&action)) {
+        member.wake = now_ + wake->delay;
         Put(member.wake, i, Kind::kWake);
       }
     }
   }
 
-  void Call(int i, const Send& send) {
+  void Call(int i, const StartAttempt& send) {
     Member& member = *members_[static_cast<std::size_t>(i)];
     Held& held = member.held.at(send.id);
     held.out = now_;
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = send.id;
     e.attempt = held.attempts++;
     if (now_ >= kDown && now_ < Back()) {
       member.told = true;  // hears it in a moment
-      e.outcome = play_.shut ? Outcome::kFull : Outcome::kConnectFailed;
-      e.took = play_.shut ? 35ms : 15ms;
+      e.outcome = play_.shut ? Outcome::kRejected : Outcome::kConnectFailed;
+      e.latency = play_.shut ? 35ms : 15ms;
     } else {
-      e.took = 60ms;
+      e.latency = 60ms;
       Weigh(member.told);
     }
-    e.finished = e.outcome == Outcome::kOk;
-    Put(now_ + e.took, i, Kind::kOutcome, e);
+    e.message_ended = e.outcome == Outcome::kOk;
+    Put(now_ + e.latency, i, Kind::kOutcome, e);
   }
 
   // What the settings allow it, summed up over the last `tip_after`.
@@ -173,11 +173,11 @@
     if (now_ < Back()) return;
     after_ += 1;
     reached_.emplace_back(now_, told);
-    while (reached_.front().first + settings_.tip_after <= now_) reached_.pop_front();
+    while (reached_.front().first + settings_.overload_duration <= now_) reached_.pop_front();
     const double since = static_cast<double>((now_ - Back()).count()) / 1e6;
-    const double warmth = std::min(1.0, since / (static_cast<double>(settings_.warm_within.count()) / 1e6));
-    const double present = settings_.cold_share + (1 - settings_.cold_share) * warmth;
-    const double n = settings_.fall_multiple * present * play_.capacity * 1.5;
+    const double warmth = std::min(1.0, since / (static_cast<double>(settings_.warm_up_time.count()) / 1e6));
+    const double present = settings_.cold_capacity_fraction + (1 - settings_.cold_capacity_fraction) * warmth;
+    const double n = settings_.overload_multiple * present * play_.capacity * 1.5;
     const double most = n + 2 * std::sqrt(n) + 2;
     if (warmth >= 1 || static_cast<double>(reached_.size()) <= most) return;
     const auto seen = std::ranges::count_if(reached_, [](const auto& call) { return call.second; });
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -35,15 +35,17 @@
   Fleet(Shape shape, std::uint64_t seed) : shape_(shape), random_(seed) {
     Settings s = FleetSettings(shape.senders, 4, 50);
     for (int i = 0; i < shape.senders; ++i) {
-      s.ordinal = i;
-      members_.push_back({Sender(s, seed * 1000 + static_cast<std::uint64_t>(i)), {}, 0, Time::max()});
+      s.dispatcher_index = i;
+      members_.push_back(
+          {DispatchPolicy(s, seed * 1000 + static_cast<std::uint64_t>(i)), {}, 0, Time::max()});
     }
   }
 
   Account Run(Time until) {
-    const EndpointEntry entry = At("e", 0, 1, shape_.told);
+    const EndpointRecord entry = At("e", 0, 1, shape_.told);
     for (int i = 0; i < shape_.senders; ++i) {
-      Step(i, 0s, {ListChanged{.kind = ListChanged::Kind::kWhole, .entries = {entry}}});
+      Step(i, 0s,
+           {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot, .endpoints = {entry}}});
     }
     // Uneven: a tenth of the senders gets a third of the traffic.
     std::exponential_distribution<double> gap(shape_.arrivals);
@@ -66,7 +68,7 @@
         Arrive(due);
       } else if (member.wake == due.at) {
         member.wake = Time::max();
-        Step(due.sender, due.at, {WakeDue{}});
+        Step(due.sender, due.at, {TimerFired{}});
       }
     }
     return account_;
@@ -79,7 +81,7 @@
     std::uint64_t order;
     int sender;
     Kind kind;
-    AttemptEnded ended;
+    AttemptCompleted ended;
     bool operator<(const Due& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
   };
   struct Held {
@@ -87,7 +89,7 @@
     Time deadline{0};
   };
   struct Member {
-    Sender sender;
+    DispatchPolicy sender;
     std::map<std::string, Held> held;
     int idle = 0;  // connections with a place in the table
     Time wake;
@@ -102,23 +104,23 @@
   void Step(int i, Time now, const std::vector<Event>& events) {
     Member& member = members_[static_cast<std::size_t>(i)];
     std::vector<Action> actions;
-    member.sender.Step(now, events, actions);
+    member.sender.Process(now, events, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) Call(i, now, *send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) member.held.erase(refuse->id);
-      if (const auto* fail = std::get_if<Fail>(&action)) member.held.erase(fail->id);
-      if (std::holds_alternative<CloseIdle>(action)) open_ -= std::exchange(member.idle, 0);
-      if (const auto* wake = std::get_if<Wake>(&action)) {
-        member.wake = now + wake->after;
+      if (const auto* send = std::get_if<StartAttempt>(&action)) Call(i, now, *send);
+      if (const auto* refuse = std::get_if<RejectMessage>(&action)) member.held.erase(refuse->id);
+      if (const auto* fail = std::get_if<FailMessage>(&action)) member.held.erase(fail->id);
+      if (std::holds_alternative<CloseIdleConnections>(action)) open_ -= std::exchange(member.idle, 0);
+      if (const auto* wake = std::get_if<ScheduleTimer>(&action)) {
+        member.wake = now + wake->delay;
         events_.push({member.wake, next_++, i, Kind::kWake, {}});
       }
     }
   }
 
-  void Call(int i, Time now, const Send& send) {
+  void Call(int i, Time now, const StartAttempt& send) {
     Member& member = members_[static_cast<std::size_t>(i)];
     account_.calls += 1;
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = send.id;
     e.attempt = member.held.at(send.id).attempts++;
     const double second = static_cast<double>(now.count()) / 1e6;
@@ -128,22 +130,22 @@
       account_.while_down += 1;
       open_ -= std::exchange(member.idle, 0);
       e.outcome = Outcome::kConnectFailed;
-      e.took = 15ms;
+      e.latency = 15ms;
     } else if (fresh && open_ >= shape_.table) {
       account_.no_place += 1;
-      e.outcome = Outcome::kFull;
-      e.took = 17ms;
+      e.outcome = Outcome::kRejected;
+      e.latency = 17ms;
     } else {
       account_.opened += fresh ? 1 : 0;
       open_ += fresh ? 1 : 0;
       member.idle -= fresh ? 0 : 1;
-      e.outcome = OverLimit(now) ? Outcome::kFull : Outcome::kOk;
-      e.told_wait = e.outcome == Outcome::kFull && Chance(0.4) ? 500ms : 0ms;
-      e.took = fresh ? 45ms : 30ms;
+      e.outcome = OverLimit(now) ? Outcome::kRejected : Outcome::kOk;
+      e.retry_after = e.outcome == Outcome::kRejected && Chance(0.4) ? 500ms : 0ms;
+      e.latency = fresh ? 45ms : 30ms;
       placed_.insert({i, e.id});
     }
-    e.finished = e.outcome == Outcome::kOk;
-    events_.push({now + e.took, next_++, i, Kind::kOutcome, e});
+    e.message_ended = e.outcome == Outcome::kOk;
+    events_.push({now + e.latency, next_++, i, Kind::kOutcome, e});
   }
 
   bool OverLimit(Time now) {
--- a/tests/policy/growth_test.cpp
+++ b/tests/policy/growth_test.cpp
@@ -31,51 +31,51 @@
   Settings settings;
   settings.classes.resize(2);
   for (ClassSettings& c : settings.classes) {
-    c.aim = 2s;
+    c.latency_objective = 2s;
     c.deadline = 12s;
-    c.worth = 1;
+    c.priority_weight = 1;
   }
-  settings.classes[1].effect = Effect::kKeyed;
-  settings.classes[1].repeat_window = 10s;
-  settings.classes[1].in_order = true;
-  settings.key_quiet = 1s;
+  settings.classes[1].idempotency = Idempotency::kIdempotentWithKey;
+  settings.classes[1].deduplication_window = 10s;
+  settings.classes[1].ordered_by_key = true;
+  settings.key_quiet_time = 1s;
   settings.kinds.resize(1);
-  settings.slots = 4;
-  settings.most_held = 50;
+  settings.max_concurrent_calls = 4;
+  settings.max_pending_messages = 50;
   settings.max_attempts = 6;
-  settings.connection_idle = 15s;
-  settings.cold_share = 0.3;
-  settings.fall_multiple = 1.5;
-  settings.tip_after = 1500ms;
-  settings.warm_within = 11s;
-  Sender sender(settings, 1);
+  settings.connection_idle_timeout = 15s;
+  settings.cold_capacity_fraction = 0.3;
+  settings.overload_multiple = 1.5;
+  settings.overload_duration = 1500ms;
+  settings.warm_up_time = 11s;
+  DispatchPolicy sender(settings, 1);
   Time now = 1000s;
   std::vector<Action> actions;
   const auto name = [](int i) { return "s-" + std::to_string(i); };
   long early = 0;
   for (int i = 0; i < 3000; ++i) {
     now += 1s;
-    ListChanged list;
-    list.entries = {{name(i), 7, 0, 0, 50, EndpointEntry::State::kUp}};
-    if (i > 0) list.entries.push_back({name(i - 1), 7, 0, 0, 50, EndpointEntry::State::kRemoved});
-    MessageTaken message{std::to_string(i), 7, i % 2, 9s, "key" + std::to_string(i)};
+    EndpointListUpdated list;
+    list.endpoints = {{name(i), 7, 0, 0, 50, EndpointRecord::State::kUp}};
+    if (i > 0) list.endpoints.push_back({name(i - 1), 7, 0, 0, 50, EndpointRecord::State::kRemoved});
+    MessageAccepted message{std::to_string(i), 7, i % 2, 9s, "key" + std::to_string(i)};
     actions.clear();
-    sender.Step(now, std::vector<Event>{list, message}, actions);
+    sender.Process(now, std::vector<Event>{list, message}, actions);
     // Every fourth call breaks and may still run; whatever becomes of it, it ends here.
     std::vector<Event> back;
     for (const Action& action : actions) {
-      if (const Send* send = std::get_if<Send>(&action)) {
-        AttemptEnded ended;
+      if (const StartAttempt* send = std::get_if<StartAttempt>(&action)) {
+        AttemptCompleted ended;
         ended.id = send->id;
         ended.outcome = i % 4 == 0 ? Outcome::kReset : Outcome::kOk;
-        ended.finished = true;
-        ended.took = 50ms;
+        ended.message_ended = true;
+        ended.latency = 50ms;
         back.push_back(ended);
       }
     }
     now += 50ms;
     actions.clear();
-    sender.Step(now, back, actions);
+    sender.Process(now, back, actions);
     if (i == 500) early = live_blocks;
   }
   std::printf("%ld blocks after 500 replacements, %ld after 3,000\n", early, live_blocks);
--- a/tests/policy/random_rules_test.cpp
+++ b/tests/policy/random_rules_test.cpp
@@ -16,7 +16,7 @@
 
 struct Flight {
   Time due{0};
-  AttemptEnded end;
+  AttemptCompleted end;
 };
 
 struct Known {  // the books on one message
@@ -43,7 +43,9 @@
     Time wake = Time::max();
     for (Time now = 0s; now < 60s; now += 5ms) {
       std::vector<Event> events;
-      if (now == 0s) events.push_back(ListChanged{.kind = ListChanged::Kind::kWhole, .entries = entries_});
+      if (now == 0s)
+        events.push_back(
+            EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot, .endpoints = entries_});
       if (Chance(0.002)) Toggle(now, events);
       if (Chance(0.002)) mood_[Pick(4)] = Pick(4);
       if (now < 30s && Chance(0.15)) Take(now, events);
@@ -58,28 +60,28 @@
       }
       for (auto& [id, m] : known_) {
         if (!m.over) {
-          ASSERT_LE(now, m.deadline + s_.answer_slack) << "no answer in time: " << id;
+          ASSERT_LE(now, m.deadline + s_.response_slack) << "no answer in time: " << id;
         }
       }
       if (now >= wake) {
-        events.push_back(WakeDue{});
+        events.push_back(TimerFired{});
         wake = Time::max();
       }
       if (events.empty()) continue;
       std::vector<Action> actions;
-      sender_.Step(now, events, actions);
+      sender_.Process(now, events, actions);
       for (const auto& [id, t] : waits_told_) waits_[id] = std::max(waits_[id], t);
       waits_told_.clear();
       calls_now_.clear();
       for (const Action& action : actions) {
-        if (const auto* send = std::get_if<Send>(&action)) Check(now, *send);
-        if (const auto* refuse = std::get_if<Refuse>(&action)) Check(now, *refuse);
-        if (const auto* fail = std::get_if<Fail>(&action)) End(now, fail->id);
-        if (const auto* cancel = std::get_if<Cancel>(&action)) CallOff(now, *cancel);
-        if (const auto* w = std::get_if<Wake>(&action)) wake = std::min(wake, now + w->after);
-        if (const auto* probe = std::get_if<Probe>(&action)) {
+        if (const auto* send = std::get_if<StartAttempt>(&action)) Check(now, *send);
+        if (const auto* refuse = std::get_if<RejectMessage>(&action)) Check(now, *refuse);
+        if (const auto* fail = std::get_if<FailMessage>(&action)) End(now, fail->id);
+        if (const auto* cancel = std::get_if<CancelAttempt>(&action)) CallOff(now, *cancel);
+        if (const auto* w = std::get_if<ScheduleTimer>(&action)) wake = std::min(wake, now + w->delay);
+        if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
           CheckReach(now, probe->endpoint, false);
-          EXPECT_TRUE(s_.may_probe);
+          EXPECT_TRUE(s_.health_checks_allowed);
           flights_.push_back({now + 50ms, {}});
           flights_.back().end.id = "probe " + probe->endpoint;
         }
@@ -97,13 +99,13 @@
   std::string LaneOf(const std::string& e) const { return e[1] == '1' ? e : e.substr(0, 2); }
 
   void Toggle(Time now, std::vector<Event>& events) {
-    EndpointEntry entry = entries_[static_cast<std::size_t>(Pick(static_cast<int>(entries_.size())))];
+    EndpointRecord entry = entries_[static_cast<std::size_t>(Pick(static_cast<int>(entries_.size())))];
     up_[entry.endpoint] = !up_[entry.endpoint];
     if (!up_[entry.endpoint]) {
-      entry.state = Chance(0.5) ? EndpointEntry::State::kDraining : EndpointEntry::State::kRemoved;
+      entry.state = Chance(0.5) ? EndpointRecord::State::kDraining : EndpointRecord::State::kRemoved;
     }
     told_down_[entry.endpoint] = now;
-    events.push_back(ListChanged{.entries = {entry}});
+    events.push_back(EndpointListUpdated{.endpoints = {entry}});
   }
 
   void Take(Time now, std::vector<Event>& events) {
@@ -114,7 +116,7 @@
     m.taken = known_.size();
     const Duration left = s_.classes[m.cls].deadline - milliseconds_(Chance(0.2) ? Pick(9000) : 0);
     m.deadline = now + left;
-    if (s_.classes[m.cls].in_order) m.key = "k" + std::to_string(Pick(6));
+    if (s_.classes[m.cls].ordered_by_key) m.key = "k" + std::to_string(Pick(6));
     events.push_back(Node::Taken(id, m.cls, left, m.key, m.destination));
     known_[id] = m;
   }
@@ -124,14 +126,14 @@
     auto at = known_.begin();
     std::advance(at, Pick(static_cast<int>(known_.size())));
     at->second.over = true;
-    events.push_back(Withdrawn{at->first});
+    events.push_back(MessageWithdrawn{at->first});
   }
 
   void Land(Time now, Flight& flight, std::vector<Event>& events) {
     if (flight.end.id.rfind("probe ", 0) == 0) {
       failures_[flight.end.id.substr(6)] = 0;
       reached_[flight.end.id.substr(6)].clear();
-      events.push_back(ProbeEnded{flight.end.id.substr(6), Outcome::kOk, 50ms, {}});
+      events.push_back(HealthCheckCompleted{flight.end.id.substr(6), Outcome::kOk, 50ms, {}});
       return;
     }
     Known& m = known_[flight.end.id];
@@ -142,14 +144,14 @@
       if (!m.over) ++delivered_;
       m.over = true;
     }
-    flight.end.finished = m.over;
+    flight.end.message_ended = m.over;
     if (o == Outcome::kError || o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled) {
       if (!m.may_have_run) m.may_have_run = sent_[flight.end.id];
-      if (o != Outcome::kError && !m.key.empty()) quiet_[m.key] = {now + s_.key_quiet, flight.end.id};
+      if (o != Outcome::kError && !m.key.empty()) quiet_[m.key] = {now + s_.key_quiet_time, flight.end.id};
     }
-    if (flight.end.told_wait > 0ms) {
+    if (flight.end.retry_after > 0ms) {
       const std::string lane = LaneOf(endpoint_[flight.end.id]);
-      waits_told_.push_back({lane, now + flight.end.told_wait});
+      waits_told_.push_back({lane, now + flight.end.retry_after});
     }
     // The call itself is over when its last member is.
     const auto call = call_of_[flight.end.id];
@@ -163,19 +165,20 @@
     events.push_back(flight.end);
   }
 
-  void CallOff(Time now, const Cancel& cancel) {
+  void CallOff(Time now, const CancelAttempt& cancel) {
     const Known& m = known_.at(cancel.id);
-    ASSERT_TRUE(s_.may_cancel && m.out);
+    ASSERT_TRUE(s_.cancellation_allowed && m.out);
     ASSERT_EQ(cancel.attempt, m.attempts - 1);
     const auto later = std::ranges::count_if(answered_, [&](const auto& call) {
       return call.first == endpoint_[cancel.id] && call.second > sent_[cancel.id];
     });
-    ASSERT_GE(later, s_.classes[m.cls].effect == Effect::kUnsafe ? 4 : 2) << "given up without evidence";
+    ASSERT_GE(later, s_.classes[m.cls].idempotency == Idempotency::kNotIdempotent ? 4 : 2)
+        << "given up without evidence";
     for (Flight& flight : flights_) {
       if (flight.end.id != cancel.id) continue;
       flight.due = now + 10ms;
       flight.end.outcome = Outcome::kCancelled;
-      flight.end.told_wait = 0ms;
+      flight.end.retry_after = 0ms;
     }
   }
 
@@ -196,7 +199,7 @@
     const bool lone = !up_[other] || (changed != told_down_.end() && now < changed->second + 6s);
     const double rate = LaneOf(endpoint) == endpoint || lone ? 4.0 : 2.0;
     // Of all senders: one that has all the traffic may use it all (decide_test counts them together).
-    const double budget = s_.cold_share * s_.fall_multiple * rate * 3.0;
+    const double budget = s_.cold_capacity_fraction * s_.overload_multiple * rate * 3.0;
     std::vector<Time>& reached = reached_[endpoint];
     reached.push_back(now);
     const auto in_window =
@@ -206,16 +209,16 @@
     ASSERT_LE(static_cast<double>(in_window), 1 + std::ceil(budget)) << "pushed over " << endpoint;
   }
 
-  void Check(Time now, const Send& send) {
+  void Check(Time now, const StartAttempt& send) {
     Known& m = known_.at(send.id);
     ASSERT_FALSE(m.over) << "sent after its end";
     ASSERT_FALSE(m.out) << "two attempts out";
     ASSERT_EQ(send.endpoint[1] - '0', m.destination);
     const ClassSettings& c = s_.classes[m.cls];
     if (m.may_have_run) {
-      ASSERT_NE(c.effect, Effect::kUnsafe) << "effect twice";
-      if (c.effect == Effect::kKeyed) {
-        ASSERT_LE(now, *m.may_have_run + c.repeat_window) << "key forgotten";
+      ASSERT_NE(c.idempotency, Idempotency::kNotIdempotent) << "effect twice";
+      if (c.idempotency == Idempotency::kIdempotentWithKey) {
+        ASSERT_LE(now, *m.may_have_run + c.deduplication_window) << "key forgotten";
       }
     }
     if (!m.key.empty()) {
@@ -229,7 +232,7 @@
         ASSERT_LE(quiet->second.first, now);
       }
     }
-    const int most = s_.kinds[m.destination % 3].batch_max;
+    const int most = s_.kinds[m.destination % 3].max_batch_size;
     auto& [call, members] = calls_now_[send.endpoint];
     const bool same = members > 0 && members < most;
     if (!same) {
@@ -238,7 +241,7 @@
       ++calls_out_;
     }
     ++members;
-    ASSERT_LE(calls_out_, s_.slots) << "beyond the slots";
+    ASSERT_LE(calls_out_, s_.max_concurrent_calls) << "beyond the slots";
     CheckReach(now, send.endpoint, same);
     if (::testing::Test::HasFatalFailure()) return;
     m.out = true;
@@ -249,20 +252,20 @@
     call_members_[call] += 1;
     // One fate for a call: drawn by its first member.
     if (!same) fate_[call] = Draw(m.destination);
-    AttemptEnded end = fate_[call];
+    AttemptCompleted end = fate_[call];
     end.id = send.id;
     end.attempt = m.attempts - 1;
-    if (end.took >= send.time_out) {
-      end.took = send.time_out;
+    if (end.latency >= send.timeout) {
+      end.latency = send.timeout;
       end.outcome = Outcome::kTimeout;
-      end.told_wait = 0ms;
+      end.retry_after = 0ms;
     }
-    flights_.push_back({now + end.took, end});
+    flights_.push_back({now + end.latency, end});
   }
 
-  AttemptEnded Draw(int destination) {
-    AttemptEnded end;
-    end.took = milliseconds_(20 + Pick(300));
+  AttemptCompleted Draw(int destination) {
+    AttemptCompleted end;
+    end.latency = milliseconds_(20 + Pick(300));
     switch (mood_[destination]) {
       case 1:
         end.outcome = Chance(0.5) ? Outcome::kError : Outcome::kReset;
@@ -271,10 +274,10 @@
         end.outcome = Outcome::kConnectFailed;
         break;
       case 3:
-        if (Chance(0.5)) end.took = 100s;
+        if (Chance(0.5)) end.latency = 100s;
         if (Chance(0.5)) {
-          end.outcome = Outcome::kFull;
-          end.told_wait = milliseconds_(Chance(0.5) ? 0 : Pick(900));
+          end.outcome = Outcome::kRejected;
+          end.retry_after = milliseconds_(Chance(0.5) ? 0 : Pick(900));
         }
         break;
       default:
@@ -283,10 +286,10 @@
     return end;
   }
 
-  void Check(Time now, const Refuse& refuse) {
+  void Check(Time now, const RejectMessage& refuse) {
     const Known& m = known_.at(refuse.id);
     if (m.may_have_run) {
-      ASSERT_NE(s_.classes[m.cls].effect, Effect::kUnsafe) << "refused what may have run";
+      ASSERT_NE(s_.classes[m.cls].idempotency, Idempotency::kNotIdempotent) << "refused what may have run";
     }
     End(now, refuse.id);
   }
@@ -294,14 +297,14 @@
     Known& m = known_.at(id);
     ASSERT_FALSE(m.over) << "two final answers";
     ASSERT_FALSE(m.out) << "answered while out";
-    ASSERT_LE(now, m.deadline + s_.answer_slack);
+    ASSERT_LE(now, m.deadline + s_.response_slack);
     m.over = true;
   }
 
   Settings s_;
-  Sender sender_;
+  DispatchPolicy sender_;
   std::mt19937_64 random_;
-  std::vector<EndpointEntry> entries_;
+  std::vector<EndpointRecord> entries_;
   std::map<std::string, bool> up_;
   std::map<std::string, Time> told_down_, sent_, waits_;
   std::vector<std::pair<std::string, Time>> answered_;  // by which endpoint, and when the call was sent
@@ -315,7 +318,7 @@
   std::vector<Flight> flights_;
   std::map<std::string, int> call_of_;
   std::map<int, int> call_members_;
-  std::map<int, AttemptEnded> fate_;
+  std::map<int, AttemptCompleted> fate_;
   std::set<int> failed_call_;
   std::map<std::string, std::pair<int, int>> calls_now_;
   int calls_ = 0, calls_out_ = 0, delivered_ = 0;
@@ -326,12 +329,12 @@
 TEST_P(RandomRules, AreKept) {
   Settings s = SmallSettings();
   const auto seed = static_cast<std::uint64_t>(GetParam());
-  s.senders = 1 + GetParam() % 3;
-  s.slots = 2 + GetParam() % 7;
-  s.classes[kUnsafeClass].in_order = GetParam() % 2 == 0;
-  s.key_quiet = GetParam() % 4 == 0 ? 400ms : 0ms;
-  s.may_probe = GetParam() % 5 != 0;
-  s.may_cancel = GetParam() % 2 != 0;
+  s.dispatcher_count = 1 + GetParam() % 3;
+  s.max_concurrent_calls = 2 + GetParam() % 7;
+  s.classes[kUnsafeClass].ordered_by_key = GetParam() % 2 == 0;
+  s.key_quiet_time = GetParam() % 4 == 0 ? 400ms : 0ms;
+  s.health_checks_allowed = GetParam() % 5 != 0;
+  s.cancellation_allowed = GetParam() % 2 != 0;
   Books(seed, s).Run();
 }
 
@@ -343,16 +346,19 @@
     for (int i = 0; i < 200; ++i) {
       std::vector<Event> events;
       if (i == 0)
-        events.push_back(ListChanged{.kind = ListChanged::Kind::kWhole, .entries = {At("e"), At("f")}});
-      for (const std::string& id : {node.Ids<Send>()}) {
+        events.push_back(EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
+                                             .endpoints = {At("e"), At("f")}});
+      for (const std::string& id : {node.Ids<StartAttempt>()}) {
         if (!id.empty()) events.push_back(node.Ended(id, i % 3 ? Outcome::kReset : Outcome::kOk));
       }
       events.push_back(Node::Taken("m" + std::to_string(i), i % 2));
       node.Step(i * 400ms, events);
       if (other != nullptr) other->Take(i * 400ms, "x" + std::to_string(i));
-      told += node.Ids<Send>() + "/" + node.Ids<Refuse>() + "/" + node.Ids<Fail>() + ";";
-      for (const Wake& wake : node.All<Wake>()) told += std::to_string(wake.after.count()) + ",";
-      if (node.All<Send>().size() > 1) return told;  // the script answers one at a time
+      told +=
+          node.Ids<StartAttempt>() + "/" + node.Ids<RejectMessage>() + "/" + node.Ids<FailMessage>() + ";";
+      for (const ScheduleTimer& wake : node.All<ScheduleTimer>())
+        told += std::to_string(wake.delay.count()) + ",";
+      if (node.All<StartAttempt>().size() > 1) return told;  // the script answers one at a time
     }
     return told;
   };
