--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 test:
 	tests/all.sh
 lint:
-	tests/form.sh .
+	tests/lint.sh
 run: build
 	build/sagetally
 clean:
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -4,13 +4,16 @@
 cd "$(dirname "$0")/.."
 for mode in OFF ON; do
   build=build-test-$mode
-  flags="-DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS_DEBUG=-g1 -DSAGETALLY_WERROR=ON -DSAGETALLY_SANITIZE=$mode"
+  configure() { # configure BUILD_TESTING SAGETALLY_LOADTEST
+    cmake -S . -B "$build" -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS_DEBUG=-g1 -DSAGETALLY_WERROR=ON \
+      -DSAGETALLY_SANITIZE=$mode -DBUILD_TESTING="$1" -DSAGETALLY_LOADTEST="$2"
+  }
   if [ $mode = OFF ]; then
-    # What the platform builds must need neither the tests nor the lab; what it makes is used again below.
-    cmake -S . -B $build $flags -DBUILD_TESTING=OFF -DSAGETALLY_LOADTEST=OFF
-    cmake --build $build -j"$(nproc)"
+    # What the platform builds needs neither the tests nor the load tool; what it makes is used again below.
+    configure OFF OFF
+    cmake --build "$build" -j"$(nproc)"
   fi
-  cmake -S . -B $build $flags -DBUILD_TESTING=ON -DSAGETALLY_LOADTEST=ON
-  cmake --build $build -j"$(nproc)"
-  tests/known_red.sh $build KNOWN-RED.txt
+  configure ON ON
+  cmake --build "$build" -j"$(nproc)"
+  tests/known_red.sh "$build" KNOWN-RED.txt
 done
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
 # Builds the harnesses with clang's libFuzzer and runs each for a fixed number of inputs, from a fixed seed.
 # Arguments: the source tree, a folder to build in, inputs for each harness.
+# shellcheck disable=SC2086 # flags and libraries are lists of words
 set -eu
 source=$1 build=$2 runs=$3
 mkdir -p "$build"
