--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -1,43 +1,54 @@
 #include "admin/admin_request.h"
 
-#include <utility>
-
 namespace sagetally {
+namespace {
+
+struct CommandWord {
+  std::string_view word;
+  AdminCommand command;
+};
+
+// The words on the wire.
+constexpr CommandWord kCommandWords[] = {{"STATUS", AdminCommand::kStatus},
+                                         {"METRICS", AdminCommand::kMetrics},
+                                         {"PAUSE", AdminCommand::kPause},
+                                         {"RESUME", AdminCommand::kResume}};
+
+AdminRequest Malformed(const char* error) {
+  return {AdminRequest::State::kMalformed, AdminCommand::kNone, error};
+}
+
+}  // namespace
 
 AdminRequest ParseAdminRequest(std::string_view bytes) {
-  using State = AdminRequest::State;
-  static constexpr std::pair<std::string_view, AdminCommand> kCalls[] = {{"STATUS", AdminCommand::kStatus},
-                                                                         {"METRICS", AdminCommand::kMetrics},
-                                                                         {"PAUSE", AdminCommand::kPause},
-                                                                         {"RESUME", AdminCommand::kResume}};
-  const std::size_t end = bytes.find('\n');
-  if (end == bytes.npos) {
+  const std::size_t line_end = bytes.find('\n');
+  if (line_end == std::string_view::npos) {
     if (bytes.size() < kMaxAdminLineBytes) return {};
-    return {State::kMalformed, AdminCommand::kNone, "the line is too long"};
+    return Malformed("the line is too long");
   }
-  if (end + 1 < bytes.size()) return {State::kMalformed, AdminCommand::kNone, "one line for each connection"};
-  std::string_view word = bytes.substr(0, end);
-  if (word.ends_with('\r')) word.remove_suffix(1);
-  for (const auto& [name, call] : kCalls) {
-    if (word == name) return {State::kComplete, call, ""};
+  if (line_end + 1 < bytes.size()) return Malformed("one line for each connection");
+  std::string_view line = bytes.substr(0, line_end);
+  if (line.ends_with('\r')) line.remove_suffix(1);
+  for (const CommandWord& known : kCommandWords) {
+    if (line == known.word) return {AdminRequest::State::kComplete, known.command, ""};
   }
-  return {State::kMalformed, AdminCommand::kNone, "expected STATUS, METRICS, PAUSE or RESUME"};
+  return Malformed("expected STATUS, METRICS, PAUSE or RESUME");
 }
 
-std::string HandleAdminRequest(const AdminRequest& call, const AdminHandlers& answers) {
-  switch (call.command) {
+std::string HandleAdminRequest(const AdminRequest& request, const AdminHandlers& handlers) {
+  switch (request.command) {
     case AdminCommand::kStatus:
-      return answers.status();
+      return handlers.status();
     case AdminCommand::kMetrics:
-      return answers.metrics();
+      return handlers.metrics();
     case AdminCommand::kPause:
-      return answers.pause();
+      return handlers.pause();
     case AdminCommand::kResume:
-      return answers.resume();
+      return handlers.resume();
     case AdminCommand::kNone:
       break;
   }
-  return "error " + call.error + "\n";
+  return "error " + request.error + "\n";
 }
 
 }  // namespace sagetally
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -5,23 +5,53 @@
 #include <iterator>
 
 namespace sagetally {
+namespace {
+
+// Metric names on the wire.
+constexpr const char* kDeliveredName = "passed";
+constexpr const char* kRejectedName = "dropped";
+constexpr const char* kFailedName = "bad_gateway";
+constexpr const char* kAttemptsName = "upstream_tries";
+constexpr const char* kInProgressName = "in_progress";
+constexpr const char* kKnownEndpointsName = "known_endpoints";
+constexpr const char* kAvoidedEndpointsName = "skipped_endpoints";
+
+void AppendClassCounter(std::string& text, const char* name, const std::string& class_name,
+                        std::uint64_t value) {
+  fmt::format_to(std::back_inserter(text), "balancer.{}.{}:{}|c\n", name, class_name, value);
+}
+
+void AppendCounter(std::string& text, const char* name, std::uint64_t value) {
+  fmt::format_to(std::back_inserter(text), "balancer.{}:{}|c\n", name, value);
+}
+
+void AppendGauge(std::string& text, const char* name, std::size_t value) {
+  fmt::format_to(std::back_inserter(text), "balancer.{}:{}|g\n", name, value);
+}
+
+}  // namespace
+
+Metrics::ClassCounts* Metrics::FindCounts(int message_class) {
+  const auto index = static_cast<std::size_t>(message_class);
+  return index < counts_.size() ? &counts_[index] : nullptr;
+}
 
 void Metrics::RecordCompletion(const Message& message) {
-  const auto at = static_cast<std::size_t>(message.request.message_class);
-  if (at >= counts_.size()) return;  // its class is not configured any more
-  Counts& c = counts_[at];
+  ClassCounts* counts = FindCounts(message.request.message_class);
+  if (counts == nullptr) return;
   switch (message.final_status) {
     case FinalStatus::kDelivered:
-      ++c.passed;
+      ++counts->delivered;
       break;
     case FinalStatus::kRejected:
-      ++c.dropped;
+      ++counts->rejected;
       break;
-    case FinalStatus::kExpired:  // withdrawn by its client, or out of time by the endpoint's own word
-      ++(message.attempts == 0 ? c.dropped : c.bad_gateway);
+    case FinalStatus::kExpired:
+      // Without an attempt its client withdrew it; with one, the endpoint reported it as expired.
+      ++(message.attempts == 0 ? counts->rejected : counts->failed);
       break;
     case FinalStatus::kFailed:
-      ++c.bad_gateway;
+      ++counts->failed;
       break;
     case FinalStatus::kPending:
       break;
@@ -29,24 +59,23 @@
 }
 
 void Metrics::RecordRejection(int message_class) {
-  const auto at = static_cast<std::size_t>(message_class);
-  if (at < counts_.size()) ++counts_[at].dropped;
+  if (ClassCounts* counts = FindCounts(message_class)) ++counts->rejected;
 }
 
 std::string Metrics::FormatStatsd(const GaugeValues& gauges) const {
   std::string text;
-  const auto count = [&](const char* name, std::uint64_t Counts::*which) {
+  const auto append_classes = [&](const char* name, std::uint64_t ClassCounts::*counter) {
     for (std::size_t i = 0; i < classes_.size(); ++i) {
-      fmt::format_to(std::back_inserter(text), "balancer.{}.{}:{}|c\n", name, classes_[i], counts_[i].*which);
+      AppendClassCounter(text, name, classes_[i], counts_[i].*counter);
     }
   };
-  count("passed", &Counts::passed);
-  count("dropped", &Counts::dropped);
-  count("bad_gateway", &Counts::bad_gateway);
-  fmt::format_to(std::back_inserter(text),
-                 "balancer.upstream_tries:{}|c\nbalancer.in_progress:{}|g\nbalancer.known_endpoints:{}|g\n"
-                 "balancer.skipped_endpoints:{}|g\n",
-                 upstream_tries_, gauges.in_progress, gauges.known_endpoints, gauges.avoided_endpoints);
+  append_classes(kDeliveredName, &ClassCounts::delivered);
+  append_classes(kRejectedName, &ClassCounts::rejected);
+  append_classes(kFailedName, &ClassCounts::failed);
+  AppendCounter(text, kAttemptsName, attempts_);
+  AppendGauge(text, kInProgressName, gauges.in_progress);
+  AppendGauge(text, kKnownEndpointsName, gauges.known_endpoints);
+  AppendGauge(text, kAvoidedEndpointsName, gauges.avoided_endpoints);
   return text;
 }
 
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -1,5 +1,5 @@
-// The figures that operators read. One place counts, fed by the chain through the port Tally; each process
-// starts at 0. No I/O.
+// The counters that operators read through the admin server. Owns them for the process, which starts at 0;
+// the message pipeline feeds it through the port MetricsRecorder, on the event loop's thread. No I/O.
 #ifndef SAGETALLY_SRC_ADMIN_METRICS_H_
 #define SAGETALLY_SRC_ADMIN_METRICS_H_
 
@@ -12,37 +12,47 @@
 
 namespace sagetally {
 
-// As they stand when they are read.
+// Values that are not counted but sampled when the metrics are read.
 struct GaugeValues {
-  std::size_t in_progress = 0;        // taken on and not yet ended, those of an earlier process too
-  std::size_t known_endpoints = 0;    // in the list, draining ones too
-  std::size_t avoided_endpoints = 0;  // of these, the ones that get no usual traffic now
+  std::size_t in_progress = 0;        // messages accepted and not completed, those of an earlier process too
+  std::size_t known_endpoints = 0;    // endpoints in the list, draining ones too
+  std::size_t avoided_endpoints = 0;  // of these: draining or ejected
 };
 
+// Counts completions by message class, and attempts.
 class Metrics : public MetricsRecorder {
  public:
+  // `classes` are the names of the message classes, by number.
   explicit Metrics(std::vector<std::string> classes)
       : classes_(std::move(classes)), counts_(classes_.size()) {}
 
-  // A message that was taken on, by this process or an earlier one, has ended here. Delivered: `passed`.
-  // Handed back (told to come again, or its client had gone before it was sent): `dropped`. Else, when it ran
-  // out of time at its destination too: `bad_gateway`.
+  // Counts a message that this process or an earlier one accepted and that has completed here, by its final
+  // status: delivered; rejected (deferred, or withdrawn by its client before it was sent); otherwise failed,
+  // also when its endpoint reported it as expired. A message of a class that is not configured counts
+  // nowhere.
   void RecordCompletion(const Message& message) override;
-  // A message with a class of ours was refused without being taken on: `dropped`.
+  // Counts a message that was rejected without having been accepted. `message_class` may be out of range.
   void RecordRejection(int message_class) override;
-  // The last byte of a call was written to an endpoint: `upstream_tries`.
-  void RecordCallWritten() override { ++upstream_tries_; }
+  // Counts a call whose last byte was written to an endpoint.
+  void RecordCallWritten() override { ++attempts_; }
 
-  // In statsd's form, one a line: "balancer.passed.aviso:812|c", "balancer.in_progress:14|g".
+  // Returns counters and gauges in statsd's line form: "balancer.passed.aviso:812|c",
+  // "balancer.in_progress:14|g".
   std::string FormatStatsd(const GaugeValues& gauges) const;
 
  private:
-  struct Counts {
-    std::uint64_t passed = 0, dropped = 0, bad_gateway = 0;
+  struct ClassCounts {
+    std::uint64_t delivered = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t failed = 0;
   };
+
+  // The counts of a class, or null if it is not configured.
+  ClassCounts* FindCounts(int message_class);
+
   const std::vector<std::string> classes_;
-  std::vector<Counts> counts_;  // by class
-  std::uint64_t upstream_tries_ = 0;
+  std::vector<ClassCounts> counts_;  // by class
+  std::uint64_t attempts_ = 0;
 };
 
 }  // namespace sagetally
--- a/src/admin/readiness.cpp
+++ b/src/admin/readiness.cpp
@@ -3,8 +3,9 @@
 namespace sagetally {
 
 bool Readiness::IsAccepting(Time now) const {
-  const bool last_ones = phase_ == Phase::kDraining || phase_ == Phase::kStopping;
-  return phase_ == Phase::kServing || (last_ones && now < takes_until_);
+  if (phase_ == Phase::kServing) return true;
+  const bool in_grace_period = phase_ == Phase::kDraining || phase_ == Phase::kStopping;
+  return in_grace_period && now < accept_until_;
 }
 
 void Readiness::OnStarted() {
@@ -15,7 +16,7 @@
   if (phase_ > Phase::kDraining) return false;
   if (phase_ == Phase::kDraining || paused_) return true;
   paused_ = true;
-  takes_until_ = now + kAcceptDuration;
+  accept_until_ = now + kAcceptDuration;
   if (phase_ == Phase::kServing) phase_ = Phase::kDraining;
   return true;
 }
@@ -33,19 +34,23 @@
 
 void Readiness::Stop(Time now) {
   if (phase_ == Phase::kStopping) return;
-  // What a pause has begun to end goes on ending; what another process serves is not ours to take.
-  if (phase_ != Phase::kDraining) takes_until_ = phase_ == Phase::kServing ? now + kAcceptDuration : Time(0);
+  // A drain keeps the time limit it has. After a handover the requests belong to the other process.
+  if (phase_ == Phase::kServing) {
+    accept_until_ = now + kAcceptDuration;
+  } else if (phase_ != Phase::kDraining) {
+    accept_until_ = Time(0);
+  }
   phase_ = Phase::kStopping;
 }
 
-std::string Readiness::StatusWord(std::size_t held, std::size_t connections) const {
+std::string Readiness::StatusWord(std::size_t pending_messages, std::size_t connections) const {
   switch (phase_) {
     case Phase::kStarting:
       return "starting";
     case Phase::kServing:
       return IsReady() ? "ready" : "serving, but the journal can't be written";
     case Phase::kDraining:
-      return held + connections == 0 ? "drained" : "draining";
+      return pending_messages + connections == 0 ? "drained" : "draining";
     case Phase::kHandedOver:
       return "handed over";
     case Phase::kStopping:
