--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,141 +7,220 @@
 #include <fstream>
 #include <sstream>
 
+#include "config/parse_number.h"
+
 namespace sagetally {
 namespace {
 
-using namespace json;
+using json::Find;
+using json::Get;
+using json::Value;
 
-int Position(const std::vector<std::string>& names, const std::string& name) {
-  const auto at = std::find(names.begin(), names.end(), name);
-  return at == names.end() ? -1 : static_cast<int>(at - names.begin());
-}
+constexpr double kBytesPerMegabyte = 1e6;
+constexpr double kDefaultDiskMegabytes = 3.0;
+constexpr double kDefaultMemoryMegabytes = 192.0;
+constexpr std::size_t kDefaultSockets = 1024;
+constexpr std::size_t kMinSockets = 64;
 
-// Runs a part of the reading; what fails in it is said to be in `key`.
-template <typename F>
-void Within(const char* key, F read) {
+// Runs a part of the reading; an error in it is said to be in `section`.
+template <typename Read>
+void ReadSection(const char* section, Read read) {
   try {
     read();
-  } catch (const std::exception& e) {
-    Malformed(std::string(key) + ": " + e.what());
+  } catch (const FormatError& error) {
+    FormatFault fault = error.fault();
+    const bool is_section = fault.key.empty() || fault.key == section;
+    fault.key = is_section ? section : std::string(section) + "." + fault.key;
+    throw FormatError(std::string(section) + ": " + error.what(), fault);
   }
 }
 
+EndpointRecord::State ParseEndpointState(const std::string& word) {
+  if (word == "in_service") return EndpointRecord::State::kUp;
+  if (word == "terminating") return EndpointRecord::State::kDraining;
+  if (word == "terminated") return EndpointRecord::State::kRemoved;
+  throw FormatError("unknown state '" + word + "'",
+                    {"state", "one of in_service, terminating, terminated", word});
+}
+
+EndpointUpdate ReadEndpoint(Value target, const SiteSettings& site) {
+  EndpointUpdate update;
+  EndpointRecord& record = update.record;
+  record.endpoint = Get<std::string>(target, "uid");
+  update.address = Get<std::string>(target, "endpoint");
+  ParseAddress(update.address, "endpoint");
+  record.destination = Get<int>(target, "pod_group");
+  record.zone = FindName(site.zones, Get<std::string>(target, "az", "")).value_or(0);
+  record.kind = FindName(site.kinds, Get<std::string>(target, "model", "")).value_or(0);
+  record.rate = Get<double>(target, "capacity_hint", 0.0);
+  record.state = ParseEndpointState(Get<std::string>(target, "state"));
+  return update;
+}
+
+// Reads one configuration. The methods follow the order of the fields, which decides which one an error names
+// if several are wrong.
+class ConfigReader {
+ public:
+  ConfigReader(Value root, const Environment& environment, ConfigRequirements requirements)
+      : root_(root), environment_(environment), requirements_(requirements) {}
+
+  Config Read() {
+    ReadAddresses();
+    ReadStateFolder();
+    ReadSeed();
+    ReadLimits();
+    ReadPeers();
+    ReadSection("settings", [this] { config_.site = ReadSettings(json::Require(root_, "settings")); });
+    ReadKnownEndpoints();
+    return std::move(config_);
+  }
+
+ private:
+  // The value of a key that a variable of the environment may override.
+  std::string Lookup(const char* variable, const char* key) const {
+    const char* overriding = environment_(variable);
+    std::string value = Get<std::string>(root_, key, "");
+    const bool is_overridden = overriding != nullptr && *overriding != 0;
+    if (!is_overridden || (requirements_.again && !value.empty())) return value;
+    return overriding;
+  }
+
+  void ReadAddresses() {
+    config_.name = Lookup("BALANCER_NAME", "name");
+    config_.listen = ParseAddress(Lookup("BALANCER_LISTEN", "listen"), "listen");
+    const std::string discovery = Lookup("BALANCER_DISCOVERY", "discovery");
+    if (requirements_.discovery || !discovery.empty()) {
+      config_.discovery = ParseAddress(discovery, "discovery");
+    }
+    const std::string admin = Lookup("BALANCER_ADMIN", "admin");
+    if (!admin.empty()) config_.admin = ParseAddress(admin, "admin");
+  }
+
+  void ReadStateFolder() {
+    config_.state_folder = Lookup("BALANCER_STATE", "state");
+    if (config_.state_folder.empty() && requirements_.state) {
+      throw FormatError("missing field 'state' (BALANCER_STATE)", {"state", "a folder", "nothing"});
+    }
+  }
+
+  // In hexadecimal digits.
+  void ReadSeed() {
+    const auto text = Get<std::string>(root_, "seed", "0");
+    const char* end = text.data() + text.size();
+    if (std::from_chars(text.data(), end, config_.seed, 16).ptr != end) {
+      throw FormatError("wrong type of 'seed'", {"seed", "hexadecimal digits", text});
+    }
+  }
+
+  void ReadLimits() {
+    config_.disk_limit_bytes = Bytes(kDefaultDiskMegabytes);
+    config_.socket_limit = kDefaultSockets;
+    config_.memory_limit_bytes = Bytes(kDefaultMemoryMegabytes);
+    const std::optional<Value> limits = Find(root_, "limits");
+    if (!limits) return;
+    ReadSection("limits", [&] {
+      config_.disk_limit_bytes = Bytes(Get<double>(*limits, "disk_mb", kDefaultDiskMegabytes));
+      config_.socket_limit = Get<std::size_t>(*limits, "sockets", kDefaultSockets);
+      config_.memory_limit_bytes = Bytes(Get<double>(*limits, "memory_mb", kDefaultMemoryMegabytes));
+      if (config_.socket_limit < kMinSockets) {
+        throw FormatError("'sockets' must be 64 at least",
+                          {"sockets", "64 at least", std::to_string(config_.socket_limit)});
+      }
+    });
+  }
+
+  static std::size_t Bytes(double megabytes) {
+    return static_cast<std::size_t>(megabytes * kBytesPerMegabyte);
+  }
+
+  void ReadPeers() {
+    config_.peer_listen = Get<std::string>(root_, "peer_listen", "");
+    config_.broadcast_peer = Get<std::string>(root_, "peers_all", "");
+    if (!config_.peer_listen.empty()) ParseAddress(config_.peer_listen, "peer_listen");
+    if (!config_.broadcast_peer.empty()) ParseAddress(config_.broadcast_peer, "peers_all");
+    json::ForEach(root_, "peers",
+                  [this](Value peer) { config_.peers.push_back(json::As<std::string>(peer, "peers")); });
+  }
+
+  void ReadKnownEndpoints() {
+    if (const std::optional<Value> known = Find(root_, "known")) {
+      ReadSection("known", [&] { config_.cached_endpoint_list = ReadList(*known, config_.site); });
+    }
+    config_.cached_endpoint_list.is_full_snapshot = true;
+    config_.cached_endpoint_list.is_cached = true;
+  }
+
+  const Value root_;
+  const Environment& environment_;
+  const ConfigRequirements requirements_;
+  Config config_;
+};
+
 }  // namespace
 
 Address ParseAddress(std::string_view text, const char* what) {
   const std::size_t colon = text.rfind(':');
-  Address a;
   if (colon != std::string_view::npos && colon > 0) {
-    a.host = text.substr(0, colon);
-    const char* end = text.data() + text.size();
-    const auto [at, error] = std::from_chars(text.data() + colon + 1, end, a.port);
-    // Numbers only: looking up a name would stop the loop, and there is no DNS.
+    Address address;
+    address.host = text.substr(0, colon);
+    const std::optional<std::uint16_t> port = ParseNumber<std::uint16_t>(text.substr(colon + 1));
     in_addr number{};
-    if (error == std::errc() && at == end && inet_pton(AF_INET, a.host.c_str(), &number) == 1) return a;
+    if (port && inet_pton(AF_INET, address.host.c_str(), &number) == 1) {
+      address.port = *port;
+      return address;
+    }
   }
-  Malformed(std::string(what) + ": '" + std::string(text) + "' is no address");
+  throw FormatError(std::string(what) + ": '" + std::string(text) + "' is no address",
+                    {what, "an IPv4 address in numbers and a port", std::string(text)});
 }
 
 EndpointListUpdate ReadList(Value list, const SiteSettings& site) {
-  EndpointListUpdate news;
-  news.revision = Get<std::int64_t>(list, "rev");
-  news.is_full_snapshot = Get<bool>(list, "all", false);
-  for (const Value target : List(list, "targets")) {
-    EndpointUpdate n;
-    EndpointRecord& e = n.record;
-    e.endpoint = Get<std::string>(target, "uid");
-    n.address = Get<std::string>(target, "endpoint");
-    ParseAddress(n.address, "endpoint");
-    e.destination = Get<int>(target, "pod_group");
-    e.zone = std::max(0, Position(site.zones, Get<std::string>(target, "az", "")));
-    e.kind = std::max(0, Position(site.kinds, Get<std::string>(target, "model", "")));
-    e.rate = Get<double>(target, "capacity_hint", 0.0);
-    const auto state = Get<std::string>(target, "state");
-    e.state = state == "in_service"    ? EndpointRecord::State::kUp
-              : state == "terminating" ? EndpointRecord::State::kDraining
-                                       : EndpointRecord::State::kRemoved;
-    if (e.state == EndpointRecord::State::kRemoved && state != "terminated") {
-      Malformed("unknown state '" + state + "'");
-    }
-    news.endpoints.push_back(std::move(n));
+  EndpointListUpdate update;
+  update.revision = Get<std::int64_t>(list, "rev");
+  update.is_full_snapshot = Get<bool>(list, "all", false);
+  for (const Value target : json::List(list, "targets")) {
+    update.endpoints.push_back(ReadEndpoint(target, site));
   }
-  return news;
+  return update;
 }
 
-Config ParseConfig(const std::string& text, const std::function<const char*(const char*)>& environment,
-                   ConfigRequirements needs) {
+Config ParseConfig(const std::string& text, const Environment& environment, ConfigRequirements requirements) {
   simdjson::dom::parser parser;
-  Value root;
-  if (const auto error = parser.parse(text).get(root)) {
-    Malformed(std::string("no JSON: ") + simdjson::error_message(error));
-  }
-  const auto told = [&](const char* variable, const char* key) {
-    const char* value = environment(variable);
-    const std::string here = Get<std::string>(root, key, "");
-    return value == nullptr || *value == 0 || (needs.again && !here.empty()) ? here : std::string(value);
-  };
-  Config c;
-  c.name = told("BALANCER_NAME", "name");
-  c.listen = ParseAddress(told("BALANCER_LISTEN", "listen"), "listen");
-  const std::string discovery = told("BALANCER_DISCOVERY", "discovery");
-  if (needs.discovery || !discovery.empty()) c.discovery = ParseAddress(discovery, "discovery");
-  const std::string admin = told("BALANCER_ADMIN", "admin");
-  if (!admin.empty()) c.admin = ParseAddress(admin, "admin");
-  c.state_folder = told("BALANCER_STATE", "state");
-  if (c.state_folder.empty() && needs.state) Malformed("missing field 'state' (BALANCER_STATE)");
-  const auto seed = Get<std::string>(root, "seed", "0");
-  if (std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16).ptr != seed.data() + seed.size()) {
-    Malformed("wrong type of 'seed'");
-  }
-  Value limits;
-  c.disk_limit_bytes = 3'000'000;
-  c.socket_limit = 1024;
-  c.memory_limit_bytes = 192'000'000;
-  if (Find(root, "limits", limits)) {
-    Within("limits", [&] {
-      c.disk_limit_bytes = static_cast<std::size_t>(Get<double>(limits, "disk_mb", 3.0) * 1e6);
-      c.socket_limit = Get<std::size_t>(limits, "sockets", 1024);
-      c.memory_limit_bytes = static_cast<std::size_t>(Get<double>(limits, "memory_mb", 192.0) * 1e6);
-      if (c.socket_limit < 64) Malformed("'sockets' must be 64 at least");
-    });
-  }
-  c.peer_listen = Get<std::string>(root, "peer_listen", "");
-  c.broadcast_peer = Get<std::string>(root, "peers_all", "");
-  if (!c.peer_listen.empty()) ParseAddress(c.peer_listen, "peer_listen");
-  if (!c.broadcast_peer.empty()) ParseAddress(c.broadcast_peer, "peers_all");
-  Value peers;
-  if (Find(root, "peers", peers)) {
-    for (const Value peer : List(root, "peers")) c.peers.push_back(As<std::string>(peer, "peers"));
-  }
-  Within("settings", [&] { c.site = ReadSettings(Require(root, "settings")); });
-  Value known;
-  if (Find(root, "known", known)) Within("known", [&] { c.cached_endpoint_list = ReadList(known, c.site); });
-  c.cached_endpoint_list.is_full_snapshot = c.cached_endpoint_list.is_cached = true;
-  return c;
+  return ConfigReader(json::Parse(parser, text), environment, requirements).Read();
 }
 
 DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on) {
-  constexpr std::size_t kOther = 24;  // log and its compaction, discovery, notices, notes, the loop's own
-  constexpr std::size_t kMostBatch = 1024 * 1024;
+  constexpr std::size_t kOther =
+      24;  // journal, its compaction, discovery, notifications, gossip, the event loop's own
+  constexpr std::size_t kMaxBatchBytes = 1024 * 1024;
   const std::size_t clients = config.socket_limit / 3;
-  DescriptorShares s;
-  if (config.admin) s.admin = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
-  s.calls = config.socket_limit - clients - kOther - s.admin;
-  if (events_on) s.events = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
-  s.plain = clients - s.events;
-  if (events_on) s.event_body = std::min(kMostBatch, config.memory_limit_bytes / 4 / s.events);
-  return s;
+  DescriptorShares shares;
+  if (config.admin) shares.admin = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
+  shares.calls = config.socket_limit - clients - kOther - shares.admin;
+  if (events_on) shares.events = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
+  shares.plain = clients - shares.events;
+  if (events_on) shares.event_body = std::min(kMaxBatchBytes, config.memory_limit_bytes / 4 / shares.events);
+  return shares;
 }
 
-Config ReadConfig(const std::function<const char*(const char*)>& environment, ConfigRequirements needs) {
-  const char* path = environment("BALANCER_CONFIG");
-  if (path == nullptr || *path == 0) Malformed("BALANCER_CONFIG is not set");
+Config ReadConfig(const Environment& environment, ConfigRequirements requirements) {
+  constexpr const char* kVariable = "BALANCER_CONFIG";
+  const char* path = environment(kVariable);
+  if (path == nullptr || *path == 0) {
+    throw ConfigError("BALANCER_CONFIG is not set", "", {kVariable, "the path of a file", "nothing"});
+  }
   std::ifstream file(path);
-  if (!file) Malformed(std::string("BALANCER_CONFIG: can't read '") + path + "'");
+  if (!file) {
+    throw ConfigError(std::string("BALANCER_CONFIG: can't read '") + path + "'", path,
+                      {kVariable, "a file that can be read", path});
+  }
   std::ostringstream text;
   text << file.rdbuf();
-  return ParseConfig(text.str(), environment, needs);
+  try {
+    return ParseConfig(text.str(), environment, requirements);
+  } catch (const FormatError& error) {
+    throw ConfigError(error.what(), path, error.fault());
+  }
 }
 
 }  // namespace sagetally
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,7 +1,10 @@
-// What a dispatcher is told by the platform: the environment and the file it names.
+// What the platform tells a dispatcher: the environment, and the JSON file that it names. Read at the start
+// and again on SIGHUP, on the main thread.
 #ifndef SAGETALLY_SRC_CONFIG_CONFIG_H_
 #define SAGETALLY_SRC_CONFIG_CONFIG_H_
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
@@ -13,49 +16,63 @@
 
 namespace sagetally {
 
+// An IPv4 address in numbers, and a TCP or UDP port.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
 };
-// "10.0.0.4:8443". Throws std::runtime_error that names `what`.
+// Parses an address such as "10.0.0.4:8443". Host names are rejected: looking one up would block the event
+// loop. Throws FormatError that names `what`.
 Address ParseAddress(std::string_view text, const char* what);
 
+// The platform's configuration of one dispatcher.
 struct Config {
-  std::string name, state_folder;
-  Address listen, discovery;
-  std::optional<Address> admin;    // the operators' door; absent: none
-  std::string peer_listen;         // empty: no peers
-  std::vector<std::string> peers;  // by ordinal, own included
-  std::string broadcast_peer;
-  std::uint64_t seed = 0;
-  std::size_t disk_limit_bytes = 0, socket_limit = 0, memory_limit_bytes = 0;
+  std::string name;
+  std::string state_folder;
+  Address listen;
+  Address discovery;               // of the endpoint list
+  std::optional<Address> admin;    // of the admin server; absent: none
+  std::string peer_listen;         // address for gossip; empty: no peers
+  std::vector<std::string> peers;  // addresses by dispatcher index, the own one included
+  std::string broadcast_peer;      // an address that reaches all peers; may be empty
+  std::uint64_t seed = 0;          // of the process's random numbers
+  std::size_t disk_limit_bytes = 0;
+  std::size_t socket_limit = 0;
+  std::size_t memory_limit_bytes = 0;
   SiteSettings site;
-  EndpointListUpdate cached_endpoint_list;
+  EndpointListUpdate cached_endpoint_list;  // as known before the first list from discovery
 };
 
-// How a process spends its descriptors and memory. Clients get a third, so that calls, the log and discovery
-// always find a descriptor free.
+// How a process divides its descriptors and its memory. Clients get a third of the descriptors, so that
+// calls, the journal and discovery always find one free.
 struct DescriptorShares {
-  std::size_t plain = 0, events = 0;  // connections of clients at each front
-  std::size_t event_body = 0;         // of one request at the front for events
-  std::size_t calls = 0;              // connections to endpoints
-  std::size_t admin = 0;              // callers at the operators' door
+  std::size_t plain = 0;       // connections of clients in the platform's protocol
+  std::size_t events = 0;      // connections of clients that send CloudEvents
+  std::size_t event_body = 0;  // bytes of the body of one request with CloudEvents
+  std::size_t calls = 0;       // connections to endpoints
+  std::size_t admin = 0;       // connections to the admin server
 };
+// `events_on` and `plain_on` say which frontends this process has.
 DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on = true);
 
-// Reads the file named by BALANCER_CONFIG; the other BALANCER_ variables go before what it says, but not when
-// it is read again: then it is newer than they are. Throws std::runtime_error naming the key at fault.
-// What a process of its role needs of the platform. Off it a planner has no discovery, a forwarder no state.
+// What the process needs the platform to configure. A planner has no discovery, a forwarder no state.
 struct ConfigRequirements {
-  bool discovery = true, state = true;
-  bool again = false;
+  bool discovery = true;
+  bool state = true;
+  bool again = false;  // the file is read again: it is newer than the environment and has precedence
 };
-Config ReadConfig(const std::function<const char*(const char*)>& environment,
-                  ConfigRequirements needs = ConfigRequirements());
-Config ParseConfig(const std::string& text, const std::function<const char*(const char*)>& environment,
-                   ConfigRequirements needs = ConfigRequirements());
 
-// A list in discovery's form.
+// Returns the value of an environment variable, or null if it is not set.
+using Environment = std::function<const char*(const char* variable)>;
+
+// Reads the file named by BALANCER_CONFIG. The other BALANCER_ variables have precedence over it at the first
+// reading. Throws ConfigError that names the file and the key at fault.
+Config ReadConfig(const Environment& environment, ConfigRequirements requirements = ConfigRequirements());
+// The same for the text of a file. Throws FormatError that names the key at fault.
+Config ParseConfig(const std::string& text, const Environment& environment,
+                   ConfigRequirements requirements = ConfigRequirements());
+
+// Reads an endpoint list in the form of the platform's discovery. Throws FormatError that names the field.
 EndpointListUpdate ReadList(json::Value list, const SiteSettings& site);
 
 }  // namespace sagetally
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,90 +1,109 @@
-// Reading JSON with simdjson: typed access that names the field it misses, and quoting for what is written.
+// Reading JSON with simdjson: typed access to fields, with errors that name the field, and quoting for JSON
+// that is written. Used by every reader of JSON from outside but the operators' files, which need a document
+// they can change.
 #ifndef SAGETALLY_SRC_CONFIG_JSON_H_
 #define SAGETALLY_SRC_CONFIG_JSON_H_
 
 #include <simdjson.h>
 
 #include <cmath>
-#include <stdexcept>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <type_traits>
+#include <utility>
 
+#include "config/format_error.h"
 #include "sagetally/dispatch_policy.h"
 
 namespace sagetally::json {
 
 using Value = simdjson::dom::element;
 
-[[noreturn]] inline void Malformed(const std::string& what) { throw std::runtime_error(what); }
+// Throws FormatError.
+[[noreturn]] void Malformed(const std::string& message);
+[[noreturn]] void ThrowWrongType(Value value, const char* name, const char* expected);
 
-// The field's value, or nothing if it is absent or null.
-inline bool Find(Value object, const char* name, Value& out) {
-  simdjson::dom::object fields;
-  if (object.get(fields) != simdjson::SUCCESS) Malformed(std::string("no object around '") + name + "'");
-  return fields.at_key(name).get(out) == simdjson::SUCCESS && !out.is_null();
-}
+// Parses a document. The values in it last as long as `parser` and until it parses the next one. Throws
+// FormatError.
+Value Parse(simdjson::dom::parser& parser, std::string_view text);
+
+// Returns the field's value, or nothing if it is absent or null. Throws FormatError if `object` is no object.
+std::optional<Value> Find(Value object, const char* name);
+// The same: sets `out` and returns true if the field has a value.
+bool Find(Value object, const char* name, Value& out);
+// Returns the field's value. Throws FormatError if it is absent or null.
+Value Require(Value object, const char* name);
+
+namespace internal {
 
-inline Value Require(Value object, const char* name) {
-  Value value;
-  if (!Find(object, name, value)) Malformed(std::string("missing field '") + name + "'");
-  return value;
+bool AsBoolean(Value value, const char* name);
+std::string AsString(Value value, const char* name);
+// A finite number.
+double AsNumber(Value value, const char* name, const char* expected);
+
+// Also takes a number that is written with a fraction or an exponent, if it is whole.
+template <typename T>
+T AsInteger(Value value, const char* name) {
+  constexpr double kLargestExact = 9e15;  // doubles beyond it don't hold every whole number
+  constexpr const char* kExpected = "a whole number in its range";
+  std::uint64_t whole = 0;
+  if (value.get(whole) == simdjson::SUCCESS && std::in_range<T>(whole)) return static_cast<T>(whole);
+  const double number = AsNumber(value, name, kExpected);
+  const bool is_whole = std::trunc(number) == number && std::abs(number) <= kLargestExact;
+  if (!is_whole || !std::in_range<T>(static_cast<std::int64_t>(number))) {
+    ThrowWrongType(value, name, kExpected);
+  }
+  return static_cast<T>(number);
 }
 
+}  // namespace internal
+
+// Returns the value as a bool, a std::string, an integer or a floating-point number. Throws FormatError
+// naming `name` if it has another type or is out of the range of T.
 template <typename T>
 T As(Value value, const char* name) {
-  const auto wrong = [&] { Malformed(std::string("wrong type of '") + name + "'"); };
   if constexpr (std::is_same_v<T, bool>) {
-    bool b = false;
-    if (value.get(b) != simdjson::SUCCESS) wrong();
-    return b;
+    return internal::AsBoolean(value, name);
   } else if constexpr (std::is_same_v<T, std::string>) {
-    std::string_view text;
-    if (value.get(text) != simdjson::SUCCESS) wrong();
-    return std::string(text);
+    return internal::AsString(value, name);
+  } else if constexpr (std::is_integral_v<T>) {
+    return internal::AsInteger<T>(value, name);
   } else {
-    if constexpr (std::is_integral_v<T>) {
-      std::uint64_t whole = 0;
-      if (value.get(whole) == simdjson::SUCCESS && std::in_range<T>(whole)) return static_cast<T>(whole);
-    }
-    double number = 0;
-    if (value.get(number) != simdjson::SUCCESS || !std::isfinite(number)) wrong();
-    if constexpr (std::is_integral_v<T>) {
-      if (std::trunc(number) != number || std::abs(number) > 9e15) wrong();
-      if (!std::in_range<T>(static_cast<std::int64_t>(number))) wrong();
-    }
-    return static_cast<T>(number);
+    return static_cast<T>(internal::AsNumber(value, name, "a number"));
   }
 }
 
+// Returns a field that must be there. Throws FormatError.
 template <typename T>
 T Get(Value object, const char* name) {
   return As<T>(Require(object, name), name);
 }
+// Returns a field, or `default_value` if it is absent or null. Throws FormatError.
 template <typename T>
-T Get(Value object, const char* name, T otherwise) {
-  Value value;
-  return Find(object, name, value) ? As<T>(value, name) : otherwise;
+T Get(Value object, const char* name, T default_value) {
+  const std::optional<Value> value = Find(object, name);
+  return value ? As<T>(*value, name) : default_value;
 }
 
-inline Duration Milliseconds(double ms) {
-  if (std::abs(ms) > 1e12) Malformed("time out of range");
-  return Duration(std::llround(ms * 1000.0));
-}
-template <typename... Otherwise>
-Duration GetMs(Value object, const char* name, Otherwise... otherwise) {
-  return Milliseconds(Get<double>(object, name, otherwise...));
-}
+// Returns a time given in milliseconds, rounded to microseconds. Throws FormatError beyond 1e12 ms.
+Duration Milliseconds(double milliseconds);
+// Returns a field in milliseconds. Throws FormatError.
+Duration GetMs(Value object, const char* name);
+Duration GetMs(Value object, const char* name, double default_milliseconds);
 
-inline simdjson::dom::array List(Value object, const char* name) {
-  simdjson::dom::array list;
-  if (Require(object, name).get(list) != simdjson::SUCCESS) {
-    Malformed(std::string("wrong type of '") + name + "'");
-  }
-  return list;
+// Returns a field that must be there and hold an array. Throws FormatError.
+simdjson::dom::array List(Value object, const char* name);
+// Calls `use(item)` for each item of a field that is an array; not at all if it is absent or null. Throws
+// FormatError.
+template <typename Use>
+void ForEach(Value object, const char* name, Use use) {
+  // An array of simdjson's that was never read must not be walked.
+  if (!Find(object, name)) return;
+  for (const Value item : List(object, name)) use(item);
 }
 
-// A string as JSON, in quotes. Bytes that are no UTF-8 must not reach this.
+// Returns a string as JSON, in quotes. `text` must be UTF-8.
 std::string Quote(std::string_view text);
 
 }  // namespace sagetally::json
--- a/src/config/json_stream.h
+++ b/src/config/json_stream.h
@@ -1,53 +1,44 @@
-// Cuts a stream of JSON objects into whole ones, whether each stands on a line or is indented over many. No
-// I/O.
+// Cuts a stream of JSON objects into single ones, whether each stands on a line or is indented over many.
+// Used for the platform's endpoint list, on the event loop's thread. No I/O.
 #ifndef SAGETALLY_SRC_CONFIG_JSON_STREAM_H_
 #define SAGETALLY_SRC_CONFIG_JSON_STREAM_H_
 
+#include <cstddef>
 #include <functional>
 #include <string>
 #include <string_view>
 
 namespace sagetally {
 
+// Splits one stream; holds at most one object that is not complete yet.
 class JsonStream {
  public:
-  explicit JsonStream(std::size_t longest) : longest_(longest) {}
-
-  // Calls `object` with the text of each that is whole now, and `blank` for each empty line between them.
-  // False: what came can't be, or begin, an object, or is too long; nothing that follows can be trusted. An
-  // empty line within one is such: the peer sends them only between, so the rest of that object is not to
-  // come.
-  bool Add(std::string_view text, const std::function<void(const std::string&)>& object,
-           const std::function<void()>& blank) {
-    for (const char c : text) {
-      const bool line_empty = c == '\n' && line_empty_;
-      line_empty_ = c == '\n' || (line_empty_ && (c == ' ' || c == '\t' || c == '\r'));
-      if (depth_ == 0 && line_empty) blank();
-      if (depth_ == 0 && (c == ' ' || c == '\t' || c == '\r' || c == '\n')) continue;
-      if (depth_ == 0 ? c != '{' : line_empty || partial_.size() >= longest_) return false;
-      partial_ += c;
-      if (in_string_) {
-        in_string_ = escaped_ || c != '"';
-        escaped_ = !escaped_ && c == '\\';
-      } else if (c == '"') {
-        in_string_ = true;
-      } else if (c == '{' || c == '[') {
-        ++depth_;
-      } else if ((c == '}' || c == ']') && --depth_ == 0) {
-        object(partial_);
-        partial_.clear();
-      }
-    }
-    return true;
-  }
-  void Clear() { *this = JsonStream(longest_); }
+  // `max_object_bytes` limits the length of one object.
+  explicit JsonStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
+
+  // Takes the next bytes of the stream. Calls `on_object` with the text of each object that is complete now,
+  // and `on_blank_line` for each empty line between objects. Returns false if the bytes can't be, or begin,
+  // an object, or if it is too long: then nothing that follows can be trusted. An empty line within an object
+  // is such a fault: the peer sends them only between objects, so the rest of that object won't come.
+  bool Add(std::string_view text, const std::function<void(const std::string&)>& on_object,
+           const std::function<void()>& on_blank_line);
+  // Forgets what has come, for a new stream.
+  void Clear() { *this = JsonStream(max_object_bytes_); }
 
  private:
-  std::size_t longest_;
-  std::string partial_;
-  int depth_ = 0;
-  bool in_string_ = false, escaped_ = false;
-  bool line_empty_ = true;  // nothing but white space since a line's end, or the stream's beginning
+  bool IsBetweenObjects() const { return depth_ == 0; }
+  // Returns whether `c` ends a line that holds nothing but white space.
+  bool EndsBlankLine(char c);
+  // Appends a character of an object. Returns true if it is the object's last.
+  bool AppendToObject(char c);
+
+  std::size_t max_object_bytes_;
+  std::string partial_;  // the object that is not complete yet
+  int depth_ = 0;        // of brackets that are open
+  bool in_string_ = false;
+  bool is_escaped_ = false;  // the last character was a backslash in a string
+  // Nothing but white space has come since a line's end or the stream's beginning.
+  bool is_line_blank_ = true;
 };
 
 }  // namespace sagetally
--- a/src/config/node_file.cpp
+++ b/src/config/node_file.cpp
@@ -1,103 +1,137 @@
 #include "config/node_file.h"
 
+#include <algorithm>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
-#include <stdexcept>
 
-#include "config/schema.h"
+#include "config/format_error.h"
+#include "config/json.h"
 
 namespace sagetally {
 namespace {
 
 using Json = nlohmann::json;
 
-Address At(const Json& part, const char* key, const char* name) {
-  return ParseAddress(part.at(key).get<std::string>(), name);
+constexpr double kBytesPerMegabyte = 1e6;
+constexpr double kBytesPerKibibyte = 1024;
+constexpr double kMicrosecondsPerHour = 3600e6;
+constexpr double kMicrosecondsPerMillisecond = 1000.0;
+
+Address ReadAddress(const Json& section, const char* key, const char* pointer) {
+  return ParseAddress(section.at(key).get<std::string>(), pointer);
+}
+
+Duration ReadMilliseconds(const Json& section, const char* key, Duration default_value) {
+  const double default_milliseconds =
+      static_cast<double>(default_value.count()) / kMicrosecondsPerMillisecond;
+  return json::Milliseconds(section.value(key, default_milliseconds));
+}
+
+std::size_t ReadBytes(const Json& section, const char* key, double default_value, double unit) {
+  return static_cast<std::size_t>(section.value(key, default_value) * unit);
 }
 
-Duration Milliseconds(const Json& part, const char* key, Duration otherwise) {
-  const double ms = part.value(key, static_cast<double>(otherwise.count()) / 1000.0);
-  return sagetally::json::Milliseconds(ms);
+Role ParseRole(const std::string& word) {
+  if (word == "both") return Role::kBoth;
+  return word == "planner" ? Role::kPlanner : Role::kForwarder;
 }
 
-DeadLetterSettings ReadKept(const Json& part) {
-  DeadLetterSettings k;
-  k.folder = part.value("folder", k.folder);
-  k.rules_path = part.value("rules", k.rules_path);
-  if (part.contains("ends")) {
-    k.include_undeliverable = k.include_deferred = false;
-    for (const Json& end : part["ends"])
-      (end == "deferred" ? k.include_deferred : k.include_undeliverable) = true;
+CloudEventsSettings ReadCloudEvents(const Json& section) {
+  CloudEventsSettings settings;
+  settings.listen = ReadAddress(section, "listen", "/cloudevents/listen");
+  if (!section.value("sink", "").empty()) {
+    settings.sink = ReadAddress(section, "sink", "/cloudevents/sink");
   }
-  k.redrive_deferred = part.value("resend_deferred", false);
-  k.budget_bytes = static_cast<std::size_t>(part.value("budget_mb", 64.0) * 1e6);
-  k.max_age = Duration(static_cast<std::int64_t>(part.value("age_hours", 720.0) * 3600e6));
-  k.max_pending_bytes = static_cast<std::size_t>(part.value("owed_mb", 1.0) * 1e6);
-  k.concurrency_fraction = part.value("slots_share", k.concurrency_fraction);
-  k.pending_fraction = part.value("held_share", k.pending_fraction);
-  k.destination_rate = part.value("destination_rate", k.destination_rate);
-  k.initial_backoff = Milliseconds(part, "backoff_ms", k.initial_backoff);
-  k.max_backoff = std::max(k.initial_backoff, Milliseconds(part, "backoff_most_ms", k.max_backoff));
-  return k;
+  settings.sink_path = section.value("sink_path", settings.sink_path);
+  return settings;
 }
 
-JournalFileSettings ReadJournal(const Json& part) {
-  JournalFileSettings j;
-  j.synced = part.value("durability", "written") == "synced";
-  j.synced_classes = part.value("synced_classes", j.synced_classes);
-  j.group_commit_delay = Milliseconds(part, "group_ms", j.group_commit_delay);
-  j.reserve_disk_space = part.value("reserve", false);
-  j.segment_bytes = static_cast<std::size_t>(part.value("segment_kb", 0.0) * 1024);
-  return j;
+EurekaSettings ReadEureka(const Json& section, const std::string& default_host) {
+  EurekaSettings settings;
+  settings.registry = ReadAddress(section, "registry", "/eureka/registry");
+  settings.path = section.value("path", settings.path);
+  settings.host = section.value("host", default_host);
+  settings.planners = section.value("planners", settings.planners);
+  settings.partners = section.value("partners", settings.partners);
+  settings.renew = ReadMilliseconds(section, "renew_ms", settings.renew);
+  settings.fetch = ReadMilliseconds(section, "fetch_ms", settings.fetch);
+  return settings;
 }
 
-}  // namespace
+DeadLetterSettings ReadDeadLetters(const Json& section) {
+  DeadLetterSettings settings;
+  settings.folder = section.value("folder", settings.folder);
+  settings.rules_path = section.value("rules", settings.rules_path);
+  if (section.contains("ends")) {
+    settings.include_undeliverable = false;
+    settings.include_deferred = false;
+    for (const Json& status : section["ends"]) {
+      (status == "deferred" ? settings.include_deferred : settings.include_undeliverable) = true;
+    }
+  }
+  settings.redrive_deferred = section.value("resend_deferred", false);
+  settings.budget_bytes = ReadBytes(section, "budget_mb", 64.0, kBytesPerMegabyte);
+  settings.max_age =
+      Duration(static_cast<std::int64_t>(section.value("age_hours", 720.0) * kMicrosecondsPerHour));
+  settings.max_pending_bytes = ReadBytes(section, "owed_mb", 1.0, kBytesPerMegabyte);
+  settings.concurrency_fraction = section.value("slots_share", settings.concurrency_fraction);
+  settings.pending_fraction = section.value("held_share", settings.pending_fraction);
+  settings.destination_rate = section.value("destination_rate", settings.destination_rate);
+  settings.initial_backoff = ReadMilliseconds(section, "backoff_ms", settings.initial_backoff);
+  const Duration max_backoff = ReadMilliseconds(section, "backoff_most_ms", settings.max_backoff);
+  settings.max_backoff = std::max(settings.initial_backoff, max_backoff);
+  return settings;
+}
 
-std::vector<SettingName> NodeFileSettingNames() { return SettingNames(Json::parse(kNodeSchema)); }
+JournalFileSettings ReadJournal(const Json& section) {
+  JournalFileSettings settings;
+  settings.synced = section.value("durability", "written") == "synced";
+  settings.synced_classes = section.value("synced_classes", settings.synced_classes);
+  settings.group_commit_delay = ReadMilliseconds(section, "group_ms", settings.group_commit_delay);
+  settings.reserve_disk_space = section.value("reserve", false);
+  settings.segment_bytes = ReadBytes(section, "segment_kb", 0.0, kBytesPerKibibyte);
+  return settings;
+}
 
-NodeFile ParseNodeFile(const std::string& text, const Overrides& overrides) {
-  Json root;
+// Checks what the schema can't say: which sections a role needs and which it can't have.
+void CheckRole(const NodeFile& file, const std::string& role) {
+  if (file.role != Role::kBoth && (!file.cloudevents || !file.eureka)) {
+    throw FormatError::Unexpected(
+        {"/role", "the keys cloudevents and eureka beside the role " + role, "only some of them"});
+  }
+  if (file.role == Role::kForwarder && file.dead_letters) {
+    throw FormatError::Unexpected({"/kept", "a role that holds messages (both, planner)", "forwarder"});
+  }
+}
+
+Json ParseJson(const std::string& text) {
   try {
-    root = Json::parse(text);
+    return Json::parse(text);
   } catch (const Json::parse_error& error) {
-    throw std::runtime_error(std::string("no JSON: ") + error.what());
+    throw FormatError(std::string("no JSON: ") + error.what(), {"", "JSON", ""});
   }
+}
+
+}  // namespace
+
+std::vector<SettingName> NodeFileSettingNames() { return SettingNames(Json::parse(kNodeSchema)); }
+
+NodeFile ParseNodeFile(const std::string& text, const Overrides& overrides) {
+  Json root = ParseJson(text);
   const Json schema = Json::parse(kNodeSchema);
   ApplyOverrides(schema, root, overrides);
   Validate(schema, root);
   NodeFile file;
   const std::string role = root.value("role", "both");
-  file.role = role == "both" ? Role::kBoth : role == "planner" ? Role::kPlanner : Role::kForwarder;
-  if (root.contains("cloudevents")) {
-    const Json& part = root["cloudevents"];
-    CloudEventsSettings c;
-    c.listen = At(part, "listen", "/cloudevents/listen");
-    if (!part.value("sink", "").empty()) c.sink = At(part, "sink", "/cloudevents/sink");
-    c.sink_path = part.value("sink_path", c.sink_path);
-    file.cloudevents = c;
-  }
+  file.role = ParseRole(role);
+  if (root.contains("cloudevents")) file.cloudevents = ReadCloudEvents(root["cloudevents"]);
   if (root.contains("eureka")) {
-    const Json& part = root["eureka"];
-    EurekaSettings e;
-    e.registry = At(part, "registry", "/eureka/registry");
-    e.path = part.value("path", e.path);
-    e.host = part.value("host", file.cloudevents ? file.cloudevents->listen.host : "");
-    e.planners = part.value("planners", e.planners);
-    e.partners = part.value("partners", e.partners);
-    e.renew = Milliseconds(part, "renew_ms", e.renew);
-    e.fetch = Milliseconds(part, "fetch_ms", e.fetch);
-    file.eureka = e;
+    file.eureka = ReadEureka(root["eureka"], file.cloudevents ? file.cloudevents->listen.host : "");
   }
-  if (root.contains("kept")) file.dead_letters = ReadKept(root["kept"]);
+  if (root.contains("kept")) file.dead_letters = ReadDeadLetters(root["kept"]);
   if (root.contains("journal")) file.journal = ReadJournal(root["journal"]);
-  if (file.role != Role::kBoth && (!file.cloudevents || !file.eureka)) {
-    throw std::runtime_error("/role: expected the keys cloudevents and eureka beside the role " + role +
-                             ", found only some of them");
-  }
-  if (file.role == Role::kForwarder && file.dead_letters) {
-    throw std::runtime_error("/kept: expected a role that holds messages (both, planner), found forwarder");
-  }
+  CheckRole(file, role);
   return file;
 }
 
@@ -108,8 +142,10 @@
   if (!file && overrides.empty()) return {};
   try {
     return ParseNodeFile(file ? text.str() : "{}", overrides);
-  } catch (const std::exception& error) {
-    throw std::runtime_error(path + ": " + error.what());
+  } catch (const FormatError& error) {
+    throw ConfigError(path + ": " + error.what(), path, error.fault());
+  } catch (const std::exception& error) {  // an override that doesn't fit the file's shape
+    throw ConfigError(path + ": " + error.what(), path);
   }
 }
 
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -1,8 +1,8 @@
 #include "config/schema.h"
 
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <sstream>
-#include <stdexcept>
 #include <string>
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
@@ -10,27 +10,48 @@
 #include <valijson/validation_results.hpp>
 #include <valijson/validator.hpp>
 
+#include "config/format_error.h"
+
 namespace sagetally {
 namespace {
 
 using Json = nlohmann::json;
+using Pointer = Json::json_pointer;
+
+// A place in a document that doesn't keep to its schema.
+struct Violation {
+  Pointer place;
+  std::string description = "a valid document";  // in valijson's words
+};
+
+// Settings in schemas and overrides are named by the keys that lead to them, with points between.
+std::vector<std::string> SplitPath(const std::string& path) {
+  std::vector<std::string> keys;
+  std::istringstream stream(path);
+  for (std::string key; std::getline(stream, key, '.');) keys.push_back(key);
+  return keys;
+}
 
 // valijson names a place as "<root>", "[cloudevents]", "[listen]".
-Json::json_pointer Pointer(const std::vector<std::string>& context) {
-  Json::json_pointer pointer;
-  for (std::string step : context) {
+Pointer ToPointer(const std::vector<std::string>& context) {
+  Pointer pointer;
+  for (const std::string& step : context) {
     if (step.size() < 2 || step.front() != '[') continue;
     pointer /= step.substr(1, step.size() - 2);
   }
   return pointer;
 }
 
-// The part of the schema that speaks of the place.
-const Json* PartFor(const Json& schema, const Json::json_pointer& pointer) {
-  const Json* part = &schema;
+std::vector<std::string> Steps(Pointer pointer) {
   std::vector<std::string> steps;
-  for (Json::json_pointer p = pointer; !p.empty(); p.pop_back()) steps.insert(steps.begin(), p.back());
-  for (const std::string& step : steps) {
+  for (; !pointer.empty(); pointer.pop_back()) steps.insert(steps.begin(), pointer.back());
+  return steps;
+}
+
+// The part of the schema that describes a place, or null.
+const Json* FindSchemaPart(const Json& schema, const Pointer& place) {
+  const Json* part = &schema;
+  for (const std::string& step : Steps(place)) {
     if (part->contains("properties") && (*part)["properties"].contains(step)) {
       part = &(*part)["properties"][step];
     } else if (part->contains("items")) {
@@ -42,117 +63,130 @@
   return part;
 }
 
-std::string Found(const Json& document, const Json::json_pointer& pointer) {
-  if (!document.contains(pointer)) return "nothing";
-  const std::string text = document.at(pointer).dump(-1, ' ', false, Json::error_handler_t::replace);
-  return text.size() > 60 ? text.substr(0, 60) + "..." : text;
+std::string DescribeValue(const Json& document, const Pointer& place) {
+  constexpr std::size_t kMaxLength = 60;
+  if (!document.contains(place)) return "nothing";
+  const std::string text = document.at(place).dump(-1, ' ', false, Json::error_handler_t::replace);
+  return text.size() > kMaxLength ? text.substr(0, kMaxLength) + "..." : text;
 }
 
-// Keys that are missing, or that the schema does not know, are named themselves and not their object.
-std::string KeyAtFault(const Json& part, const Json& object, bool& missing) {
-  if (!object.is_object() || !part.contains("properties")) return "";
-  if (part.contains("required")) {
-    for (const Json& key : part["required"]) {
-      if (!object.contains(key.get<std::string>())) return missing = true, key.get<std::string>();
-    }
+std::optional<std::string> FindMissingKey(const Json& part, const Json& object) {
+  if (!part.contains("required")) return std::nullopt;
+  for (const Json& key : part["required"]) {
+    const auto name = key.get<std::string>();
+    if (!object.contains(name)) return name;
   }
-  if (part.value("additionalProperties", Json(true)) != Json(false)) return "";
+  return std::nullopt;
+}
+
+std::optional<std::string> FindUnknownKey(const Json& part, const Json& object) {
+  if (part.value("additionalProperties", Json(true)) != Json(false)) return std::nullopt;
   for (const auto& [key, value] : object.items()) {
-    if (!part["properties"].contains(key)) return key;
+    if (part["properties"].contains(key)) continue;
+    if (key.empty()) return std::nullopt;  // a pointer to it would be hard to read: its object is named
+    return key;
+  }
+  return std::nullopt;
+}
+
+FormatError UnknownKeyError(const Json& part, const Pointer& place, const std::string& key) {
+  std::string known_keys;
+  for (const auto& [name, value] : part["properties"].items()) {
+    known_keys += (known_keys.empty() ? "" : ", ") + name;
+  }
+  return FormatError::Unexpected({(place / key).to_string(), "one of " + known_keys, "'" + key + "'"});
+}
+
+// Returns the violation that lies deepest, as it says most; the first of these if there are several.
+std::optional<Violation> FindViolation(const Json& schema, const Json& document) {
+  valijson::Schema rules;
+  valijson::SchemaParser parser;
+  const valijson::adapters::NlohmannJsonAdapter schema_adapter(schema);
+  parser.populateSchema(schema_adapter, rules);
+  valijson::Validator validator;
+  valijson::ValidationResults results;
+  const valijson::adapters::NlohmannJsonAdapter adapter(document);
+  if (validator.validate(rules, adapter, &results)) return std::nullopt;
+  Violation deepest;
+  std::size_t depth = 0;
+  for (valijson::ValidationResults::Error error; results.popError(error);) {
+    if (error.context.size() <= depth) continue;
+    depth = error.context.size();
+    deepest.place = ToPointer(error.context);
+    deepest.description = error.description;
   }
-  return "";
+  return deepest;
 }
 
-void Leaves(const Json& schema, const std::string& prefix, std::vector<SettingName>& out) {
+void AppendSettingNames(const Json& schema, const std::string& prefix, std::vector<SettingName>& names) {
   for (const auto& [name, part] : schema["properties"].items()) {
     if (part.value("type", "") == "object" && part.contains("properties")) {
-      Leaves(part, prefix + name + ".", out);
+      AppendSettingNames(part, prefix + name + ".", names);
     } else {
-      out.push_back({prefix + name, part.value("description", "")});
+      names.push_back({prefix + name, part.value("description", "")});
     }
   }
 }
 
-const Json& SchemaPart(const Json& schema, const std::string& path) {
+const Json& SettingSchema(const Json& schema, const std::string& path) {
   const Json* part = &schema;
-  std::istringstream steps(path);
-  for (std::string step; std::getline(steps, step, '.');) part = &part->at("properties").at(step);
+  for (const std::string& key : SplitPath(path)) part = &part->at("properties").at(key);
   return *part;
 }
 
-Json FromText(const Json& part, const std::string& text) {
+Json ParseSetting(const Json& part, const std::string& text) {
   const std::string type = part.value("type", "string");
-  const bool json_text = !text.empty() && (text.front() == '[' || text.front() == '{');
-  if (type == "array" && !json_text) {
+  const bool is_json = !text.empty() && (text.front() == '[' || text.front() == '{');
+  if (type == "array" && !is_json) {
     Json list = Json::array();
     std::istringstream items(text);
-    for (std::string item; std::getline(items, item, ',');)
-      list.push_back(FromText(part.value("items", Json::object()), item));
+    for (std::string item; std::getline(items, item, ',');) {
+      list.push_back(ParseSetting(part.value("items", Json::object()), item));
+    }
     return list;
   }
   if (type == "string") return text;
-  Json value = Json::parse(text, nullptr, false);  // a number or a boolean; else the schema turns it down
+  Json value = Json::parse(text, nullptr, false);
   return value.is_discarded() ? Json(text) : value;
 }
 
 }  // namespace
 
 std::vector<SettingName> SettingNames(const Json& schema) {
-  std::vector<SettingName> all;
-  Leaves(schema, "", all);
-  return all;
+  std::vector<SettingName> names;
+  AppendSettingNames(schema, "", names);
+  return names;
 }
 
 void ApplyOverrides(const Json& schema, Json& document, const Overrides& overrides) {
-  for (const auto& [path, value] : overrides) {
-    Json* at = &document;
-    std::istringstream steps(path);
-    for (std::string step; std::getline(steps, step, '.');) at = &(*at)[step];
-    *at = FromText(SchemaPart(schema, path), value);
+  for (const auto& [path, text] : overrides) {
+    Json* setting = &document;
+    for (const std::string& key : SplitPath(path)) setting = &(*setting)[key];
+    *setting = ParseSetting(SettingSchema(schema, path), text);
   }
 }
 
 void Validate(const Json& schema, const Json& document) {
-  valijson::Schema rules;
-  valijson::SchemaParser parser;
-  valijson::adapters::NlohmannJsonAdapter schema_adapter(schema);
-  parser.populateSchema(schema_adapter, rules);
-  valijson::Validator validator;
-  valijson::ValidationResults results;
-  const valijson::adapters::NlohmannJsonAdapter adapter(document);
-  if (validator.validate(rules, adapter, &results)) return;
-  // The deepest place says most; the first of these was found first.
-  Json::json_pointer pointer;
-  std::size_t depth = 0;
-  std::string description = "a valid document";
-  for (valijson::ValidationResults::Error error; results.popError(error);) {
-    if (error.context.size() <= depth) continue;
-    depth = error.context.size();
-    pointer = Pointer(error.context);
-    description = error.description;
-  }
-  const Json* part = PartFor(schema, pointer);
-  bool missing = false;
-  if (part != nullptr && document.contains(pointer)) {
-    const std::string key = KeyAtFault(*part, document.at(pointer), missing);
-    if (!key.empty() && !missing) {
-      std::string known;
-      for (const auto& [name, value] : (*part)["properties"].items()) {
-        known += (known.empty() ? "" : ", ") + name;
-      }
-      throw std::runtime_error((pointer / key).to_string() + ": expected one of " + known + ", found '" +
-                               key + "'");
-    }
-    if (!key.empty()) {
-      pointer /= key;
-      part = PartFor(schema, pointer);
+  const std::optional<Violation> violation = FindViolation(schema, document);
+  if (!violation) return;
+  Pointer place = violation->place;
+  const Json* part = FindSchemaPart(schema, place);
+  // A key that is missing, or that the schema doesn't know, is named itself and not its object.
+  if (part != nullptr && document.contains(place) && document.at(place).is_object() &&
+      part->contains("properties")) {
+    const Json& object = document.at(place);
+    if (const std::optional<std::string> missing = FindMissingKey(*part, object)) {
+      place /= *missing;
+      part = FindSchemaPart(schema, place);
+    } else if (const std::optional<std::string> unknown = FindUnknownKey(*part, object)) {
+      throw UnknownKeyError(*part, place, *unknown);
     }
   }
-  const std::string expected = part != nullptr && part->contains("description")
-                                   ? (*part)["description"].get<std::string>()
-                                   : description;
-  const std::string where = pointer.empty() ? "/" : pointer.to_string();
-  throw std::runtime_error(where + ": expected " + expected + ", found " + Found(document, pointer));
+  const bool is_described = part != nullptr && part->contains("description");
+  const std::string expected =
+      is_described ? (*part)["description"].get<std::string>() : violation->description;
+  throw FormatError::Unexpected(
+      {place.empty() ? "/" : place.to_string(), expected, DescribeValue(document, place)});
 }
 
 }  // namespace sagetally
