--- a/src/frontend/cloudevents/cloud_event.h
+++ b/src/frontend/cloudevents/cloud_event.h
@@ -1,45 +1,32 @@
-// CloudEvents 1.0 and their HTTP binding: reading the three modes, and the headers of the binary one.
+// CloudEvents 1.0 over HTTP: parsing of the three content modes (binary, structured, batch), and the headers
+// of the binary one. No I/O. Errors are FormatErrors, whose texts clients get.
 #ifndef SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUD_EVENT_H_
 #define SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUD_EVENT_H_
 
 #include <map>
 #include <string>
-#include <string_view>
 #include <utility>
 #include <vector>
 
-#include "config/settings.h"
-#include "core/message.h"
+#include "frontend/cloudevents/text_encoding.h"
 
 namespace sagetally {
 
+// HTTP headers by name, in order.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
+// An event: its context attributes, extensions included, in the string form of the type system of
+// CloudEvents.
 struct CloudEvent {
-  std::map<std::string, std::string> attributes;  // context attributes, extensions included, as strings
+  std::map<std::string, std::string> attributes;
   std::string data;
 };
 
-// Extension attributes that say what the dispatcher is to do with an event.
-inline constexpr char kClassAttribute[] = "messageclass";
-inline constexpr char kDestinationAttribute[] = "destination";
-inline constexpr char kDeadlineAttribute[] = "deadlinems";  // absent: the class's deadline
-inline constexpr char kKeyAttribute[] = "idempotencykey";
-
-// Header values: bytes outside 0x21 to 0x7e, quotes and per cent signs are percent-encoded.
-std::string EncodeHeader(std::string_view value, std::string_view also = "");
-std::string DecodeHeader(std::string_view value);
-
-// All events of one HTTP request. Throws std::runtime_error saying what is wrong.
+// Parses all events of one HTTP request. Throws FormatError.
 std::vector<CloudEvent> ParseCloudEvents(const Headers& headers, const std::string& body);
-// The headers of the binary mode, content type included.
+// Returns the headers of an event in binary mode, its content type included.
 Headers BinaryHeaders(const CloudEvent& event);
 
-// The core request that an event asks for. Throws std::runtime_error.
-Request ToRequest(const CloudEvent& event, const SiteSettings& site);
-// The event that carries a core request onward; one of the plain form gets attributes of its own.
-CloudEvent ToCloudEvent(const Request& request, const SiteSettings& site);
-
 }  // namespace sagetally
 
 #endif  // SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUD_EVENT_H_
--- a/src/frontend/cloudevents/cloudevents_frontend.cpp
+++ b/src/frontend/cloudevents/cloudevents_frontend.cpp
@@ -1,39 +1,41 @@
 #include "frontend/cloudevents/cloudevents_frontend.h"
 
+#include <chrono>
+
 #include "config/json.h"
-#include "frontend/http_response.h"
 
 namespace sagetally {
+namespace {
+
+// The JSON string of an attribute that travels as a header; an absent one is empty.
+std::string QuotedAttribute(const Message& message, const char* header) {
+  const auto attribute = message.request.attributes.find(header);
+  if (attribute == message.request.attributes.end()) return json::Quote("");
+  return json::Quote(DecodeHeader(attribute->second));
+}
+
+}  // namespace
 
-void CloudEventsFrontend::Handle(const std::shared_ptr<Exchange>& exchange) {
-  if (RespondToOtherPath(*exchange, readiness_.IsReady())) return;
+std::vector<Request> CloudEventsFrontend::ParseRequests(const Exchange& exchange) const {
   std::vector<Request> requests;
-  try {
-    for (const CloudEvent& event : ParseCloudEvents(exchange->headers(), exchange->body())) {
-      requests.push_back(ToRequest(event, site_));
-    }
-  } catch (const std::exception& e) {
-    exchange->Respond(400, std::string(e.what()) + "\n");
-    return;
+  for (const CloudEvent& event : ParseCloudEvents(exchange.headers(), exchange.body())) {
+    requests.push_back(ToRequest(event, site()));
   }
-  intake_.Submit(std::move(requests), MakeResponder(exchange));
+  return requests;
 }
 
 std::string MakeResultEvent(const Message& message, const std::string& node) {
-  const auto decoded = [&](const char* name) {
-    const auto at = message.request.attributes.find(name);
-    return json::Quote(at == message.request.attributes.end() ? "" : DecodeHeader(at->second));
-  };
-  const bool refused = message.final_status == FinalStatus::kRejected;
-  const std::string status = refused ? "deferred" : "undeliverable";
-  const auto again = std::chrono::duration_cast<std::chrono::milliseconds>(message.retry_after).count();
-  std::string data = "{\"source\":" + decoded("ce-source") + ",\"id\":" + decoded("ce-id");
+  const bool is_deferred = message.final_status == FinalStatus::kRejected;
+  const std::string status = is_deferred ? "deferred" : "undeliverable";
+  const auto retry_after = std::chrono::duration_cast<std::chrono::milliseconds>(message.retry_after).count();
+  const std::string id = QuotedAttribute(message, "ce-id");
+  std::string data = "{\"source\":" + QuotedAttribute(message, "ce-source") + ",\"id\":" + id;
   data += ",\"status\":\"" + status + "\"";
-  if (refused && again > 0) data += ",\"again_ms\":" + std::to_string(again);
+  if (is_deferred && retry_after > 0) data += ",\"again_ms\":" + std::to_string(retry_after);
   data += "}";
   return "{\"specversion\":\"1.0\",\"id\":\"" + std::to_string(message.number) + "-" +
          std::to_string(message.ended_at.count()) + "\",\"source\":" + json::Quote("/sagetally/" + node) +
-         ",\"type\":\"sagetally." + status + "\",\"subject\":" + decoded("ce-id") +
+         ",\"type\":\"sagetally." + status + "\",\"subject\":" + id +
          ",\"datacontenttype\":\"application/json\",\"data\":" + data + "}";
 }
 
--- a/src/frontend/cloudevents/cloudevents_frontend.h
+++ b/src/frontend/cloudevents/cloudevents_frontend.h
@@ -1,32 +1,32 @@
-// CloudEvents over HTTP as core requests.
+// CloudEvents over HTTP: the frontend that accepts them, and the events that report results back. Called on
+// the event loop's thread.
 #ifndef SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
 #define SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
 
-#include <memory>
+#include <cstddef>
 #include <string>
+#include <vector>
 
-#include "admin/readiness.h"
 #include "core/message.h"
-#include "frontend/cloudevents/cloud_event.h"
-#include "net/http_server.h"
-#include "pipeline/request_validator.h"
+#include "frontend/cloudevents/event_mapping.h"
+#include "frontend/frontend.h"
 
 namespace sagetally {
 
-class CloudEventsFrontend {
+// Accepts events in all content modes; a batch is accepted as a whole or not at all.
+class CloudEventsFrontend : public Frontend {
  public:
-  static constexpr std::size_t kMaxHeadBytes = 32 * 1024;  // attributes travel there
-  CloudEventsFrontend(const SiteSettings& site, RequestValidator& intake, const Readiness& readiness)
-      : site_(site), intake_(intake), readiness_(readiness) {}
-  void Handle(const std::shared_ptr<Exchange>& exchange);
+  // Limit of a request's head, in which attributes travel.
+  static constexpr std::size_t kMaxHeadBytes = 32 * 1024;
+
+  using Frontend::Frontend;
 
  private:
-  const SiteSettings& site_;
-  RequestValidator& intake_;
-  const Readiness& readiness_;
+  std::vector<Request> ParseRequests(const Exchange& exchange) const override;
 };
 
-// The result event (structured JSON) that tells how an event's message ended.
+// Returns the result event (structured JSON) that reports the final status of an undelivered event's message.
+// `node` is the name of this process.
 std::string MakeResultEvent(const Message& message, const std::string& node);
 
 }  // namespace sagetally
--- a/src/frontend/http_response.cpp
+++ b/src/frontend/http_response.cpp
@@ -1,47 +1,70 @@
 #include "frontend/http_response.h"
 
 #include <utility>
-#include <vector>
 
 namespace sagetally {
 namespace {
 
-void Respond(Exchange& exchange, const AdmissionResult& answer) {
-  std::vector<std::pair<std::string, std::string>> headers;
-  if ((answer.status == AdmissionStatus::kRejected || answer.status == AdmissionStatus::kShuttingDown) &&
-      answer.retry_after > Duration(0)) {
-    headers.emplace_back("Retry-After", RetryAfter(answer.retry_after));
+constexpr int kOk = 200;
+constexpr int kAccepted = 202;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kMethodNotAllowed = 405;
+constexpr int kTooManyRequests = 429;
+constexpr int kServiceUnavailable = 503;
+
+int StatusCode(AdmissionStatus status) {
+  switch (status) {
+    case AdmissionStatus::kAccepted:
+      return kAccepted;
+    case AdmissionStatus::kRejected:
+      return kTooManyRequests;
+    case AdmissionStatus::kShuttingDown:
+      return kServiceUnavailable;
+    case AdmissionStatus::kInvalid:
+      break;
   }
-  int code = 400;
-  if (answer.status == AdmissionStatus::kAccepted) code = 202;
-  if (answer.status == AdmissionStatus::kRejected) code = 429;
-  if (answer.status == AdmissionStatus::kShuttingDown) code = 503;
-  exchange.Respond(code, answer.reason.empty() ? "" : answer.reason + "\n", headers);
+  return kBadRequest;
 }
 
-}  // namespace
+// Seconds with three decimals, rounded up.
+std::string FormatRetryAfter(Duration retry_after) {
+  const auto milliseconds = (retry_after.count() + 999) / 1000;
+  const std::string fraction = std::to_string(milliseconds % 1000);
+  return std::to_string(milliseconds / 1000) + "." + std::string(3 - fraction.size(), '0') + fraction;
+}
 
-std::string RetryAfter(Duration d) {
-  const auto ms = (d.count() + 999) / 1000;
-  const std::string rest = std::to_string(ms % 1000);
-  return std::to_string(ms / 1000) + "." + std::string(3 - rest.size(), '0') + rest;
+void Respond(Exchange& exchange, const AdmissionResult& result) {
+  Exchange::Headers headers;
+  const bool may_come_again =
+      result.status == AdmissionStatus::kRejected || result.status == AdmissionStatus::kShuttingDown;
+  if (may_come_again && result.retry_after > Duration(0)) {
+    headers.emplace_back("Retry-After", FormatRetryAfter(result.retry_after));
+  }
+  exchange.Respond(StatusCode(result.status), result.reason.empty() ? "" : result.reason + "\n", headers);
 }
 
+}  // namespace
+
 AdmissionCallback MakeResponder(std::shared_ptr<Exchange> exchange) {
-  return [exchange = std::move(exchange)](const AdmissionResult& answer) {
+  return [exchange = std::move(exchange)](const AdmissionResult& result) {
     if (exchange->client_gone()) return false;
-    Respond(*exchange, answer);
+    Respond(*exchange, result);
     return true;
   };
 }
 
+void RespondBadRequest(Exchange& exchange, const std::string& problem) {
+  exchange.Respond(kBadRequest, problem + "\n");
+}
+
 bool RespondToOtherPath(Exchange& exchange, bool ready) {
-  const std::string method = exchange.method();
+  const std::string& method = exchange.method();
   if (method == "POST") return false;
   if (method == "GET" && exchange.path() == "/healthz") {
-    exchange.Respond(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
+    exchange.Respond(ready ? kOk : kServiceUnavailable, ready ? "ready\n" : "not ready\n");
   } else {
-    exchange.Respond(method == "GET" ? 404 : 405, "messages come by POST\n");
+    exchange.Respond(method == "GET" ? kNotFound : kMethodNotAllowed, "messages come by POST\n");
   }
   return true;
 }
--- a/src/frontend/platform/platform_frontend.h
+++ b/src/frontend/platform/platform_frontend.h
@@ -1,36 +1,35 @@
-// The platform's protocol as core requests: one message per HTTP request.
+// The platform's protocol: one message for each HTTP request, described by its path and headers. Called on
+// the event loop's thread.
 #ifndef SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
 #define SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
+#include <vector>
 
-#include "admin/readiness.h"
-#include "config/settings.h"
-#include "core/message.h"
-#include "net/http_server.h"
-#include "pipeline/request_validator.h"
+#include "frontend/frontend.h"
 
 namespace sagetally {
 
-// "480m" (milliseconds) or "480u" (microseconds).
+// Parses a time such as "480m" (milliseconds) or "480u" (microseconds). Returns nothing if it is negative,
+// beyond 1e12 units or malformed.
 std::optional<Duration> ParseDeadline(std::string_view text);
-// The `dest` of "dest=7" or "a=1,dest=7".
+// Returns the destination in an envelope such as "dest=7" or "a=1,dest=7", or nothing if it has no valid one.
 std::optional<int> ParseDestination(std::string_view envelope);
-// Fills `request` from a message in the platform's form, or says what is wrong.
+
+// Parses the message of an HTTP request. Throws FormatError that says what is wrong and names the header.
+Request ParsePlatformRequest(const Exchange& exchange, const SiteSettings& site);
+// The same: fills `request` and returns an empty text, or returns what is wrong.
 std::string ParsePlatformRequest(const Exchange& exchange, const SiteSettings& site, Request& request);
 
-class PlatformFrontend {
+// Accepts messages in the platform's protocol.
+class PlatformFrontend : public Frontend {
  public:
-  PlatformFrontend(const SiteSettings& site, RequestValidator& intake, const Readiness& readiness)
-      : site_(site), intake_(intake), readiness_(readiness) {}
-  void Handle(const std::shared_ptr<Exchange>& exchange);
+  using Frontend::Frontend;
 
  private:
-  const SiteSettings& site_;
-  RequestValidator& intake_;
-  const Readiness& readiness_;
+  std::vector<Request> ParseRequests(const Exchange& exchange) const override;
 };
 
 }  // namespace sagetally
