--- /dev/null
+++ b/src/service_registry/eureka_format.cpp
@@ -0,0 +1,141 @@
+#include "service_registry/eureka_format.h"
+
+#include <fmt/format.h>
+
+#include <functional>
+#include <optional>
+#include <utility>
+
+#include "config/config.h"
+#include "config/json.h"
+
+namespace sagetally {
+namespace {
+
+using json::Find;
+using json::Get;
+using json::Value;
+
+// Calls `use` for each item of a list. Eureka may write a list of one item as that item.
+template <typename Use>
+void ForEachItem(Value object, const char* name, Use use) {
+  const std::optional<Value> list = Find(object, name);
+  if (!list) return;
+  simdjson::dom::array items;
+  if (list->get(items) != simdjson::SUCCESS) {
+    use(*list);
+    return;
+  }
+  for (const Value item : items) use(item);
+}
+
+// A port is a number, or an object such as {"$": 8080, "@enabled": "true"}; its number may be a string.
+std::uint16_t ReadPort(Value instance) {
+  const std::optional<Value> port = Find(instance, "port");
+  if (!port) return 0;
+  const Value number = port->is_object() ? json::Require(*port, "$") : *port;
+  if (!number.is_string()) return json::As<std::uint16_t>(number, "port");
+  return ParseAddress("0.0.0.0:" + json::As<std::string>(number, "port"), "port").port;
+}
+
+std::map<std::string, std::string> ReadMetadata(Value instance) {
+  const std::optional<Value> metadata = Find(instance, "metadata");
+  if (!metadata) return {};
+  simdjson::dom::object fields;
+  if (metadata->get(fields) != simdjson::SUCCESS) json::ThrowWrongType(*metadata, "metadata", "an object");
+  std::map<std::string, std::string> texts;
+  for (const auto& [key, field] : fields) {
+    if (field.is_string()) texts[std::string(key)] = json::As<std::string>(field, "metadata");
+  }
+  return texts;
+}
+
+Instance ReadInstance(Value value, const std::string& app) {
+  Instance instance;
+  instance.app = app;
+  instance.host = Get<std::string>(value, "ipAddr", "");
+  if (instance.host.empty()) instance.host = Get<std::string>(value, "hostName");
+  instance.port = ReadPort(value);
+  const std::string default_id = instance.host + ":" + std::to_string(instance.port);
+  instance.id = Get<std::string>(value, "instanceId", default_id);
+  instance.status = Get<std::string>(value, "status", "UNKNOWN");
+  instance.metadata = ReadMetadata(value);
+  return instance;
+}
+
+// Calls `use(instance, action)` for each instance in a response, and returns the hash code that it names.
+std::string ReadInstances(std::string_view text, const std::function<void(Instance, std::string)>& use) {
+  simdjson::dom::parser parser;
+  const Value applications = json::Require(json::Parse(parser, text), "applications");
+  ForEachItem(applications, "application", [&](Value application) {
+    const auto name = Get<std::string>(application, "name");
+    ForEachItem(application, "instance", [&](Value instance) {
+      use(ReadInstance(instance, name), Get<std::string>(instance, "actionType", "ADDED"));
+    });
+  });
+  return Get<std::string>(applications, "apps__hashcode", "");
+}
+
+std::string ToUpper(std::string text) {
+  for (char& c : text) {
+    if (c >= 'a' && c <= 'z') c = static_cast<char>(c - 'a' + 'A');
+  }
+  return text;
+}
+
+void Remove(const std::string& app, const std::string& id, Applications& applications) {
+  const auto instances = applications.find(app);
+  if (instances == applications.end()) return;
+  instances->second.erase(id);
+  if (instances->second.empty()) applications.erase(instances);
+}
+
+}  // namespace
+
+Applications ReadApplications(std::string_view text) {
+  Applications applications;
+  ReadInstances(text, [&](Instance instance, const std::string&) {
+    std::map<std::string, Instance>& instances = applications[ToUpper(instance.app)];
+    const std::string id = instance.id;
+    instances[id] = std::move(instance);
+  });
+  return applications;
+}
+
+bool ApplyDelta(std::string_view text, Applications& applications) {
+  const std::string hash_code = ReadInstances(text, [&](Instance instance, const std::string& action) {
+    const std::string app = ToUpper(instance.app);
+    const std::string id = instance.id;
+    if (action == "DELETED") {
+      Remove(app, id, applications);
+    } else {
+      applications[app][id] = std::move(instance);
+    }
+  });
+  return hash_code.empty() || hash_code == HashCode(applications);
+}
+
+std::string HashCode(const Applications& applications) {
+  std::map<std::string, int> counts;
+  for (const auto& [app, instances] : applications) {
+    for (const auto& [id, instance] : instances) ++counts[instance.status];
+  }
+  std::string hash_code;
+  for (const auto& [status, count] : counts) hash_code += status + "_" + std::to_string(count) + "_";
+  return hash_code;
+}
+
+std::string FormatRegistration(const Instance& instance, const Lease& lease) {
+  const std::string app = json::Quote(instance.app);
+  const std::string host = json::Quote(instance.host);
+  return fmt::format(
+      R"({{"instance":{{"instanceId":{id},"hostName":{host},"app":{app},"ipAddr":{host},"vipAddress":{app},)"
+      R"("status":"UP","port":{{"$":{port},"@enabled":"true"}},"dataCenterInfo":{{)"
+      R"("@class":"com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo","name":"MyOwn"}},)"
+      R"("leaseInfo":{{"renewalIntervalInSecs":{renewal},"durationInSecs":{duration}}},"metadata":{{}}}}}})",
+      fmt::arg("id", json::Quote(instance.id)), fmt::arg("host", host), fmt::arg("app", app),
+      fmt::arg("port", instance.port), fmt::arg("renewal", lease.renewal_interval.count()),
+      fmt::arg("duration", lease.duration.count()));
+}
+
+}  // namespace sagetally
--- a/src/service_registry/planner_selection.cpp
+++ b/src/service_registry/planner_selection.cpp
@@ -2,83 +2,105 @@
 
 #include <arpa/inet.h>
 
-#include <algorithm>
 #include <charconv>
+#include <optional>
+#include <string>
+
+#include "config/parse_number.h"
 
 namespace sagetally {
 namespace {
 
+// Keys of a partner instance's metadata.
+constexpr const char* kDestinationKey = "destination";
+constexpr const char* kRateKey = "rate";
+constexpr const char* kKindKey = "kind";
+constexpr const char* kZoneKey = "zone";
+
 // FNV-1a with a final mix: the same on every machine, which std::hash does not promise.
-std::uint64_t Weight(const std::string& text) {
-  std::uint64_t hash = 14695981039346656037ull;
-  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
-  hash ^= hash >> 33;
-  hash *= 0xff51afd7ed558ccdull;
-  hash ^= hash >> 33;
+std::uint64_t Hash(const std::string& text) {
+  constexpr std::uint64_t kOffsetBasis = 14695981039346656037ull;
+  constexpr std::uint64_t kPrime = 1099511628211ull;
+  constexpr std::uint64_t kMixFactor = 0xff51afd7ed558ccdull;  // of MurmurHash3's finalizer
+  constexpr int kMixShift = 33;
+  std::uint64_t hash = kOffsetBasis;
+  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
+  hash ^= hash >> kMixShift;
+  hash *= kMixFactor;
+  hash ^= hash >> kMixShift;
   return hash;
 }
 
-template <typename T>
-bool ReadNumber(const Instance& instance, const char* name, T& value) {
-  const auto at = instance.metadata.find(name);
-  if (at == instance.metadata.end()) return false;
-  const char* end = at->second.data() + at->second.size();
-  const auto [stop, error] = std::from_chars(at->second.data(), end, value);
-  return error == std::errc() && stop == end;
+// A value of an instance's metadata, or nothing if it is absent.
+std::optional<std::string> GetMetadata(const Instance& instance, const char* key) {
+  const auto value = instance.metadata.find(key);
+  if (value == instance.metadata.end()) return std::nullopt;
+  return value->second;
 }
 
-// By a numeric address: looking up a name would stop the loop.
-bool Reachable(const Instance& instance) {
+// Whether the instance has a port and a numeric address. Looking up a name would block the event loop.
+bool HasUsableAddress(const Instance& instance) {
   in_addr number{};
   return instance.port != 0 && inet_pton(AF_INET, instance.host.c_str(), &number) == 1;
 }
 
-int Position(const std::vector<std::string>& names, const Instance& instance, const char* name) {
-  const auto named = instance.metadata.find(name);
-  if (named == instance.metadata.end()) return 0;
-  const auto at = std::find(names.begin(), names.end(), named->second);
-  return at == names.end() ? 0 : static_cast<int>(at - names.begin());
+// Calls a second that the instance's metadata promise; 0 if they name none, or one that is out of range.
+// Characters after the number are ignored.
+double ReadRate(const Instance& instance) {
+  constexpr double kLimit = 1e9;
+  const std::string text = GetMetadata(instance, kRateKey).value_or("");
+  double rate = 0;
+  std::from_chars(text.data(), text.data() + text.size(), rate);
+  return rate >= 0 && rate < kLimit ? rate : 0;
+}
+
+// The number of a name in the metadata; the first one if it is absent or unknown.
+int ReadNumberOf(const Instance& instance, const char* key, const std::vector<std::string>& names) {
+  const std::optional<std::string> name = GetMetadata(instance, key);
+  return name ? FindName(names, *name).value_or(0) : 0;
 }
 
 }  // namespace
 
 const Instance* SelectPlanner(const std::map<std::string, Instance>& planners, int destination) {
-  const Instance* best = nullptr;
-  std::uint64_t highest = 0;
+  const Instance* selected = nullptr;
+  std::uint64_t highest_weight = 0;
   for (const auto& [id, planner] : planners) {
-    if (!planner.up() || !Reachable(planner)) continue;
-    const std::uint64_t weight = Weight(id + "#" + std::to_string(destination));
-    if (best != nullptr && weight <= highest) continue;
-    best = &planner;
-    highest = weight;
+    if (!planner.up() || !HasUsableAddress(planner)) continue;
+    const std::uint64_t weight = Hash(id + "#" + std::to_string(destination));
+    if (selected != nullptr && weight <= highest_weight) continue;
+    selected = &planner;
+    highest_weight = weight;
   }
-  return best;
+  return selected;
 }
 
 EndpointListUpdate MakePartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
                                    std::vector<std::string>& problems) {
-  EndpointListUpdate news;
-  news.is_full_snapshot = true;
+  EndpointListUpdate list;
+  list.is_full_snapshot = true;
   for (const auto& [id, partner] : partners) {
-    EndpointUpdate n;
-    n.record.endpoint = id;
-    n.address = partner.host + ":" + std::to_string(partner.port);
-    if (!Reachable(partner)) {
-      problems.push_back(id + ": '" + n.address + "' is no address in numbers");
+    EndpointUpdate update;
+    update.record.endpoint = id;
+    update.address = partner.host + ":" + std::to_string(partner.port);
+    if (!HasUsableAddress(partner)) {
+      problems.push_back(id + ": '" + update.address + "' is no address in numbers");
       continue;
     }
-    if (!ReadNumber(partner, "destination", n.record.destination) || n.record.destination < 0) {
+    const std::optional<int> destination =
+        ParseNumber<int>(GetMetadata(partner, kDestinationKey).value_or(""));
+    if (!destination || *destination < 0) {
       problems.push_back(id + ": metadata names no destination");
       continue;
     }
-    ReadNumber(partner, "rate", n.record.rate);
-    if (!(n.record.rate >= 0 && n.record.rate < 1e9)) n.record.rate = 0;
-    n.record.kind = Position(site.kinds, partner, "kind");
-    n.record.zone = Position(site.zones, partner, "zone");
-    n.record.state = partner.up() ? EndpointRecord::State::kUp : EndpointRecord::State::kDraining;
-    news.endpoints.push_back(std::move(n));
+    update.record.destination = *destination;
+    update.record.rate = ReadRate(partner);
+    update.record.kind = ReadNumberOf(partner, kKindKey, site.kinds);
+    update.record.zone = ReadNumberOf(partner, kZoneKey, site.zones);
+    update.record.state = partner.up() ? EndpointRecord::State::kUp : EndpointRecord::State::kDraining;
+    list.endpoints.push_back(std::move(update));
   }
-  return news;
+  return list;
 }
 
 }  // namespace sagetally
--- a/src/service_registry/planner_selection.h
+++ b/src/service_registry/planner_selection.h
@@ -1,7 +1,9 @@
-// Which planner a destination belongs to, and the partner endpoints that a registry lists.
+// Which planner owns a destination, and the endpoint list that the partners' application in the registry
+// makes. No I/O.
 #ifndef SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
 #define SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
 
+#include <map>
 #include <string>
 #include <vector>
 
@@ -11,12 +13,14 @@
 
 namespace sagetally {
 
-// Rendezvous hashing: the instance that is UP with the highest weight for the destination; every forwarder
-// with the same list picks the same one, and a planner that goes moves only its own destinations.
+// Returns the planner that owns a destination: the instance that is up with the highest weight for it
+// (rendezvous hashing; Thaler and Ravishankar, 1998). Every forwarder with the same list selects the same
+// one, and a planner that goes moves only its own destinations. Null if no planner is up.
 const Instance* SelectPlanner(const std::map<std::string, Instance>& planners, int destination);
 
-// The instances of the partners' application as a whole list. Metadata: destination, kind, zone, rate.
-// What can't be read is left out and named in `problems`.
+// Returns the instances of the partners' application as a full snapshot of the endpoint list. Their metadata
+// name the destination, the kind, the zone and the rate. An instance that can't be used is left out, and a
+// line about it is appended to `problems`.
 EndpointListUpdate MakePartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
                                    std::vector<std::string>& problems);
 
