--- a/src/logging/logger.cpp
+++ b/src/logging/logger.cpp
@@ -11,30 +11,34 @@
 
 using Json = nlohmann::json;
 
-// Bytes that are no UTF-8 are replaced: a peer's nonsense must not end the process.
+constexpr std::chrono::seconds kRateWindow{1};
+
+// Bytes that are no UTF-8 are replaced, as what a peer sends must not end the process.
 std::string Dump(const Json& value) { return value.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 Json ToJson(const LogField::Value& value) {
-  return std::visit([](const auto& v) { return Json(v); }, value);
+  return std::visit([](const auto& content) { return Json(content); }, value);
 }
 
-std::string AsText(const LogField::Value& value) {
+// A text without spaces and the like stands as it is, everything else as JSON.
+std::string ToText(const LogField::Value& value) {
+  static constexpr char kPlainCharacters[] =
+      "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
+      "-_.:/";
   const auto* text = std::get_if<std::string>(&value);
-  const bool plain = text != nullptr && !text->empty() &&
-                     text->find_first_not_of(
-                         "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
-                         "-_.:/") == std::string::npos;
-  return plain ? *text : Dump(ToJson(value));
+  const bool is_plain =
+      text != nullptr && !text->empty() && text->find_first_not_of(kPlainCharacters) == std::string::npos;
+  return is_plain ? *text : Dump(ToJson(value));
 }
 
-std::unique_ptr<spdlog::formatter> Pattern(LogFormat format) {
+std::unique_ptr<spdlog::formatter> MakeFormatter(LogFormat format) {
   return std::make_unique<spdlog::pattern_formatter>(
       format == LogFormat::kJson ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})"
                                  : "%Y-%m-%dT%H:%M:%S.%eZ %l %v",
       spdlog::pattern_time_type::utc);
 }
 
-spdlog::level::level_enum SpdLevel(LogLevel level) {
+spdlog::level::level_enum ToSpdlogLevel(LogLevel level) {
   switch (level) {
     case LogLevel::kDebug:
       return spdlog::level::debug;
@@ -54,36 +58,52 @@
 
 Logger::Logger(LogOptions options, spdlog::sink_ptr sink)
     : options_(options), logger_("sagetally", std::move(sink)) {
-  logger_.set_formatter(Pattern(options.format));
-  logger_.set_level(SpdLevel(options.level));
+  logger_.set_formatter(MakeFormatter(options.format));
+  logger_.set_level(ToSpdlogLevel(options.level));
   logger_.flush_on(spdlog::level::trace);
 }
 
-void Logger::Write(LogLevel level, std::string_view event, const std::vector<LogField>& fields) {
-  if (level < options_.level) return;
-  auto at = windows_.find(event);
-  if (at == windows_.end()) at = windows_.emplace(std::string(event), Window()).first;
-  Window& window = at->second;
+Logger::RateWindow& Logger::FindWindow(std::string_view event) {
+  const auto found = windows_.find(event);
+  if (found != windows_.end()) return found->second;
+  return windows_.emplace(std::string(event), RateWindow()).first->second;
+}
+
+bool Logger::AdmitLine(RateWindow& window) const {
   const auto now = std::chrono::steady_clock::now();
-  if (now - window.since >= std::chrono::seconds(1)) window.since = now, window.written = 0;
-  if (window.written >= options_.burst) {
-    ++window.left_out;
-    return;
+  if (now - window.begin >= kRateWindow) {
+    window.begin = now;
+    window.written_lines = 0;
+  }
+  if (window.written_lines >= options_.burst) {
+    ++window.suppressed_lines;
+    return false;
   }
-  ++window.written;
-  const bool as_json = options_.format == LogFormat::kJson;
-  std::string line = as_json ? "\"event\":" + Dump(Json(event)) : std::string(event);
-  const auto add = [&](const std::string& name, const LogField::Value& value) {
-    line += as_json ? ",\"" : " ";
-    line += name;  // a word of ours
-    line += as_json ? "\":" : "=";
-    line += as_json ? Dump(ToJson(value)) : AsText(value);
-  };
-  for (const LogField& field : fields) add(field.name, field.value);
-  if (const std::int64_t left_out = std::exchange(window.left_out, 0); left_out > 0) {
-    add("left_out", left_out);
+  ++window.written_lines;
+  return true;
+}
+
+std::string Logger::FormatEvent(std::string_view event) const {
+  return options_.format == LogFormat::kJson ? "\"event\":" + Dump(Json(event)) : std::string(event);
+}
+
+void Logger::AppendField(const std::string& name, const LogField::Value& value, std::string& line) const {
+  if (options_.format == LogFormat::kJson) {
+    line += ",\"" + name + "\":" + Dump(ToJson(value));
+  } else {
+    line += " " + name + "=" + ToText(value);
   }
-  logger_.log(SpdLevel(level), spdlog::string_view_t(line.data(), line.size()));
+}
+
+void Logger::Write(LogLevel level, std::string_view event, const std::vector<LogField>& fields) {
+  if (level < options_.level) return;
+  RateWindow& window = FindWindow(event);
+  if (!AdmitLine(window)) return;
+  std::string line = FormatEvent(event);
+  for (const LogField& field : fields) AppendField(field.name, field.value, line);
+  const std::int64_t suppressed_lines = std::exchange(window.suppressed_lines, 0);
+  if (suppressed_lines > 0) AppendField("left_out", suppressed_lines, line);
+  logger_.log(ToSpdlogLevel(level), spdlog::string_view_t(line.data(), line.size()));
 }
 
 }  // namespace sagetally
