--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -1,5 +1,5 @@
-// Random lives of a node, and an account of its messages' ends kept by their clients and partners alone:
-// each end moves exactly one count, in the process in which it happens.
+// Random histories of a dispatcher with restarts. Its clients and endpoints count on their own how messages
+// end; each completion moves exactly one counter of the metrics, in the process in which it happens.
 #include <set>
 
 #include "../journal/whole_node.h"
@@ -9,152 +9,173 @@
 
 constexpr int kClasses = 3;
 
-struct Account {  // of one process
-  std::array<std::uint64_t, kClasses> passed{}, dropped{}, bad_gateway{}, gone{};
+// What clients and endpoints have seen of one process, by class.
+struct ExpectedCounts {
+  std::array<std::uint64_t, kClasses> delivered{};
+  std::array<std::uint64_t, kClasses> rejected{};
+  std::array<std::uint64_t, kClasses> failed{};
+  std::array<std::uint64_t, kClasses> client_left{};  // rejected or failed, unseen
 };
 
-class Life {
+// One dispatcher through random events and restarts.
+class RandomHistory {
  public:
-  explicit Life(std::uint64_t seed) : random_(seed) { Restart(); }
+  explicit RandomHistory(std::uint64_t seed) : random_(seed) { Restart(); }
 
   void Step() {
     switch (Draw(11)) {
       case 0:
       case 1:
       case 2:
-        return HandIn(1 + (Draw(3) == 0 ? Draw(3) : 0));
+        return SubmitNew(1 + (Draw(3) == 0 ? Draw(3) : 0));
       case 3:
-        return Again();
+        return SubmitDuplicate();
       case 4:
-        return Draw(3) == 0 ? Restart() : HandIn(1);
+        return Draw(3) == 0 ? Restart() : SubmitNew(1);
       case 5:
         return node_->Pass(std::chrono::milliseconds(1 << Draw(13)));  // up to beyond every deadline
       case 6:
-        if (!node_->told.empty())
-          node_->chain.completion_handler.OnNotificationAcknowledged(
-              node_->told[Draw(int(node_->told.size()) - 1)]);
-        return;
+        return AcknowledgeNotification();
       case 7:
         draining_ = !draining_;
         return;
       default:
-        return Return();
+        return CompleteCall();
     }
   }
 
   void Check() {
     const std::string text = node_->figures.FormatStatsd({});
-    const auto figure = [&](const std::string& name, int cls) {
-      const std::string wanted = "balancer." + name + "." + names_[cls] + ":";
-      return std::stoull(text.substr(text.find(wanted) + wanted.size()));
+    const auto counter = [&](const std::string& name, int message_class) {
+      const std::string prefix = "balancer." + name + "." + names_[message_class] + ":";
+      return std::stoull(text.substr(text.find(prefix) + prefix.size()));
     };
-    for (int cls = 0; cls < kClasses; ++cls) {
-      const std::uint64_t dropped = figure("dropped", cls), bad = figure("bad_gateway", cls);
-      assert(figure("passed", cls) == account_.passed[cls]);
-      assert(dropped >= account_.dropped[cls] && bad >= account_.bad_gateway[cls]);
-      // Who had left before the answer counts too, under either.
-      assert(dropped + bad == account_.dropped[cls] + account_.bad_gateway[cls] + account_.gone[cls]);
+    for (int i = 0; i < kClasses; ++i) {
+      const std::uint64_t rejected = counter("dropped", i);
+      const std::uint64_t failed = counter("bad_gateway", i);
+      assert(counter("passed", i) == expected_.delivered[i]);
+      assert(rejected >= expected_.rejected[i] && failed >= expected_.failed[i]);
+      // Messages whose clients left before the response count as either.
+      assert(rejected + failed == expected_.rejected[i] + expected_.failed[i] + expected_.client_left[i]);
     }
-    std::size_t open = 0;
-    for (const auto& [name, state] : messages_) open += state.taken && !state.ended ? 1 : 0;
-    assert(node_->ledger.pending_count() == static_cast<int>(open));
+    std::size_t pending = 0;
+    for (const auto& [id, state] : messages_) pending += state.accepted && !state.completed ? 1 : 0;
+    assert(node_->ledger.pending_count() == static_cast<int>(pending));
   }
-  int ends = 0, restarts = -1;
+
+  int completions = 0;
+  int restarts = -1;  // the first start counts too
 
  private:
-  struct Known {
-    int cls = 0;
-    bool taken = false, ended = false;
+  struct KnownMessage {
+    int message_class = 0;
+    bool accepted = false;
+    bool completed = false;
   };
-  int Draw(int most) { return boost::random::uniform_int_distribution<int>(0, most)(random_); }
+
+  // A number from 0 to `largest`.
+  int Draw(int largest) { return boost::random::uniform_int_distribution<int>(0, largest)(random_); }
 
   void Restart() {
     node_.reset();
     disk_.Restart();
-    account_ = Account();
+    expected_ = ExpectedCounts();
     ++restarts;
     node_ = std::make_unique<Whole>(disk_, clock_, config_, SmallJournal(),
-                                    [this](const Message& m) { Told(m); });
+                                    [this](const Message& message) { OnNotified(message); });
     node_->chain.admission.is_accepting = [this] { return !draining_; };
     node_->Settle();
   }
-  void Told(const Message& m) {
-    Known& known = messages_.at(m.request.id);
-    if (std::exchange(known.ended, true)) return;  // told again: counted where it ended
-    ++ends;
-    ++(m.final_status == FinalStatus::kRejected ? account_.dropped : account_.bad_gateway)[known.cls];
+  void OnNotified(const Message& message) {
+    KnownMessage& known = messages_.at(message.request.id);
+    if (std::exchange(known.completed, true)) return;  // notified again: counted where it completed
+    ++completions;
+    const bool is_rejected = message.final_status == FinalStatus::kRejected;
+    ++(is_rejected ? expected_.rejected : expected_.failed)[known.message_class];
   }
-  Request Make(const std::string& id, int cls) {
-    Request r;
-    r.id = id;
-    r.message_class = cls;
-    r.destination = Draw(20) == 0 ? 8 : 7;  // nobody lives at 8
-    r.time_left = std::chrono::milliseconds(1 + Draw(9000));
-    r.body = std::string(Draw(4) == 0 ? Draw(12'000) : 0, 'b');  // so that the disk fills up now and then
-    r.protocol = IngressProtocol::kCloudEvents;                  // these are remembered, and may come again
-    return r;
+  void AcknowledgeNotification() {
+    if (node_->told.empty()) return;
+    const int last = static_cast<int>(node_->told.size()) - 1;
+    node_->chain.completion_handler.OnNotificationAcknowledged(node_->told[Draw(last)]);
+  }
+
+  Request MakeRequest(const std::string& id, int message_class) {
+    Request request;
+    request.id = id;
+    request.message_class = message_class;
+    request.destination = Draw(20) == 0 ? 8 : 7;  // 8 has no endpoint
+    request.time_left = std::chrono::milliseconds(1 + Draw(9000));
+    request.body =
+        std::string(Draw(4) == 0 ? Draw(12'000) : 0, 'b');  // so that the disk fills up now and then
+    request.protocol = IngressProtocol::kCloudEvents;       // these are remembered, and may come again
+    return request;
   }
   void Submit(std::vector<Request> requests) {
     std::vector<std::string> ids;
-    for (const Request& r : requests) {
-      messages_[r.id].cls = r.message_class;
-      ids.push_back(r.id);
+    for (const Request& request : requests) {
+      messages_[request.id].message_class = request.message_class;
+      ids.push_back(request.id);
     }
-    const bool leaves = Draw(6) == 0;
-    node_->chain.validator.Submit(std::move(requests), [this, ids, leaves](const AdmissionResult& answer) {
-      for (const std::string& id : ids) Answered(messages_.at(id), answer, leaves);
-      return !leaves;
-    });
+    const bool client_leaves = Draw(6) == 0;
+    node_->chain.validator.Submit(std::move(requests),
+                                  [this, ids, client_leaves](const AdmissionResult& result) {
+                                    for (const std::string& id : ids)
+                                      OnAdmission(messages_.at(id), result, client_leaves);
+                                    return !client_leaves;
+                                  });
     node_->Settle();
   }
-  void Answered(Known& known, const AdmissionResult& answer, bool left) {
-    if (answer.status == AdmissionStatus::kInvalid) return;
-    if (answer.status != AdmissionStatus::kAccepted) {
-      assert(!known.taken);
-      ++account_.dropped[known.cls];
+  void OnAdmission(KnownMessage& known, const AdmissionResult& result, bool client_left) {
+    if (result.status == AdmissionStatus::kInvalid) return;
+    if (result.status != AdmissionStatus::kAccepted) {
+      assert(!known.accepted);
+      ++expected_.rejected[known.message_class];
       return;
     }
-    if (known.taken) return;  // came before
-    known.taken = true;
-    if (left) known.ended = true, ++account_.gone[known.cls], ++ends;
+    if (known.accepted) return;  // a duplicate
+    known.accepted = true;
+    if (!client_left) return;
+    known.completed = true;
+    ++expected_.client_left[known.message_class];
+    ++completions;
   }
 
-  void HandIn(int size) {
+  void SubmitNew(int size) {
     std::vector<Request> requests;
-    for (int i = 0; i < size; ++i)
-      requests.push_back(Make("m" + std::to_string(next_++), Draw(kClasses - 1)));
+    for (int i = 0; i < size; ++i) {
+      const std::string id = "m" + std::to_string(next_++);
+      requests.push_back(MakeRequest(id, Draw(kClasses - 1)));
+    }
     if (Draw(20) == 0) requests.back().time_left = Duration(0);  // malformed: none of them counts
     Submit(std::move(requests));
   }
-  // One that is held, or whose end is remembered: the same answer, and no count.
-  void Again() {
-    for (const auto& [name, known] : messages_) {
-      if (!known.taken || Draw(3) != 0) continue;
-      Request r = Make(name, known.cls);
-      r.destination = 7;
+  // A message that is pending, or whose completion is remembered: the same response, and no count.
+  void SubmitDuplicate() {
+    for (const auto& [id, known] : messages_) {
+      if (!known.accepted || Draw(3) != 0) continue;
+      Request request = MakeRequest(id, known.message_class);
+      request.destination = 7;
       const bool was_draining = std::exchange(draining_, false);
-      if (node_->ledger.FindDuplicate(r) != nullptr &&
-          node_->ledger.FindDuplicate(r)->final_status != FinalStatus::kRejected)
-        Submit({r});
+      const Message* earlier = node_->ledger.FindDuplicate(request);
+      if (earlier != nullptr && earlier->final_status != FinalStatus::kRejected) Submit({request});
       draining_ = was_draining;
       return;
     }
   }
-  void Return() {  // a call comes back
+  // The oldest call in flight gets a result.
+  void CompleteCall() {
     if (node_->calls.empty()) return;
-    const CallRequest order = node_->calls.front();
-    const std::string id = order.request->id;
     static constexpr Outcome kOutcomes[] = {Outcome::kOk,       Outcome::kOk,      Outcome::kError,
                                             Outcome::kRejected, Outcome::kTimeout, Outcome::kConnectFailed,
                                             Outcome::kReset};
+    KnownMessage& known = messages_.at(node_->calls.front().request->id);
     const Outcome outcome = kOutcomes[Draw(6)];
-    const bool over = outcome == Outcome::kRejected && Draw(3) == 0;
-    Known& known = messages_.at(id);
-    if ((outcome == Outcome::kOk || over) && !std::exchange(known.ended, true)) {
-      ++ends;
-      ++(over ? account_.bad_gateway : account_.passed)[known.cls];
+    const bool is_expired = outcome == Outcome::kRejected && Draw(3) == 0;  // by the endpoint's own word
+    if ((outcome == Outcome::kOk || is_expired) && !std::exchange(known.completed, true)) {
+      ++completions;
+      ++(is_expired ? expected_.failed : expected_.delivered)[known.message_class];
     }
-    node_->Finish(outcome, over);
+    node_->Finish(outcome, is_expired);
   }
 
   const Config config_ = OneEndpoint();
@@ -163,25 +184,26 @@
   TestClock clock_;
   boost::random::mt19937_64 random_;
   std::unique_ptr<Whole> node_;
-  Account account_;
-  std::map<std::string, Known> messages_;
+  ExpectedCounts expected_;
+  std::map<std::string, KnownMessage> messages_;
   int next_ = 0;
   bool draining_ = false;
 };
 
-void EachEndMovesOneCountThroughRandomLives() {
-  int ends = 0, restarts = 0;
+void EachCompletionMovesOneCounterThroughRandomHistories() {
+  int completions = 0;
+  int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
-    Life life(seed);
+    RandomHistory history(seed);
     for (int i = 0; i < 120; ++i) {
-      life.Step();
-      life.Check();
+      history.Step();
+      history.Check();
     }
-    ends += life.ends;
-    restarts += life.restarts;
+    completions += history.completions;
+    restarts += history.restarts;
   }
-  std::fprintf(stderr, "%d ends over %d restarts\n", ends, restarts);
-  assert(ends > 2000 && restarts > 200);
+  std::fprintf(stderr, "%d completions over %d restarts\n", completions, restarts);
+  assert(completions > 2000 && restarts > 200);
 }
 
 }  // namespace
@@ -189,6 +211,6 @@
 
 int main() {
   using namespace sagetally;
-  EachEndMovesOneCountThroughRandomLives();
+  EachCompletionMovesOneCounterThroughRandomHistories();
   std::puts("1 passed, 0 failed");
 }
--- a/tests/admin/readiness_test.cpp
+++ b/tests/admin/readiness_test.cpp
@@ -1,4 +1,4 @@
-// What the door, the drain and the figures decide, without I/O.
+// Admin requests, readiness and metrics, without I/O.
 #undef NDEBUG
 #include "admin/readiness.h"
 
@@ -15,11 +15,11 @@
 using namespace std::chrono_literals;
 using State = AdminRequest::State;
 
-void LinesAreReadOneWayOnly() {
+void OnlyExactRequestLinesAreParsed() {
   const struct {
     std::string_view bytes;
     State state;
-    AdminCommand call;
+    AdminCommand command;
   } table[] = {
       {"STATUS\n", State::kComplete, AdminCommand::kStatus},
       {"METRICS\n", State::kComplete, AdminCommand::kMetrics},
@@ -37,86 +37,92 @@
       {"STATUS \n", State::kMalformed, AdminCommand::kNone},
       {"STATUS\r\r\n", State::kMalformed, AdminCommand::kNone},
       {"STATUSES\n", State::kMalformed, AdminCommand::kNone},
-      {"PAUSE\nRESUME\n", State::kMalformed, AdminCommand::kNone},  // neither is done
+      {"PAUSE\nRESUME\n", State::kMalformed, AdminCommand::kNone},  // neither is run
       {"PAUSE\nx", State::kMalformed, AdminCommand::kNone},
       {"GET /healthz HTTP/1.1\r\n", State::kMalformed, AdminCommand::kNone},
       {{"PAUSE\0\n", 7}, State::kMalformed, AdminCommand::kNone},
       {"\xff\xfe\n", State::kMalformed, AdminCommand::kNone},
   };
   for (const auto& row : table) {
-    const AdminRequest read = ParseAdminRequest(row.bytes);
-    assert(read.state == row.state && read.command == row.call);
-    assert((read.state == State::kMalformed) != read.error.empty());
+    const AdminRequest request = ParseAdminRequest(row.bytes);
+    assert(request.state == row.state && request.command == row.command);
+    assert((request.state == State::kMalformed) != request.error.empty());
   }
   assert(ParseAdminRequest(std::string(kMaxAdminLineBytes - 1, 'x')).state == State::kIncomplete);
   assert(ParseAdminRequest(std::string(kMaxAdminLineBytes, 'x')).state == State::kMalformed);
-  const AdminHandlers none{[] { return std::string("done\n"); }, {}, {}, {}};
-  assert(HandleAdminRequest(ParseAdminRequest("STATUS\n"), none) == "done\n");
-  assert(HandleAdminRequest(ParseAdminRequest("NO\n"), none).starts_with("error "));
+  const AdminHandlers only_status{[] { return std::string("done\n"); }, {}, {}, {}};
+  assert(HandleAdminRequest(ParseAdminRequest("STATUS\n"), only_status) == "done\n");
+  assert(HandleAdminRequest(ParseAdminRequest("NO\n"), only_status).starts_with("error "));
 }
 
-void ReadyHasOneOwner() {
-  Readiness r;
-  assert(!r.IsReady() && !r.IsAccepting(0s) && r.StatusWord(0, 0) == "starting");
-  r.OnStarted();
-  assert(r.IsReady() && r.IsAccepting(0s) && !r.IsClosingConnections() && r.StatusWord(3, 1) == "ready");
-  assert(r.Pause(10s) && !r.IsReady() && r.IsClosingConnections() && r.StatusWord(3, 0) == "draining");
-  assert(r.StatusWord(0, 1) == "draining" && r.StatusWord(0, 0) == "drained");
-  assert(r.IsAccepting(10s + Readiness::kAcceptDuration - 1us) &&
-         !r.IsAccepting(10s + Readiness::kAcceptDuration));
-  assert(r.Pause(11s));                                      // twice is as once:
-  assert(!r.IsAccepting(10s + Readiness::kAcceptDuration));  // ... its times are counted from the first
-  assert(r.Resume() && r.IsReady() && r.Resume());           // amid a drain, and once more
-  assert(!r.IsClosingConnections() && r.IsAccepting(99s));
-  assert(r.Pause(20s) && r.IsAccepting(20s) && r.Resume());
-  // Where it ends there is no way back.
-  r.Pause(29s);
-  r.HandOver();
-  assert(!r.IsReady() && r.IsClosingConnections() && !r.Pause(30s) && !r.Resume() && !r.IsAccepting(30s));
-  r.Stop(30s);
-  assert(r.phase() == Readiness::Phase::kStopping && !r.Pause(30s) && !r.Resume() && !r.IsAccepting(30s));
-  r.HandOver();
-  assert(r.phase() == Readiness::Phase::kStopping);
-  // Ending takes on for as long as a drain does, counted from whichever came first.
-  Readiness ending, paused;
-  for (Readiness* each : {&ending, &paused}) each->OnStarted();
-  ending.Stop(40s);
-  assert(!ending.IsReady() && ending.IsAccepting(40s) &&
-         !ending.IsAccepting(40s + Readiness::kAcceptDuration));
-  ending.Stop(41s);
-  assert(!ending.IsAccepting(40s + Readiness::kAcceptDuration));
+void ReadinessFollowsPausesAndShutdown() {
+  Readiness readiness;
+  assert(!readiness.IsReady() && !readiness.IsAccepting(0s) && readiness.StatusWord(0, 0) == "starting");
+  readiness.OnStarted();
+  assert(readiness.IsReady() && readiness.IsAccepting(0s) && !readiness.IsClosingConnections() &&
+         readiness.StatusWord(3, 1) == "ready");
+  assert(readiness.Pause(10s) && !readiness.IsReady() && readiness.IsClosingConnections() &&
+         readiness.StatusWord(3, 0) == "draining");
+  assert(readiness.StatusWord(0, 1) == "draining" && readiness.StatusWord(0, 0) == "drained");
+  assert(readiness.IsAccepting(10s + Readiness::kAcceptDuration - 1us) &&
+         !readiness.IsAccepting(10s + Readiness::kAcceptDuration));
+  assert(readiness.Pause(11s));                                             // the second pause has no effect:
+  assert(!readiness.IsAccepting(10s + Readiness::kAcceptDuration));         // ... times count from the first
+  assert(readiness.Resume() && readiness.IsReady() && readiness.Resume());  // while draining, and once more
+  assert(!readiness.IsClosingConnections() && readiness.IsAccepting(99s));
+  assert(readiness.Pause(20s) && readiness.IsAccepting(20s) && readiness.Resume());
+  // After a handover or a shutdown there is no way back.
+  readiness.Pause(29s);
+  readiness.HandOver();
+  assert(!readiness.IsReady() && readiness.IsClosingConnections() && !readiness.Pause(30s) &&
+         !readiness.Resume() && !readiness.IsAccepting(30s));
+  readiness.Stop(30s);
+  assert(readiness.phase() == Readiness::Phase::kStopping && !readiness.Pause(30s) && !readiness.Resume() &&
+         !readiness.IsAccepting(30s));
+  readiness.HandOver();
+  assert(readiness.phase() == Readiness::Phase::kStopping);
+  // A shutdown accepts for as long as a drain does, counted from whichever came first.
+  Readiness stopping;
+  Readiness paused;
+  stopping.OnStarted();
+  paused.OnStarted();
+  stopping.Stop(40s);
+  assert(!stopping.IsReady() && stopping.IsAccepting(40s) &&
+         !stopping.IsAccepting(40s + Readiness::kAcceptDuration));
+  stopping.Stop(41s);
+  assert(!stopping.IsAccepting(40s + Readiness::kAcceptDuration));
   paused.Pause(40s);
   paused.Stop(41s);
   assert(paused.IsAccepting(41s) && !paused.IsAccepting(40s + Readiness::kAcceptDuration));
-  // A pause before it is ready holds when it is; a resume before takes it back.
-  Readiness early;
-  assert(early.Pause(1s) && early.phase() == Readiness::Phase::kStarting);
-  early.OnStarted();
-  assert(!early.IsReady() && early.Resume() && early.IsReady());
-  Readiness taken_back;
-  assert(taken_back.Pause(1s) && taken_back.Resume());
-  taken_back.OnStarted();
-  assert(taken_back.IsReady());
+  // A pause before the start takes effect at the start, unless it is resumed before.
+  Readiness paused_early;
+  assert(paused_early.Pause(1s) && paused_early.phase() == Readiness::Phase::kStarting);
+  paused_early.OnStarted();
+  assert(!paused_early.IsReady() && paused_early.Resume() && paused_early.IsReady());
+  Readiness resumed_early;
+  assert(resumed_early.Pause(1s) && resumed_early.Resume());
+  resumed_early.OnStarted();
+  assert(resumed_early.IsReady());
 }
 
-void EachEndMovesOneCount() {
-  Metrics f({"aviso", "pedido"});
-  Message m;
-  m.request.message_class = 1;
-  m.attempts = 1;
-  for (const FinalStatus end :
+void EachCompletionMovesOneCounter() {
+  Metrics metrics({"aviso", "pedido"});
+  Message message;
+  message.request.message_class = 1;
+  message.attempts = 1;
+  for (const FinalStatus status :
        {FinalStatus::kDelivered, FinalStatus::kFailed, FinalStatus::kRejected, FinalStatus::kExpired}) {
-    m.final_status = end;
-    f.RecordCompletion(m);
+    message.final_status = status;
+    metrics.RecordCompletion(message);
   }
-  m.attempts = 0;  // withdrawn before it was sent
-  f.RecordCompletion(m);
-  f.RecordRejection(0);
-  f.RecordRejection(7);  // no such class
-  m.request.message_class = kNoClass;
-  f.RecordCompletion(m);
-  f.RecordCallWritten();
-  assert(f.FormatStatsd({3, 5, 2}) ==
+  message.attempts = 0;  // withdrawn by its client unsent
+  metrics.RecordCompletion(message);
+  metrics.RecordRejection(0);
+  metrics.RecordRejection(7);  // no such class
+  message.request.message_class = kNoClass;
+  metrics.RecordCompletion(message);
+  metrics.RecordCallWritten();
+  assert(metrics.FormatStatsd({3, 5, 2}) ==
          "balancer.passed.aviso:0|c\nbalancer.passed.pedido:1|c\n"
          "balancer.dropped.aviso:1|c\nbalancer.dropped.pedido:2|c\n"
          "balancer.bad_gateway.aviso:0|c\nbalancer.bad_gateway.pedido:2|c\n"
@@ -129,8 +135,8 @@
 
 int main() {
   using namespace sagetally;
-  LinesAreReadOneWayOnly();
-  ReadyHasOneOwner();
-  EachEndMovesOneCount();
+  OnlyExactRequestLinesAreParsed();
+  ReadinessFollowsPausesAndShutdown();
+  EachCompletionMovesOneCounter();
   std::puts("3 passed, 0 failed");
 }
--- a/tests/logging/logger_test.cpp
+++ b/tests/logging/logger_test.cpp
@@ -1,4 +1,4 @@
-// The log: text and JSON forms, and the limit by event.
+// The log: its text and JSON forms, and the rate limit of each event.
 #undef NDEBUG
 #include "logging/logger.h"
 
@@ -12,22 +12,22 @@
 namespace sagetally {
 namespace {
 
-void LinesHoldNameAndFields() {
+void LinesHaveTheEventAndItsFields() {
   std::ostringstream out;
   const auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(out);
-  Logger text(LogOptions{}, sink);
-  text.Info("a.b", {{"n", 7}, {"on", true}, {"plain", "x-1:2"}, {"spaced", "a \"b\"\n"}});
+  Logger text_log(LogOptions{}, sink);
+  text_log.Info("a.b", {{"n", 7}, {"on", true}, {"plain", "x-1:2"}, {"spaced", "a \"b\"\n"}});
   assert(out.str().find(R"( info a.b n=7 on=true plain=x-1:2 spaced="a \"b\"\n")") != std::string::npos);
   out.str("");
-  Logger json(LogOptions{LogFormat::kJson, LogLevel::kWarning, 20}, sink);
-  json.Info("quiet");
-  json.Warn("bad", {{"bytes", std::string("\xff\x01")}, {"share", 0.5}});
+  Logger json_log(LogOptions{LogFormat::kJson, LogLevel::kWarning, 20}, sink);
+  json_log.Info("quiet");
+  json_log.Warn("bad", {{"bytes", std::string("\xff\x01")}, {"share", 0.5}});
   const auto line = nlohmann::json::parse(out.str());
   assert(line["event"] == "bad" && line["level"] == "warning" && line["share"] == 0.5 &&
          line["bytes"].is_string());
 }
 
-void OneEventDoesNotFloodTheOthers() {
+void OneEventIsLimitedAndOthersAreNot() {
   std::ostringstream out;
   Logger log(LogOptions{LogFormat::kText, LogLevel::kInfo, 3},
              std::make_shared<spdlog::sinks::ostream_sink_st>(out));
@@ -41,7 +41,7 @@
 }  // namespace sagetally
 
 int main() {
-  sagetally::LinesHoldNameAndFields();
-  sagetally::OneEventDoesNotFloodTheOthers();
+  sagetally::LinesHaveTheEventAndItsFields();
+  sagetally::OneEventIsLimitedAndOthersAreNot();
   std::puts("2 passed, 0 failed");
 }
