--- a/src/base/byte_codec.h
+++ b/src/base/byte_codec.h
@@ -1,20 +1,21 @@
-// Numbers and texts as records hold them: little-endian, texts behind a length of four bytes.
+// Encodes and decodes the fields of binary records: little-endian numbers, texts behind a length of four
+// bytes, times as microseconds in eight bytes. Used by the journal and by the messages of a handover.
 #ifndef SAGETALLY_SRC_BASE_BYTE_CODEC_H_
 #define SAGETALLY_SRC_BASE_BYTE_CODEC_H_
 
 #include <bit>
 #include <boost/crc.hpp>
+#include <chrono>
 #include <cstdint>
 #include <cstring>
 #include <string>
 #include <string_view>
 
-#include "time/clock.h"
-
 namespace sagetally {
 
 static_assert(std::endian::native == std::endian::little, "records are little-endian");
 
+// Appends fields to a string of bytes.
 class ByteWriter {
  public:
   template <typename T>
@@ -29,16 +30,20 @@
     bytes_ += text;
     return *this;
   }
-  ByteWriter& AppendTime(Time t) { return AppendNumber(static_cast<std::int64_t>(t.count())); }
+  ByteWriter& AppendTime(std::chrono::microseconds time) {
+    return AppendNumber(static_cast<std::int64_t>(time.count()));
+  }
   const std::string& bytes() const { return bytes_; }
 
  private:
   std::string bytes_;
 };
 
-class ByteReader {  // past the end it gives zeros, and is no longer fine()
+// Reads fields from the front of `input`, which must outlive it. Past the end it gives zeros and empty texts,
+// and ok() turns false.
+class ByteReader {
  public:
-  explicit ByteReader(std::string_view in) : input_(in) {}
+  explicit ByteReader(std::string_view input) : input_(input) {}
   template <typename T>
   T ReadNumber() {
     T value{};
@@ -49,27 +54,29 @@
   bool ReadBool() { return ReadNumber<std::uint8_t>() != 0; }
   std::string_view ReadView() { return ReadBytes(ReadNumber<std::uint32_t>()); }
   std::string ReadString() { return std::string(ReadView()); }
-  Time ReadTime() { return Time(ReadNumber<std::int64_t>()); }
+  std::chrono::microseconds ReadTime() { return std::chrono::microseconds(ReadNumber<std::int64_t>()); }
   bool ok() const { return ok_; }
+  // Whether all bytes have been read.
   bool empty() const { return input_.empty(); }
+  // For callers that find a field's value invalid.
   void MarkMalformed() { ok_ = false; }
 
  private:
-  std::string_view ReadBytes(std::size_t n) {
-    if (n > input_.size()) {
+  std::string_view ReadBytes(std::size_t size) {
+    if (size > input_.size()) {
       ok_ = false;
       input_ = {};
       return {};
     }
-    const std::string_view taken = input_.substr(0, n);
-    input_.remove_prefix(n);
-    return taken;
+    const std::string_view bytes = input_.substr(0, size);
+    input_.remove_prefix(size);
+    return bytes;
   }
   std::string_view input_;
   bool ok_ = true;
 };
 
-// CRC-32C (Castagnoli), as in RFC 3720, over the eight bytes of `salt`, if it isn't 0, and `bytes`.
+// CRC-32C (Castagnoli, RFC 3720) over the eight bytes of `salt`, unless it is 0, and `bytes`.
 inline std::uint32_t Crc32c(std::string_view bytes, std::uint64_t salt = 0) {
   boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true> crc;
   if (salt != 0) crc.process_bytes(&salt, sizeof salt);
--- a/src/base/file_descriptor.h
+++ b/src/base/file_descriptor.h
@@ -1,4 +1,4 @@
-// An owned file descriptor.
+// An owned file descriptor, closed by the destructor. -1 stands for none.
 #ifndef SAGETALLY_SRC_BASE_FILE_DESCRIPTOR_H_
 #define SAGETALLY_SRC_BASE_FILE_DESCRIPTOR_H_
 
@@ -23,6 +23,7 @@
     if (fd_ >= 0) ::close(fd_);
   }
   int get() const { return fd_; }
+  // Gives up ownership.
   int Release() { return std::exchange(fd_, -1); }
 
  private:
--- a/src/journal/file_system/fault_injecting_file_system.cpp
+++ b/src/journal/file_system/fault_injecting_file_system.cpp
@@ -4,104 +4,95 @@
 #include <cerrno>
 
 namespace sagetally {
-namespace {
-
-constexpr std::uint64_t kBlock = 512;
-
-std::uint64_t Blocks(std::uint64_t bytes) { return (bytes + kBlock - 1) / kBlock * kBlock; }
-
-}  // namespace
-
 class FaultInjectingFile : public File {
  public:
   FaultInjectingFile(FaultInjectingFileSystem& disk, std::shared_ptr<FaultInjectingFileSystem::Node> node,
-                     bool writes)
-      : disk_(disk), life_(disk.life_), node_(std::move(node)), writes_(writes) {}
+                     bool is_writable)
+      : disk_(disk), process_(disk.process_), node_(std::move(node)), is_writable_(is_writable) {}
 
-  std::size_t Append(std::string_view bytes, int& error) override {
-    const auto step = Next("append");
-    error = step.fault == FaultInjectingFileSystem::Fault::kError ? step.error : writes_ ? 0 : EBADF;
-    if (error != 0) return 0;
+  IoResult<std::size_t> Append(std::string_view bytes) override {
+    const auto step = BeginCall("append");
+    if (step.fault == Fault::kError) return {0, step.error};
+    if (!is_writable_) return {0, EBADF};
     std::size_t size = bytes.size();
-    if (step.fault == FaultInjectingFileSystem::Fault::kShort ||
-        step.fault == FaultInjectingFileSystem::Fault::kTorn) {
-      size = (size + 1) / 2;
-    }
-    size = std::min<std::uint64_t>(size, RoomHere());
-    if (size == 0 && !bytes.empty()) error = ENOSPC;
+    if (step.fault == Fault::kShort || step.fault == Fault::kTorn) size = (size + 1) / 2;
+    size = std::min<std::uint64_t>(size, FreeBytes());
+    const int error = size == 0 && !bytes.empty() ? ENOSPC : 0;
     node_->bytes += bytes.substr(0, size);
-    disk_.Ended(step);
-    return size;
+    disk_.EndCall(step);
+    return {size, error};
   }
-  std::size_t ReadAt(std::uint64_t offset, char* to, std::size_t most, int& error) override {
-    const auto step = Next("read");
-    error = step.fault == FaultInjectingFileSystem::Fault::kError ? step.error : 0;
-    if (error != 0 || offset >= node_->bytes.size()) return 0;
-    const std::size_t size = std::min<std::uint64_t>(most, node_->bytes.size() - offset);
-    std::copy_n(node_->bytes.data() + offset, size, to);
-    disk_.Ended(step);
-    return size;
+  IoResult<std::size_t> ReadAt(std::uint64_t offset, char* destination, std::size_t size) override {
+    const auto step = BeginCall("read");
+    if (step.fault == Fault::kError) return {0, step.error};
+    if (offset >= node_->bytes.size()) return {0, 0};
+    const std::size_t count = std::min<std::uint64_t>(size, node_->bytes.size() - offset);
+    std::copy_n(node_->bytes.data() + offset, count, destination);
+    disk_.EndCall(step);
+    return {count, 0};
   }
-  std::uint64_t Size(int& error) override {
-    const auto step = Next("size");
-    error = step.fault == FaultInjectingFileSystem::Fault::kError ? step.error : 0;
-    disk_.Ended(step);
-    return error == 0 ? node_->bytes.size() : 0;
+  IoResult<std::uint64_t> Size() override {
+    const auto step = BeginCall("size");
+    disk_.EndCall(step);
+    if (step.fault == Fault::kError) return {0, step.error};
+    return {node_->bytes.size(), 0};
   }
   int Sync() override {
-    const auto step = Next("sync");
-    if (step.fault == FaultInjectingFileSystem::Fault::kError) {
+    const auto step = BeginCall("sync");
+    if (step.fault == Fault::kError) {
       // As on Linux: what could not be written is marked clean, and a second sync would pretend.
       node_->bytes = node_->synced;
       return step.error;
     }
     node_->synced = node_->bytes;
-    disk_.Ended(step);
+    disk_.EndCall(step);
     return 0;
   }
   int Truncate(std::uint64_t size) override {
-    const auto step = Next("truncate");
-    if (step.fault == FaultInjectingFileSystem::Fault::kError) return step.error;
+    const auto step = BeginCall("truncate");
+    if (step.fault == Fault::kError) return step.error;
     node_->bytes.resize(size);
-    disk_.Ended(step);
+    disk_.EndCall(step);
     return 0;
   }
   int Allocate(std::uint64_t size) override {
-    const auto step = Next("allocate");
-    if (step.fault == FaultInjectingFileSystem::Fault::kError) return step.error;
-    if (size > node_->bytes.size() && size - node_->bytes.size() > RoomHere()) return ENOSPC;
+    const auto step = BeginCall("allocate");
+    if (step.fault == Fault::kError) return step.error;
+    if (size > node_->bytes.size() && size - node_->bytes.size() > FreeBytes()) return ENOSPC;
     node_->bytes.resize(std::max<std::size_t>(node_->bytes.size(), size));
-    disk_.Ended(step);
+    disk_.EndCall(step);
     return 0;
   }
 
  private:
-  FaultInjectingFileSystem::Step Next(const char* what) {
-    if (life_ != disk_.life_) throw Crash();  // of a process that is gone
-    return disk_.Next(what);
+  using Fault = FaultInjectingFileSystem::Fault;
+
+  FaultInjectingFileSystem::Step BeginCall(const char* name) {
+    if (process_ != disk_.process_) throw Crash();  // opened by a process that has ended
+    return disk_.BeginCall(name);
   }
-  // What its last block still holds, and the blocks that are free.
-  std::uint64_t RoomHere() const {
+  // By how much the file may grow: the rest of its last block, and the blocks that are free.
+  std::uint64_t FreeBytes() const {
     if (disk_.capacity == UINT64_MAX) return UINT64_MAX;
-    return Blocks(node_->bytes.size()) - node_->bytes.size() + disk_.Room();
+    return DiskBlocks(node_->bytes.size()) - node_->bytes.size() + disk_.FreeBlocks();
   }
   FaultInjectingFileSystem& disk_;
-  const std::uint64_t life_;
+  const std::uint64_t process_;
   std::shared_ptr<FaultInjectingFileSystem::Node> node_;
-  const bool writes_;
+  const bool is_writable_;
 };
 
 class FaultInjectingLock : public FileLock {
  public:
   FaultInjectingLock(FaultInjectingFileSystem& disk, std::string path)
-      : disk_(disk), life_(disk.life_), path_(std::move(path)) {}
+      : disk_(disk), process_(disk.process_), path_(std::move(path)) {}
   ~FaultInjectingLock() override {
-    if (life_ == disk_.life_) disk_.locks_.erase(path_);
+    if (process_ == disk_.process_) disk_.locks_.erase(path_);
   }
 
  private:
   FaultInjectingFileSystem& disk_;
-  const std::uint64_t life_;
+  const std::uint64_t process_;
   const std::string path_;
 };
 
@@ -111,160 +102,157 @@
       folders_(other.folders_),
       locks_(other.locks_),
       calls_(other.calls_),
-      life_(other.life_),
-      dead_(other.dead_) {
+      process_(other.process_),
+      has_crashed_(other.has_crashed_) {
   std::map<const Node*, std::shared_ptr<Node>> copies;
-  const auto copy = [&](const Names& from, Names& to) {
+  const auto copy = [&](const Entries& from, Entries& to) {
     for (const auto& [name, node] : from) {
-      std::shared_ptr<Node>& twin = copies[node.get()];
-      if (!twin) twin = std::make_shared<Node>(*node);
-      to[name] = twin;
+      std::shared_ptr<Node>& copied = copies[node.get()];
+      if (!copied) copied = std::make_shared<Node>(*node);
+      to[name] = copied;
     }
   };
-  copy(other.names_, names_);
-  copy(other.synced_names_, synced_names_);
+  copy(other.entries_, entries_);
+  copy(other.synced_entries_, synced_entries_);
 }
 
 std::uint64_t FaultInjectingFileSystem::Used() const {
   std::uint64_t used = 0;
-  for (const auto& [name, node] : names_) used += Blocks(node->bytes.size());
+  for (const auto& [name, node] : entries_) used += DiskBlocks(node->bytes.size());
   return used;
 }
 
-std::uint64_t FaultInjectingFileSystem::Room() const {
+std::uint64_t FaultInjectingFileSystem::FreeBlocks() const {
   const std::uint64_t used = Used();
-  return used >= capacity ? 0 : (capacity - used) / kBlock * kBlock;
+  return used >= capacity ? 0 : (capacity - used) / kDiskBlockBytes * kDiskBlockBytes;
 }
 
-FaultInjectingFileSystem::Step FaultInjectingFileSystem::Next(const char* what) {
-  if (dead_) throw Crash();
-  const Step step = plan ? plan(++calls_, what) : Step{};
+FaultInjectingFileSystem::Step FaultInjectingFileSystem::BeginCall(const char* name) {
+  if (has_crashed_) throw Crash();
+  const Step step = plan ? plan(++calls_, name) : Step{};
   if (!plan) ++calls_;
   if (step.fault == Fault::kCrash) {
-    dead_ = true;
+    has_crashed_ = true;
     throw Crash();
   }
   return step;
 }
 
-void FaultInjectingFileSystem::Ended(const Step& step) {
+void FaultInjectingFileSystem::EndCall(const Step& step) {
   if (step.fault != Fault::kCrashAfter && step.fault != Fault::kTorn) return;
-  dead_ = true;
+  has_crashed_ = true;
   throw Crash();
 }
 
 void FaultInjectingFileSystem::Restart() {
-  dead_ = false;
-  ++life_;
+  has_crashed_ = false;
+  ++process_;
   locks_.clear();
 }
 
 void FaultInjectingFileSystem::LosePower() {
-  names_ = synced_names_;
-  for (auto& [name, node] : names_) {
+  entries_ = synced_entries_;
+  for (auto& [name, node] : entries_) {
     node = std::make_shared<Node>(Node{node->synced, node->synced});
   }
-  synced_names_ = names_;
+  synced_entries_ = entries_;
   Restart();
 }
 
 void FaultInjectingFileSystem::FlipBit(const std::string& path, std::uint64_t byte, int bit) {
-  names_.at(path)->bytes.at(byte) ^= static_cast<char>(1 << bit);
+  entries_.at(path)->bytes.at(byte) ^= static_cast<char>(1 << bit);
 }
 
-void FaultInjectingFileSystem::CutOut(const std::string& path, std::uint64_t from, std::uint64_t size) {
-  names_.at(path)->bytes.erase(from, size);
+void FaultInjectingFileSystem::EraseBytes(const std::string& path, std::uint64_t offset, std::uint64_t size) {
+  entries_.at(path)->bytes.erase(offset, size);
 }
 
 std::string FaultInjectingFileSystem::Content(const std::string& path) const {
-  return names_.at(path)->bytes;
+  return entries_.at(path)->bytes;
 }
 
 void FaultInjectingFileSystem::Put(const std::string& path, std::string content) {
-  names_[path] = synced_names_[path] = std::make_shared<Node>(Node{content, content});
+  auto node = std::make_shared<Node>(Node{content, content});
+  entries_[path] = node;
+  synced_entries_[path] = std::move(node);
 }
 
-std::unique_ptr<File> FaultInjectingFileSystem::Open(const std::string& path, Mode mode, int& error) {
-  const Step step = Next(mode == Mode::kCreate ? "create" : "open");
-  error = step.fault == Fault::kError ? step.error : 0;
-  if (error != 0) return nullptr;
-  auto at = names_.find(path);
+IoResult<std::unique_ptr<File>> FaultInjectingFileSystem::Open(const std::string& path, Mode mode) {
+  const Step step = BeginCall(mode == Mode::kCreate ? "create" : "open");
+  if (step.fault == Fault::kError) return {nullptr, step.error};
+  auto entry = entries_.find(path);
   if (mode == Mode::kCreate) {
-    if (at == names_.end()) {
-      at = names_.emplace(path, std::make_shared<Node>()).first;
+    if (entry == entries_.end()) {
+      entry = entries_.emplace(path, std::make_shared<Node>()).first;
     } else {
-      at->second->bytes.clear();
+      entry->second->bytes.clear();
     }
   }
-  if (at == names_.end()) {
-    error = ENOENT;
-    return nullptr;
-  }
-  Ended(step);
-  return std::make_unique<FaultInjectingFile>(*this, at->second, mode != Mode::kRead);
+  if (entry == entries_.end()) return {nullptr, ENOENT};
+  EndCall(step);
+  return {std::make_unique<FaultInjectingFile>(*this, entry->second, mode != Mode::kRead), 0};
 }
 
 int FaultInjectingFileSystem::MakeFolder(const std::string& path) {
-  const Step step = Next("mkdir");
+  const Step step = BeginCall("mkdir");
   if (step.fault == Fault::kError) return step.error;
   folders_.insert(path);
-  Ended(step);
+  EndCall(step);
   return 0;
 }
 
-std::vector<std::string> FaultInjectingFileSystem::List(const std::string& folder, int& error) {
-  const Step step = Next("list");
-  error = step.fault == Fault::kError ? step.error : 0;
+IoResult<std::vector<std::string>> FaultInjectingFileSystem::List(const std::string& folder) {
+  const Step step = BeginCall("list");
+  if (step.fault == Fault::kError) return {{}, step.error};
+  const std::string prefix = folder + "/";
   std::vector<std::string> names;
-  if (error != 0) return names;
-  for (const auto& [path, node] : names_) {
-    if (path.size() > folder.size() + 1 && path.starts_with(folder) && path[folder.size()] == '/' &&
-        path.find('/', folder.size() + 1) == path.npos) {
-      names.push_back(path.substr(folder.size() + 1));
+  for (const auto& [path, node] : entries_) {
+    if (path.size() > prefix.size() && path.starts_with(prefix) &&
+        path.find('/', prefix.size()) == std::string::npos) {
+      names.push_back(path.substr(prefix.size()));
     }
   }
-  Ended(step);
-  return names;
+  EndCall(step);
+  return {std::move(names), 0};
 }
 
 int FaultInjectingFileSystem::Rename(const std::string& from, const std::string& to) {
-  const Step step = Next("rename");
+  const Step step = BeginCall("rename");
   if (step.fault == Fault::kError) return step.error;
-  const auto at = names_.find(from);
-  if (at == names_.end()) return ENOENT;
-  names_[to] = at->second;
-  names_.erase(from);
-  Ended(step);
+  const auto entry = entries_.find(from);
+  if (entry == entries_.end()) return ENOENT;
+  entries_[to] = entry->second;
+  entries_.erase(from);
+  EndCall(step);
   return 0;
 }
 
 int FaultInjectingFileSystem::Remove(const std::string& path) {
-  const Step step = Next("remove");
+  const Step step = BeginCall("remove");
   if (step.fault == Fault::kError) return step.error;
-  const int error = names_.erase(path) == 0 ? ENOENT : 0;
-  Ended(step);
+  const int error = entries_.erase(path) == 0 ? ENOENT : 0;
+  EndCall(step);
   return error;
 }
 
 int FaultInjectingFileSystem::SyncFolder(const std::string& path) {
-  const Step step = Next("sync folder");
+  const Step step = BeginCall("sync folder");
   if (step.fault == Fault::kError) return step.error;
-  const auto inside = [&](const std::string& name) { return name.starts_with(path + "/"); };
-  std::erase_if(synced_names_, [&](const auto& entry) { return inside(entry.first); });
-  for (const auto& [name, node] : names_) {
-    if (inside(name)) synced_names_[name] = node;
+  const auto is_inside = [&](const std::string& name) { return name.starts_with(path + "/"); };
+  std::erase_if(synced_entries_, [&](const auto& entry) { return is_inside(entry.first); });
+  for (const auto& [name, node] : entries_) {
+    if (is_inside(name)) synced_entries_[name] = node;
   }
-  Ended(step);
+  EndCall(step);
   return 0;
 }
 
-std::unique_ptr<FileLock> FaultInjectingFileSystem::Lock(const std::string& path, int& error) {
-  const Step step = Next("lock");
-  error = step.fault == Fault::kError ? step.error : 0;
-  if (error == 0 && !locks_.insert(path).second) error = EWOULDBLOCK;
-  if (error != 0) return nullptr;
-  Ended(step);
-  return std::make_unique<FaultInjectingLock>(*this, path);
+IoResult<std::unique_ptr<FileLock>> FaultInjectingFileSystem::Lock(const std::string& path) {
+  const Step step = BeginCall("lock");
+  if (step.fault == Fault::kError) return {nullptr, step.error};
+  if (!locks_.insert(path).second) return {nullptr, EWOULDBLOCK};
+  EndCall(step);
+  return {std::make_unique<FaultInjectingLock>(*this, path), 0};
 }
 
 }  // namespace sagetally
--- a/src/journal/file_system/fault_injecting_file_system.h
+++ b/src/journal/file_system/fault_injecting_file_system.h
@@ -1,5 +1,5 @@
-// A disk in memory that fails on demand: for the crash tests and for models. Calls are numbered from 1; a
-// plan says what becomes of one, or draws faults by a seed. One seed, one run.
+// A file system in memory that fails on demand, for crash tests and models. Each call has a number, counted
+// from 1; a plan decides what becomes of it. Equal plans give equal runs.
 #ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
 #define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
 
@@ -15,12 +15,14 @@
 
 namespace sagetally {
 
-struct Crash {};  // thrown by the call at which the process ends; from then on every call throws it
+// Thrown by the call at which the simulated process ends, and by every call after it until Restart.
+struct Crash {};
 
 class FaultInjectingFileSystem : public FileSystem {
  public:
   FaultInjectingFileSystem() = default;
-  FaultInjectingFileSystem(const FaultInjectingFileSystem& other);  // a disk of its own with the same content
+  // A disk of its own with the same content.
+  FaultInjectingFileSystem(const FaultInjectingFileSystem& other);
   FaultInjectingFileSystem& operator=(const FaultInjectingFileSystem&) = delete;
 
   enum class Fault {
@@ -33,31 +35,36 @@
   };
   struct Step {
     Fault fault = Fault::kNone;
-    int error = 0;
+    int error = 0;  // an errno number, for kError
   };
-  // Asked before each call with its number and name ("append", "sync", "rename", ...).
+  // Asked before each call with its number and name ("append", "sync", "rename", ...). May be empty.
   std::function<Step(std::uint64_t call, std::string_view what)> plan;
 
+  // How many calls there were.
   std::uint64_t calls() const { return calls_; }
-  std::uint64_t capacity = UINT64_MAX;  // bytes, each file counted in whole 512 bytes
+  // Size of the disk in bytes; each file takes whole blocks.
+  std::uint64_t capacity = UINT64_MAX;
   std::uint64_t Used() const;
-  // The next process: locks are free, open files of the last one are dead.
+  // Begins the next process: locks are free, files that the last one had open are dead.
   void Restart();
-  // The machine loses its power: what was not synced is gone, names too.
+  // Drops all bytes and entries that were not synced, then restarts.
   void LosePower();
+  // Flips one bit of a file. Throws std::out_of_range if there is no such byte.
   void FlipBit(const std::string& path, std::uint64_t byte, int bit);
-  void CutOut(const std::string& path, std::uint64_t from, std::uint64_t size);  // bytes in the middle
-  bool Exists(const std::string& path) const { return names_.contains(path); }
+  // Removes bytes from the middle of a file.
+  void EraseBytes(const std::string& path, std::uint64_t offset, std::uint64_t size);
+  bool Exists(const std::string& path) const { return entries_.contains(path); }
   std::string Content(const std::string& path) const;
-  void Put(const std::string& path, std::string content);  // as if it had always been there
+  // Makes a file that counts as synced.
+  void Put(const std::string& path, std::string content);
 
-  std::unique_ptr<File> Open(const std::string& path, Mode mode, int& error) override;
+  IoResult<std::unique_ptr<File>> Open(const std::string& path, Mode mode) override;
   int MakeFolder(const std::string& path) override;
-  std::vector<std::string> List(const std::string& folder, int& error) override;
+  IoResult<std::vector<std::string>> List(const std::string& folder) override;
   int Rename(const std::string& from, const std::string& to) override;
   int Remove(const std::string& path) override;
   int SyncFolder(const std::string& path) override;
-  std::unique_ptr<FileLock> Lock(const std::string& path, int& error) override;
+  IoResult<std::unique_ptr<FileLock>> Lock(const std::string& path) override;
 
  private:
   friend class FaultInjectingFile;
@@ -66,17 +73,22 @@
     std::string bytes;
     std::string synced;  // what a loss of power leaves
   };
-  using Names = std::map<std::string, std::shared_ptr<Node>>;
+  using Entries = std::map<std::string, std::shared_ptr<Node>>;
 
-  Step Next(const char* what);  // throws Crash
-  void Ended(const Step& step);
-  std::uint64_t Room() const;
+  // Counts the call and asks the plan. Throws Crash.
+  Step BeginCall(const char* name);
+  // Throws Crash if the plan ends the process after the call.
+  void EndCall(const Step& step);
+  // Bytes in blocks that no file has.
+  std::uint64_t FreeBlocks() const;
 
-  Names names_, synced_names_;
-  std::set<std::string> folders_, locks_;
+  Entries entries_;
+  Entries synced_entries_;
+  std::set<std::string> folders_;
+  std::set<std::string> locks_;
   std::uint64_t calls_ = 0;
-  std::uint64_t life_ = 0;
-  bool dead_ = false;
+  std::uint64_t process_ = 0;  // counts restarts
+  bool has_crashed_ = false;
 };
 
 }  // namespace sagetally
--- a/src/journal/file_system/file_system.cpp
+++ b/src/journal/file_system/file_system.cpp
@@ -6,33 +6,31 @@
 
 namespace sagetally {
 
-std::size_t WriteAll(File& file, std::string_view bytes, int& error) {
-  std::size_t done = 0;
-  error = 0;
-  while (done < bytes.size()) {
-    const std::size_t n = file.Append(bytes.substr(done), error);
-    done += n;
-    if (error == EINTR) error = 0;
-    if (error != 0) break;
+IoResult<std::size_t> WriteAll(File& file, std::string_view bytes) {
+  IoResult<std::size_t> written;
+  while (written.value < bytes.size()) {
+    const auto [count, error] = file.Append(bytes.substr(written.value));
+    written.value += count;
+    if (error == 0 || error == EINTR) continue;
+    written.error = error;
+    break;
   }
-  return done;
+  return written;
 }
 
-std::string ReadAll(File& file, std::uint64_t most, int& error) {
-  const std::uint64_t size = file.Size(error);
-  if (error != 0) return {};
-  std::string text(std::min(size, most), '\0');
+IoResult<std::string> ReadAll(File& file, std::uint64_t max_bytes) {
+  const auto [size, size_error] = file.Size();
+  if (size_error != 0) return {{}, size_error};
+  IoResult<std::string> text{std::string(std::min(size, max_bytes), '\0')};
   std::size_t done = 0;
-  while (done < text.size()) {
-    const std::size_t n = file.ReadAt(done, text.data() + done, text.size() - done, error);
-    done += n;
-    if (error == EINTR) {
-      error = 0;
-    } else if (error != 0 || n == 0) {
-      break;
-    }
+  while (done < text.value.size()) {
+    const auto [count, error] = file.ReadAt(done, text.value.data() + done, text.value.size() - done);
+    done += count;
+    if (error == EINTR) continue;
+    text.error = error;
+    if (error != 0 || count == 0) break;
   }
-  text.resize(done);
+  text.value.resize(done);
   return text;
 }
 
--- a/src/journal/file_system/posix_file_system.cpp
+++ b/src/journal/file_system/posix_file_system.cpp
@@ -17,62 +17,74 @@
 
 int ErrorOf(int result) { return result == 0 ? 0 : errno; }
 
-class RealFile : public File {
+IoResult<std::size_t> ByteCount(ssize_t result) {
+  if (result < 0) return {0, errno};
+  return {static_cast<std::size_t>(result), 0};
+}
+
+class PosixFile : public File {
  public:
-  explicit RealFile(FileDescriptor fd) : fd_(std::move(fd)) {}
-  std::size_t Append(std::string_view bytes, int& error) override {
-    const ssize_t n = ::write(fd_.get(), bytes.data(), bytes.size());
-    error = n < 0 ? errno : 0;
-    if (n == 0 && !bytes.empty()) error = ENOSPC;
-    return n < 0 ? 0 : static_cast<std::size_t>(n);
+  explicit PosixFile(FileDescriptor descriptor) : descriptor_(std::move(descriptor)) {}
+  IoResult<std::size_t> Append(std::string_view bytes) override {
+    IoResult<std::size_t> written = ByteCount(::write(descriptor_.get(), bytes.data(), bytes.size()));
+    if (written.ok() && written.value == 0 && !bytes.empty()) written.error = ENOSPC;
+    return written;
   }
-  std::size_t ReadAt(std::uint64_t offset, char* to, std::size_t most, int& error) override {
-    const ssize_t n = ::pread(fd_.get(), to, most, static_cast<off_t>(offset));
-    error = n < 0 ? errno : 0;
-    return n < 0 ? 0 : static_cast<std::size_t>(n);
+  IoResult<std::size_t> ReadAt(std::uint64_t offset, char* destination, std::size_t size) override {
+    return ByteCount(::pread(descriptor_.get(), destination, size, static_cast<off_t>(offset)));
   }
-  std::uint64_t Size(int& error) override {
-    struct stat state {};
-    error = ErrorOf(::fstat(fd_.get(), &state));
-    return error == 0 ? static_cast<std::uint64_t>(state.st_size) : 0;
+  IoResult<std::uint64_t> Size() override {
+    struct stat status {};
+    if (::fstat(descriptor_.get(), &status) != 0) return {0, errno};
+    return {static_cast<std::uint64_t>(status.st_size), 0};
   }
-  int Sync() override { return ErrorOf(::fdatasync(fd_.get())); }
+  int Sync() override { return ErrorOf(::fdatasync(descriptor_.get())); }
   int Truncate(std::uint64_t size) override {
-    return ErrorOf(::ftruncate(fd_.get(), static_cast<off_t>(size)));
+    return ErrorOf(::ftruncate(descriptor_.get(), static_cast<off_t>(size)));
   }
   int Allocate(std::uint64_t size) override {
     int error = EINTR;
-    while (error == EINTR) error = ::posix_fallocate(fd_.get(), 0, static_cast<off_t>(size));
+    while (error == EINTR) error = ::posix_fallocate(descriptor_.get(), 0, static_cast<off_t>(size));
     return error;
   }
 
  private:
-  FileDescriptor fd_;
+  FileDescriptor descriptor_;
 };
 
-class RealLock : public FileLock {
+class PosixLock : public FileLock {
  public:
-  explicit RealLock(FileDescriptor fd) : fd_(std::move(fd)) {}
-  int descriptor() const override { return fd_.get(); }
+  explicit PosixLock(FileDescriptor descriptor) : descriptor_(std::move(descriptor)) {}
+  int descriptor() const override { return descriptor_.get(); }
 
  private:
-  FileDescriptor fd_;
+  FileDescriptor descriptor_;
 };
 
-FileDescriptor OpenFd(const std::string& path, int flags, int& error) {
-  FileDescriptor fd(::open(path.c_str(), flags | O_CLOEXEC, 0600));
-  error = fd.get() < 0 ? errno : 0;
-  return fd;
+IoResult<FileDescriptor> OpenDescriptor(const std::string& path, int flags) {
+  FileDescriptor descriptor(::open(path.c_str(), flags | O_CLOEXEC, 0600));
+  const int error = descriptor.get() < 0 ? errno : 0;
+  return {std::move(descriptor), error};
+}
+
+int OpenFlags(FileSystem::Mode mode) {
+  switch (mode) {
+    case FileSystem::Mode::kRead:
+      return O_RDONLY;
+    case FileSystem::Mode::kAppend:
+      return O_RDWR | O_APPEND;
+    case FileSystem::Mode::kCreate:
+      return O_RDWR | O_APPEND | O_CREAT | O_TRUNC;
+  }
+  return O_RDONLY;
 }
 
 }  // namespace
 
-std::unique_ptr<File> PosixFileSystem::Open(const std::string& path, Mode mode, int& error) {
-  const int flags = mode == Mode::kRead     ? O_RDONLY
-                    : mode == Mode::kAppend ? O_RDWR | O_APPEND
-                                            : O_RDWR | O_APPEND | O_CREAT | O_TRUNC;
-  FileDescriptor fd = OpenFd(path, flags, error);
-  return error == 0 ? std::make_unique<RealFile>(std::move(fd)) : nullptr;
+IoResult<std::unique_ptr<File>> PosixFileSystem::Open(const std::string& path, Mode mode) {
+  auto [descriptor, error] = OpenDescriptor(path, OpenFlags(mode));
+  if (error != 0) return {nullptr, error};
+  return {std::make_unique<PosixFile>(std::move(descriptor)), 0};
 }
 
 int PosixFileSystem::MakeFolder(const std::string& path) {
@@ -80,15 +92,16 @@
   return error == EEXIST ? 0 : error;
 }
 
-std::vector<std::string> PosixFileSystem::List(const std::string& folder, int& error) {
+IoResult<std::vector<std::string>> PosixFileSystem::List(const std::string& folder) {
   std::vector<std::string> names;
   std::error_code code;
-  for (std::filesystem::directory_iterator at(folder, code), end; !code && at != end; at.increment(code)) {
+  const std::filesystem::directory_iterator end;
+  for (std::filesystem::directory_iterator entry(folder, code); !code && entry != end;
+       entry.increment(code)) {
     std::error_code ignored;
-    if (at->is_regular_file(ignored)) names.push_back(at->path().filename().string());
+    if (entry->is_regular_file(ignored)) names.push_back(entry->path().filename().string());
   }
-  error = code.value();
-  return names;
+  return {std::move(names), code.value()};
 }
 
 int PosixFileSystem::Rename(const std::string& from, const std::string& to) {
@@ -98,18 +111,16 @@
 int PosixFileSystem::Remove(const std::string& path) { return ErrorOf(::unlink(path.c_str())); }
 
 int PosixFileSystem::SyncFolder(const std::string& path) {
-  int error = 0;
-  const FileDescriptor fd = OpenFd(path, O_RDONLY | O_DIRECTORY, error);
-  return error == 0 ? ErrorOf(::fsync(fd.get())) : error;
+  const auto [descriptor, error] = OpenDescriptor(path, O_RDONLY | O_DIRECTORY);
+  return error == 0 ? ErrorOf(::fsync(descriptor.get())) : error;
 }
 
-std::unique_ptr<FileLock> PosixFileSystem::Lock(const std::string& path, int& error) {
-  error = 0;
-  if (adopted_.get() >= 0) return std::make_unique<RealLock>(std::move(adopted_));
-  FileDescriptor fd = OpenFd(path, O_RDWR | O_CREAT, error);
-  if (error != 0) return nullptr;
-  error = ErrorOf(::flock(fd.get(), LOCK_EX | LOCK_NB));
-  return error == 0 ? std::make_unique<RealLock>(std::move(fd)) : nullptr;
+IoResult<std::unique_ptr<FileLock>> PosixFileSystem::Lock(const std::string& path) {
+  if (adopted_lock_.get() >= 0) return {std::make_unique<PosixLock>(std::move(adopted_lock_)), 0};
+  auto [descriptor, error] = OpenDescriptor(path, O_RDWR | O_CREAT);
+  if (error == 0) error = ErrorOf(::flock(descriptor.get(), LOCK_EX | LOCK_NB));
+  if (error != 0) return {nullptr, error};
+  return {std::make_unique<PosixLock>(std::move(descriptor)), 0};
 }
 
 }  // namespace sagetally
--- a/src/journal/file_system/posix_file_system.h
+++ b/src/journal/file_system/posix_file_system.h
@@ -1,4 +1,4 @@
-// The system's own files.
+// FileSystem on the operating system's files. New files and folders are readable by their owner only.
 #ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
 #define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
 
@@ -9,20 +9,26 @@
 
 namespace sagetally {
 
-class PosixFileSystem : public FileSystem {  // new files and folders are the owner's alone
+class PosixFileSystem : public FileSystem {
  public:
-  std::unique_ptr<File> Open(const std::string& path, Mode mode, int& error) override;
+  IoResult<std::unique_ptr<File>> Open(const std::string& path, Mode mode) override;
   int MakeFolder(const std::string& path) override;
-  std::vector<std::string> List(const std::string& folder, int& error) override;
+  IoResult<std::vector<std::string>> List(const std::string& folder) override;
   int Rename(const std::string& from, const std::string& to) override;
   int Remove(const std::string& path) override;
   int SyncFolder(const std::string& path) override;
-  std::unique_ptr<FileLock> Lock(const std::string& path, int& error) override;
-  // A lock that another process has passed on is the one that the next Lock gives.
-  void Adopt(FileDescriptor lock) { adopted_ = std::move(lock); }
+  IoResult<std::unique_ptr<FileLock>> Lock(const std::string& path) override;
+  // The same for callers that take the error apart.
+  std::unique_ptr<FileLock> Lock(const std::string& path, int& error) {
+    auto result = Lock(path);
+    error = result.error;
+    return std::move(result.value);
+  }
+  // The next call of Lock gives this lock, which another process has passed on.
+  void Adopt(FileDescriptor lock) { adopted_lock_ = std::move(lock); }
 
  private:
-  FileDescriptor adopted_;
+  FileDescriptor adopted_lock_;
 };
 
 }  // namespace sagetally
--- a/src/journal/format1_reader.cpp
+++ b/src/journal/format1_reader.cpp
@@ -3,175 +3,155 @@
 #include <zlib.h>
 
 #include <cerrno>
-#include <stdexcept>
+#include <string_view>
 #include <utility>
 #include <vector>
 
 #include "base/byte_codec.h"
+#include "journal/attempt_replay.h"
+#include "journal/errors.h"
+#include "journal/message_codec.h"
 #include "journal/records.h"
 
 namespace sagetally {
 namespace {
 
-// Kinds of records.
-constexpr char kState = 'S', kAttempt = 'A', kOutcome = 'O', kEnd = 'E', kTold = 'N', kKept = 'K';
-constexpr std::size_t kHead = 8;                       // length and checksum
-constexpr std::size_t kMostLegacyRecord = 256 * 1024;  // a longer one is no record
-constexpr std::uint64_t kMostFile = 1ULL << 32;
+constexpr std::size_t kHeaderBytes = 8;  // length and checksum of a record
+constexpr std::size_t kMaxFormat1RecordBytes = 256 * 1024;
+constexpr std::uint64_t kMaxFileBytes = 1ULL << 32;
 
 std::uint32_t Checksum(std::string_view text) {
   return static_cast<std::uint32_t>(
       crc32(0, reinterpret_cast<const Bytef*>(text.data()), static_cast<uInt>(text.size())));
 }
 
-Message ReadState(ByteReader& in, std::uint64_t number) {
-  Message m;
-  m.number = number;
-  Request& r = m.request;
-  r.id = in.ReadString();
-  r.message_class = in.ReadNumber<std::int32_t>();
-  r.destination = in.ReadNumber<std::int32_t>();
-  m.deadline = in.ReadTime();
-  r.idempotency_key = in.ReadString();
-  r.body = in.ReadString();
-  r.protocol = in.ReadNumber<IngressProtocol>();
-  for (auto n = in.ReadNumber<std::uint32_t>(); n > 0 && in.ok(); --n) {
-    std::string name = in.ReadString();
-    r.attributes[std::move(name)] = in.ReadString();
+// Applies the records of a log. Those of later programs are longer; the fields that older ones lack are
+// optional.
+class Format1Applier {
+ public:
+  explicit Format1Applier(MessageTable& messages) : messages_(messages) {}
+
+  // Returns false if the record is malformed.
+  bool Apply(std::string_view record) {
+    ByteReader in(record);
+    const auto kind = static_cast<RecordKind>(in.ReadNumber<char>());
+    const auto number = in.ReadNumber<std::uint64_t>();
+    if (kind == RecordKind::kState) return ApplyState(in, number);
+    Message* const message = messages_.Find(number);
+    switch (kind) {
+      case RecordKind::kAttempt:
+        ApplyAttempt(in, message);
+        break;
+      case RecordKind::kOutcome:
+        ApplyOutcome(in, message);
+        break;
+      case RecordKind::kCompletion:
+        ApplyCompletion(in, message);
+        break;
+      case RecordKind::kNotified:
+        if (message == nullptr) break;
+        message->notification_pending = false;
+        messages_.RemoveIfFinished(*message);
+        break;
+      case RecordKind::kDeadLettered:
+        if (message != nullptr) messages_.MarkDeadLettered(*message);
+        break;
+      default:
+        return false;
+    }
+    return in.ok();
   }
-  m.attempts = in.ReadNumber<std::int32_t>();
-  m.is_in_flight = in.ReadBool();
-  m.in_flight_since = in.ReadTime();
-  m.in_flight_endpoint = in.ReadString();
-  const bool may = in.ReadBool();
-  const Time may_at = in.ReadTime();
-  if (may) m.first_uncertain_attempt = may_at;
-  m.first_uncertain_endpoint = in.ReadString();
-  m.final_status = in.ReadNumber<enum FinalStatus>();
-  m.retry_after = in.ReadTime();
-  m.ended_at = in.ReadTime();
-  m.notification_pending = in.ReadBool();
-  if (in.empty()) return m;
-  m.accepted_at = in.ReadTime();
-  m.failure_reason = in.ReadNumber<FailureReason>();
-  m.dead_letter_pending = in.ReadBool();
-  m.redrive_number = in.ReadNumber<std::uint64_t>();
-  m.redrive_incarnation = in.ReadNumber<std::int32_t>();
-  m.redrive_node = in.ReadString();
-  for (auto n = in.ReadNumber<std::uint32_t>(); n > 0 && in.ok(); --n) {
-    AttemptRecord note;
-    note.sent_at.wall_time = in.ReadTime();
-    note.sent_at.steady_time = in.ReadTime();
-    note.sent_at.boot_id = in.ReadNumber<std::uint64_t>();
-    note.endpoint = in.ReadString();
-    if (const auto outcome = in.ReadNumber<std::int32_t>(); outcome >= 0) note.outcome = Outcome(outcome);
-    note.retry_after = in.ReadTime();
-    m.history.push_back(std::move(note));
+
+  // Once all records are applied: closes attempts in flight.
+  void Finish() {
+    std::vector<std::uint64_t> numbers;
+    for (const auto& [number, message] : messages_.messages()) numbers.push_back(number);
+    for (const std::uint64_t number : numbers) {
+      Message& message = *messages_.Find(number);
+      CloseInterruptedAttempt(message);
+      messages_.RemoveIfFinished(message);
+    }
   }
-  return m;
-}
 
-bool Apply(std::string_view record, MessageTable& ledger) {
-  ByteReader in(record);
-  const char kind = in.ReadNumber<char>();
-  const auto number = in.ReadNumber<std::uint64_t>();
-  if (kind == kState) {
-    Message m = ReadState(in, number);
+ private:
+  bool ApplyState(ByteReader& in, std::uint64_t number) {
+    Message message;
+    message.number = number;
+    ReadRequestAndProgress(in, StateFormat::kFormat1, message);
+    if (!in.empty()) ReadFailureAndHistory(in, StateFormat::kFormat1, message);
     if (!in.ok()) return false;
-    ledger.Remove(number);
-    ledger.Add(std::move(m));
+    messages_.Remove(number);
+    messages_.Add(std::move(message));
     return true;
   }
-  Message* m = ledger.Find(number);
-  if (kind == kAttempt) {
-    const Time since = in.ReadTime();
-    std::string at = in.ReadString();
-    if (m != nullptr && in.ok()) {
-      if (m->is_in_flight) MarkUncertainAttempt(*m);  // the end of an earlier process cut that call off
-      m->attempts += 1;
-      m->is_in_flight = true;
-      m->in_flight_since = since;
-      m->in_flight_endpoint = std::move(at);
-      if (!in.empty()) {
-        AttemptRecord note;
-        note.sent_at.wall_time = since;
-        note.sent_at.steady_time = in.ReadTime();
-        note.sent_at.boot_id = in.ReadNumber<std::uint64_t>();
-        note.endpoint = m->in_flight_endpoint;
-        m->history.push_back(std::move(note));
-      }
-    }
-  } else if (kind == kOutcome) {
-    const auto outcome = in.ReadNumber<std::int32_t>();
-    if (m != nullptr && in.ok()) {
-      m->is_in_flight = false;
-      if (MayHaveRun(static_cast<Outcome>(outcome))) MarkUncertainAttempt(*m);
-      if (!in.empty() && !m->history.empty()) {
-        m->history.back().outcome = static_cast<Outcome>(outcome);
-        m->history.back().retry_after = in.ReadTime();
-      }
-    }
-  } else if (kind == kEnd) {
-    const auto end = in.ReadNumber<enum FinalStatus>();
-    const Duration again = in.ReadTime();
-    const Time at = in.ReadTime();
-    if (m != nullptr && in.ok()) {
-      if (m->is_in_flight)
-        MarkUncertainAttempt(*m);  // it ended with its call out, and how that came back is not on record
-      m->is_in_flight = false;
-      if (!in.empty()) {
-        m->failure_reason = in.ReadNumber<FailureReason>();
-        m->dead_letter_pending = in.ReadBool();
-        if (const auto last = in.ReadNumber<std::int32_t>(); last >= 0 && !m->history.empty()) {
-          m->history.back().outcome = static_cast<Outcome>(last);
-        }
-      }
-      ledger.Complete(*m, end, again, at);
-      ledger.RemoveIfFinished(*m);
-    }
-  } else if (kind == kTold) {
-    if (m != nullptr) {
-      m->notification_pending = false;
-      ledger.RemoveIfFinished(*m);
+
+  // `message` is null for one that is not in the table.
+  static void ApplyAttempt(ByteReader& in, Message* message) {
+    const Time started_at = in.ReadTime();
+    std::string endpoint = in.ReadString();
+    if (message == nullptr || !in.ok()) return;
+    BeginReplayedAttempt(*message, started_at, std::move(endpoint));
+    if (in.empty()) return;
+    AttemptRecord attempt;
+    attempt.sent_at.wall_time = started_at;
+    attempt.sent_at.steady_time = in.ReadTime();
+    attempt.sent_at.boot_id = in.ReadNumber<std::uint64_t>();
+    attempt.endpoint = message->in_flight_endpoint;
+    message->history.push_back(std::move(attempt));
+  }
+
+  static void ApplyOutcome(ByteReader& in, Message* message) {
+    const auto outcome = static_cast<Outcome>(in.ReadNumber<std::int32_t>());
+    if (message == nullptr || !in.ok()) return;
+    EndReplayedAttempt(*message, outcome);
+    if (in.empty() || message->history.empty()) return;
+    message->history.back().outcome = outcome;
+    message->history.back().retry_after = in.ReadTime();
+  }
+
+  void ApplyCompletion(ByteReader& in, Message* message) {
+    const FinalStatus final_status = ReadFinalStatus(in, StateFormat::kFormat1);
+    const Duration retry_after = in.ReadTime();
+    const Time ended_at = in.ReadTime();
+    if (message == nullptr || !in.ok()) return;
+    CloseInterruptedAttempt(*message);
+    if (!in.empty()) {
+      message->failure_reason = ReadFailureReason(in, StateFormat::kFormat1);
+      message->dead_letter_pending = in.ReadBool();
+      const std::optional<Outcome> last_outcome = ReadOutcome(in, StateFormat::kFormat1);
+      if (last_outcome && !message->history.empty()) message->history.back().outcome = last_outcome;
     }
-  } else if (kind == kKept) {
-    if (m != nullptr) ledger.MarkDeadLettered(*m);
-  } else {
-    return false;
+    messages_.Complete(*message, final_status, retry_after, ended_at);
+    messages_.RemoveIfFinished(*message);
   }
-  return in.ok();
-}
+
+  MessageTable& messages_;
+};
 
 }  // namespace
 
-Format1Report ReadFormat1(FileSystem& files, const std::string& path, MessageTable& ledger) {
+Format1Report ReadFormat1(FileSystem& files, const std::string& path, MessageTable& messages) {
+  const auto opened = files.Open(path, FileSystem::Mode::kRead);
+  if (opened.error == ENOENT) return {};
+  ThrowOnError(path, opened.error);
+  const auto content = ReadAll(*opened.value, kMaxFileBytes);
+  ThrowOnError(path, content.error);
   Format1Report report;
-  int error = 0;
-  const auto file = files.Open(path, FileSystem::Mode::kRead, error);
-  if (error == ENOENT) return report;
-  const std::string text = file ? ReadAll(*file, kMostFile, error) : std::string();
-  if (error != 0) throw std::runtime_error(path + ": " + ErrorText(error));
   report.found = true;
-  std::size_t at = 0;
-  while (text.size() - at >= kHead) {
-    ByteReader head(std::string_view(text).substr(at, kHead));
-    const auto size = head.ReadNumber<std::uint32_t>();
-    const auto sum = head.ReadNumber<std::uint32_t>();
-    if (size > kMostLegacyRecord || size > text.size() - at - kHead) break;
-    const std::string_view record = std::string_view(text).substr(at + kHead, size);
-    if (Checksum(record) != sum || !Apply(record, ledger)) break;
-    at += kHead + size;
+  Format1Applier applier(messages);
+  std::string_view rest = content.value;
+  while (rest.size() >= kHeaderBytes) {
+    ByteReader header(rest.substr(0, kHeaderBytes));
+    const auto size = header.ReadNumber<std::uint32_t>();
+    const auto checksum = header.ReadNumber<std::uint32_t>();
+    if (size > kMaxFormat1RecordBytes || size > rest.size() - kHeaderBytes) break;
+    const std::string_view record = rest.substr(kHeaderBytes, size);
+    if (Checksum(record) != checksum || !applier.Apply(record)) break;
+    rest.remove_prefix(kHeaderBytes + size);
     ++report.records;
   }
-  report.torn_bytes = text.size() - at;
-  std::vector<std::uint64_t> numbers;
-  for (const auto& [number, m] : ledger.messages()) numbers.push_back(number);
-  for (const std::uint64_t number : numbers) {
-    Message& m = *ledger.Find(number);
-    if (m.is_in_flight) MarkUncertainAttempt(m);
-    m.is_in_flight = false;
-    ledger.RemoveIfFinished(m);
-  }
+  report.torn_bytes = rest.size();
+  applier.Finish();
   return report;
 }
 
--- a/src/journal/format1_reader.h
+++ b/src/journal/format1_reader.h
@@ -1,4 +1,5 @@
-// Format 1: one file of records, as journals were before segments. Read only, to be taken over.
+// Reads format 1 of the journal: a single file of records, as there was before segments. Such a log is only
+// read, once, when a journal of the present format takes it over.
 #ifndef SAGETALLY_SRC_JOURNAL_FORMAT1_READER_H_
 #define SAGETALLY_SRC_JOURNAL_FORMAT1_READER_H_
 
@@ -11,12 +12,13 @@
 namespace sagetally {
 
 struct Format1Report {
-  bool found = false;
-  std::uint64_t records = 0, torn_bytes = 0;
+  bool found = false;  // whether there is such a file
+  std::uint64_t records = 0;
+  std::uint64_t torn_bytes = 0;  // after the last whole record
 };
 
-// Throws std::runtime_error naming the file if it can't be read.
-Format1Report ReadFormat1(FileSystem& files, const std::string& path, MessageTable& ledger);
+// Adds the messages of the log to `messages`. Throws JournalIoError.
+Format1Report ReadFormat1(FileSystem& files, const std::string& path, MessageTable& messages);
 
 }  // namespace sagetally
 
--- a/src/journal/replay.cpp
+++ b/src/journal/replay.cpp
@@ -3,133 +3,175 @@
 #include <algorithm>
 #include <cerrno>
 #include <optional>
-#include <stdexcept>
+#include <utility>
+
+#include "journal/errors.h"
 
 namespace sagetally {
 namespace {
 
-constexpr std::uint64_t kMostSegment = 1ULL << 32;  // a longer file is read up to here
+constexpr std::uint64_t kMaxSegmentFileBytes = 1ULL << 32;  // a longer file is read up to here
+constexpr std::uint64_t kMaxHeaderReadBytes = 8192;
 
-std::string ReadSegment(FileSystem& files, const std::string& path, int& error) {
-  const auto file = files.Open(path, FileSystem::Mode::kRead, error);
-  return file ? ReadAll(*file, kMostSegment, error) : std::string();
+IoResult<std::string> ReadFile(FileSystem& files, const std::string& path, std::uint64_t max_bytes) {
+  const auto opened = files.Open(path, FileSystem::Mode::kRead);
+  if (!opened.ok()) return {{}, opened.error};
+  return ReadAll(*opened.value, max_bytes);
 }
 
-// Without a manifest: what the segments' own headers say.
-Manifest FromSegments(FileSystem& files, const std::string& folder,
-                      const std::vector<std::uint64_t>& numbers) {
-  Manifest m;
-  m.oldest = numbers.front();
-  m.newest = numbers.back();
+// A manifest from what the segments' own headers say.
+Manifest ReconstructManifest(FileSystem& files, const std::string& folder,
+                             const std::vector<std::uint64_t>& numbers) {
+  Manifest manifest;
+  manifest.oldest = numbers.front();
+  manifest.newest = numbers.back();
   for (const std::uint64_t number : numbers) {
-    int error = 0;
-    SegmentHeader header;
-    const auto file = files.Open(folder + "/" + SegmentName(number), FileSystem::Mode::kRead, error);
-    if (!file || !DecodeSegmentHeader(ReadAll(*file, 8192, error), header)) continue;
-    m.node = header.node;
-    m.salt = header.salt;
-    m.epoch = std::max(m.epoch, header.epoch);
+    const auto bytes = ReadFile(files, folder + "/" + SegmentName(number), kMaxHeaderReadBytes);
+    const auto decoded = DecodeSegmentHeader(bytes.value);
+    if (!decoded) continue;
+    manifest.node = decoded->header.node;
+    manifest.salt = decoded->header.salt;
+    manifest.epoch = std::max(manifest.epoch, decoded->header.epoch);
   }
-  return m;
+  return manifest;
 }
 
-}  // namespace
+// One replay of a journal, segment by segment.
+class Replayer {
+ public:
+  Replayer(FileSystem& files, const std::string& folder, RecordApplier& applier, const ReplayOptions& options)
+      : files_(files), folder_(folder), applier_(applier), options_(options) {}
 
-std::vector<std::uint64_t> ListSegments(FileSystem& files, const std::string& folder) {
-  std::vector<std::uint64_t> numbers;
-  int error = 0;
-  for (const std::string& name : files.List(folder, error)) {
-    if (const auto number = SegmentNumber(name)) numbers.push_back(*number);
+  ReplayReport Run() {
+    if (!LoadManifest()) return std::move(report_);
+    for (std::uint64_t number = report_.manifest.oldest; number <= report_.manifest.newest; ++number) {
+      ReplaySegment(number);
+    }
+    Finish();
+    return std::move(report_);
   }
-  std::sort(numbers.begin(), numbers.end());
-  return numbers;
-}
 
-ReplayReport Replay(FileSystem& files, const std::string& folder, RecordApplier& applier,
-                    const ReplayOptions& options) {
-  ReplayReport report;
-  int error = 0;
-  const std::optional<Manifest> manifest = ReadManifestFile(files, folder, error);
-  if (error != 0 && error != ENOENT) {
-    throw std::runtime_error(folder + "/" + kManifestName + ": " + ErrorText(error));
-  }
-  if (manifest) {
-    report.manifest = *manifest;
-  } else {
-    const std::vector<std::uint64_t> numbers = ListSegments(files, folder);
-    if (numbers.empty()) return report;
-    report.manifest = FromSegments(files, folder, numbers);
-    report.manifest_lost = true;
+ private:
+  // Returns false if there is no journal.
+  bool LoadManifest() {
+    const ManifestFile read = ReadManifestFile(files_, folder_);
+    if (read.error != ENOENT) ThrowOnError(folder_ + "/" + kManifestName, read.error);
+    if (read.manifest) {
+      report_.manifest = *read.manifest;
+      return true;
+    }
+    const std::vector<std::uint64_t> numbers = ListSegments(files_, folder_);
+    if (numbers.empty()) return false;
+    report_.manifest = ReconstructManifest(files_, folder_, numbers);
+    report_.manifest_lost = true;
+    return true;
   }
-  std::uint64_t expected = 0;  // not known before the first header
-  for (std::uint64_t number = report.manifest.oldest; number <= report.manifest.newest; ++number) {
-    SegmentReport segment;
+
+  void ReplaySegment(std::uint64_t number) {
+    const std::string path = folder_ + "/" + SegmentName(number);
+    const auto content = ReadFile(files_, path, kMaxSegmentFileBytes);
+    SegmentReport& segment = report_.segments.emplace_back();
     segment.number = number;
-    const std::string path = folder + "/" + SegmentName(number);
-    const std::string bytes = ReadSegment(files, path, error);
-    if (error == ENOENT) {
+    if (content.error == ENOENT) {
       segment.missing = true;
-      report.segments.push_back(segment);
-      continue;
+      return;
+    }
+    ThrowOnError(path, content.error);
+    segment.bytes = content.value.size();
+    report_.bytes += segment.bytes;
+    const std::optional<DecodedSegmentHeader> decoded = DecodeHeader(path, content.value);
+    segment.header_missing = !decoded;
+    if (decoded) {
+      segment.epoch = decoded->header.epoch;
+      SkipTo(decoded->header.first_sequence);
     }
-    if (error != 0) throw std::runtime_error(path + ": " + ErrorText(error));
-    segment.bytes = bytes.size();
-    report.bytes += bytes.size();
-    SegmentHeader header;
-    std::optional<std::size_t> head;
+    ApplyFrames(segment, content.value, decoded ? decoded->size : 0,
+                decoded ? decoded->header.salt : report_.manifest.salt);
+  }
+
+  static std::optional<DecodedSegmentHeader> DecodeHeader(const std::string& path, std::string_view bytes) {
     try {
-      head = DecodeSegmentHeader(bytes, header);
-    } catch (const std::runtime_error& newer) {
-      throw std::runtime_error(path + ": " + newer.what());
+      return DecodeSegmentHeader(bytes);
+    } catch (const UnsupportedFormatError& error) {
+      throw UnsupportedFormatError(path, error.format());
     }
-    segment.header_missing = !head;
-    segment.epoch = header.epoch;
-    const std::uint64_t salt = head ? header.salt : report.manifest.salt;
-    std::uint64_t next = std::max(expected, head ? header.first : expected);
-    // What a header skips is missing, but for the journal's first.
-    if (expected != 0 && next > expected) report.missing.push_back({expected, next});
-    std::uint64_t scanned = next;
-    const FrameScan scan = ScanFrames(std::string_view(bytes).substr(head.value_or(0)), salt, scanned,
-                                      [&](std::string_view record, std::uint64_t sequence) {
-                                        if (next != 0 && sequence > next) {
-                                          report.missing.push_back({next, sequence});
-                                          applier.AddMissingRange(next, sequence);
-                                        }
-                                        next = sequence + 1;
-                                        ++report.records;
-                                        if (!applier.Apply(record, sequence, number))
-                                          ++report.invalid_records;
-                                      });
-    if (expected != 0 && std::max(expected, header.first) > expected)
-      applier.AddMissingRange(expected, header.first);
-    expected = std::max(next, scanned);
+  }
+
+  // What a segment's header skips is missing, unless it is the journal's first.
+  void SkipTo(std::uint64_t sequence) {
+    if (sequence <= expected_sequence_) return;
+    if (expected_sequence_ != 0) AddMissing(expected_sequence_, sequence);
+    expected_sequence_ = sequence;
+  }
+
+  void ApplyFrames(SegmentReport& segment, std::string_view file, std::size_t header_size,
+                   std::uint64_t salt) {
+    const auto on_record = [&](std::string_view record, std::uint64_t sequence) {
+      if (expected_sequence_ != 0 && sequence > expected_sequence_) AddMissing(expected_sequence_, sequence);
+      expected_sequence_ = sequence + 1;
+      ++report_.records;
+      if (!applier_.Apply(record, sequence, segment.number)) ++report_.invalid_records;
+    };
+    const FrameScan scan = ScanFrames(file.substr(header_size), salt, expected_sequence_, on_record);
     segment.frames = scan.frames;
-    for (UnreadableRange u : scan.unreadable) {
-      u.offset += head.value_or(0);
-      report.unreadable_bytes += u.bytes;
-      if (options.on_unreadable) {
-        options.on_unreadable(number, u, std::string_view(bytes).substr(u.offset, u.bytes));
+    for (UnreadableRange range : scan.unreadable) {
+      range.offset += header_size;
+      report_.unreadable_bytes += range.bytes;
+      if (options_.on_unreadable) {
+        options_.on_unreadable(segment.number, range, file.substr(range.offset, range.bytes));
       }
-      segment.unreadable.push_back(u);
+      segment.unreadable.push_back(range);
     }
-    report.segments.push_back(std::move(segment));
   }
-  // The first segment is begun before there is a manifest: with nothing in it none was lost.
-  if (report.records == 0 && report.unreadable_bytes == 0) report.manifest_lost = false;
-  report.next_sequence = std::max<std::uint64_t>(1, expected);
-  if (report.manifest.unknown_from != 0) {
-    applier.AddMissingRange(report.manifest.unknown_from, report.manifest.unknown_from + 1);
+
+  void AddMissing(std::uint64_t from, std::uint64_t to) {
+    report_.missing.push_back({from, to});
+    applier_.AddMissingRange(from, to);
   }
-  report.incomplete_histories = applier.Finish();
-  report.lost_messages = applier.lost_message_count();
-  report.latest_timestamp = applier.latest_timestamp();
-  const Timestamp& written = report.manifest.written;
-  if (report.latest_timestamp.boot_id == 0 && written.wall_time > Time(0)) {
-    // Attempts that are noted by the wall's clock alone: the process that wrote them wrote the manifest too.
-    const Duration since = std::max(Duration(0), report.latest_timestamp.wall_time - written.wall_time);
-    report.latest_timestamp = {written.wall_time + since, written.steady_time + since, written.boot_id};
+
+  void Finish() {
+    // The first segment is begun before there is a manifest: with nothing in it none was lost.
+    if (report_.records == 0 && report_.unreadable_bytes == 0) report_.manifest_lost = false;
+    report_.next_sequence = std::max<std::uint64_t>(1, expected_sequence_);
+    const std::uint64_t unknown_from = report_.manifest.unknown_from;
+    if (unknown_from != 0) applier_.AddMissingRange(unknown_from, unknown_from + 1);
+    report_.incomplete_histories = applier_.Finish();
+    report_.lost_messages = applier_.lost_message_count();
+    report_.latest_timestamp = LatestTimestamp();
+  }
+
+  // Where attempts have the wall time alone, the steady time is that of the manifest, which the same process
+  // wrote, and the time that passed since.
+  Timestamp LatestTimestamp() const {
+    const Timestamp latest = applier_.latest_timestamp();
+    const Timestamp& written = report_.manifest.written;
+    if (latest.boot_id != 0 || written.wall_time <= Time(0)) return latest;
+    const Duration since = std::max(Duration(0), latest.wall_time - written.wall_time);
+    return {written.wall_time + since, written.steady_time + since, written.boot_id};
   }
-  return report;
+
+  FileSystem& files_;
+  const std::string& folder_;
+  RecordApplier& applier_;
+  const ReplayOptions& options_;
+  ReplayReport report_;
+  std::uint64_t expected_sequence_ = 0;  // 0: not known before the first header
+};
+
+}  // namespace
+
+std::vector<std::uint64_t> ListSegments(FileSystem& files, const std::string& folder) {
+  std::vector<std::uint64_t> numbers;
+  for (const std::string& name : files.List(folder).value) {
+    if (const auto number = SegmentNumber(name)) numbers.push_back(*number);
+  }
+  std::sort(numbers.begin(), numbers.end());
+  return numbers;
+}
+
+ReplayReport Replay(FileSystem& files, const std::string& folder, RecordApplier& applier,
+                    const ReplayOptions& options) {
+  return Replayer(files, folder, applier, options).Run();
 }
 
 }  // namespace sagetally
--- a/src/journal/segment.cpp
+++ b/src/journal/segment.cpp
@@ -3,16 +3,19 @@
 #include <fmt/format.h>
 
 #include <charconv>
-#include <stdexcept>
 
 #include "base/byte_codec.h"
+#include "journal/errors.h"
 
 namespace sagetally {
 namespace {
 
 constexpr std::string_view kMagic = "sagetally journal\n";
-constexpr std::size_t kMostNode = 4096;
+constexpr std::size_t kHeaderPrefixBytes = 8;       // length and checksum
+constexpr std::size_t kMaxHeaderBytes = 4096 + 64;  // a node's name and the numbers
+constexpr std::size_t kFrameChecksumOffset = 8;     // the checksum covers what follows it
 constexpr std::string_view kSuffix = ".seg";
+constexpr std::size_t kNumberDigits = 16;
 
 struct Frame {
   std::string_view record;
@@ -20,102 +23,110 @@
   std::size_t size = 0;
 };
 
-// The frame that begins here, if its checksum holds and its number may come next.
-std::optional<Frame> FrameAt(std::string_view bytes, std::uint64_t salt, std::uint64_t expected) {
+// The frame that begins here, if its checksum holds and its sequence number may come next.
+std::optional<Frame> ReadFrame(std::string_view bytes, std::uint64_t salt, std::uint64_t expected) {
   if (bytes.size() < kFrameBytes) return std::nullopt;
   ByteReader in(bytes.substr(0, kFrameBytes));
   const auto length = in.ReadNumber<std::uint32_t>();
-  const auto crc = in.ReadNumber<std::uint32_t>();
+  const auto checksum = in.ReadNumber<std::uint32_t>();
   const auto sequence = in.ReadNumber<std::uint64_t>();
   if (length == 0 || length > kMaxRecordBytes || length > bytes.size() - kFrameBytes) return std::nullopt;
-  if (sequence > expected + kMaxSkippedBytes) return std::nullopt;
-  const std::string_view record = bytes.substr(kFrameBytes, length);
-  if (Crc32c(bytes.substr(8, 8 + length), salt) != crc) return std::nullopt;
-  return Frame{record, sequence, kFrameBytes + length};
+  if (sequence > expected + kMaxSequenceGap) return std::nullopt;
+  const std::size_t size = kFrameBytes + length;
+  if (Crc32c(bytes.substr(kFrameChecksumOffset, size - kFrameChecksumOffset), salt) != checksum) {
+    return std::nullopt;
+  }
+  return Frame{bytes.substr(kFrameBytes, length), sequence, size};
 }
 
 }  // namespace
 
-std::string EncodeSegmentHeader(const SegmentHeader& h) {
+std::string EncodeSegmentHeader(const SegmentHeader& header) {
   ByteWriter body;
-  body.AppendNumber(h.format)
-      .AppendNumber(h.number)
-      .AppendNumber(h.epoch)
-      .AppendNumber(h.first)
-      .AppendNumber(h.salt)
-      .AppendString(h.node);
-  ByteWriter w;
-  w.AppendNumber(static_cast<std::uint32_t>(body.bytes().size())).AppendNumber(Crc32c(body.bytes()));
-  return std::string(kMagic) + w.bytes() + body.bytes();
+  body.AppendNumber(header.format)
+      .AppendNumber(header.number)
+      .AppendNumber(header.epoch)
+      .AppendNumber(header.first_sequence)
+      .AppendNumber(header.salt)
+      .AppendString(header.node);
+  ByteWriter prefix;
+  prefix.AppendNumber(static_cast<std::uint32_t>(body.bytes().size())).AppendNumber(Crc32c(body.bytes()));
+  return std::string(kMagic) + prefix.bytes() + body.bytes();
 }
 
-std::optional<std::size_t> DecodeSegmentHeader(std::string_view bytes, SegmentHeader& h) {
+std::optional<DecodedSegmentHeader> DecodeSegmentHeader(std::string_view bytes) {
   if (!bytes.starts_with(kMagic)) return std::nullopt;
-  ByteReader in(bytes.substr(kMagic.size()));
-  const auto size = in.ReadNumber<std::uint32_t>();
-  const auto crc = in.ReadNumber<std::uint32_t>();
-  const std::size_t before = kMagic.size() + 8;
-  if (!in.ok() || size > kMostNode + 64 || size > bytes.size() - before) return std::nullopt;
-  const std::string_view body = bytes.substr(before, size);
-  if (Crc32c(body) != crc) return std::nullopt;
+  ByteReader prefix(bytes.substr(kMagic.size()));
+  const auto length = prefix.ReadNumber<std::uint32_t>();
+  const auto checksum = prefix.ReadNumber<std::uint32_t>();
+  const std::size_t body_offset = kMagic.size() + kHeaderPrefixBytes;
+  if (!prefix.ok() || length > kMaxHeaderBytes || length > bytes.size() - body_offset) return std::nullopt;
+  const std::string_view body = bytes.substr(body_offset, length);
+  if (Crc32c(body) != checksum) return std::nullopt;
   ByteReader fields(body);
-  h.format = fields.ReadNumber<std::uint32_t>();
-  if (h.format > kJournalFormat) {
-    throw std::runtime_error(fmt::format("the journal has format {}; this program reads formats up to {}",
-                                         h.format, kJournalFormat));
-  }
-  h.number = fields.ReadNumber<std::uint64_t>();
-  h.epoch = fields.ReadNumber<std::uint64_t>();
-  h.first = fields.ReadNumber<std::uint64_t>();
-  h.salt = fields.ReadNumber<std::uint64_t>();
-  h.node = fields.ReadString();
+  DecodedSegmentHeader decoded;
+  SegmentHeader& header = decoded.header;
+  header.format = fields.ReadNumber<std::uint32_t>();
+  if (header.format > kJournalFormat) throw UnsupportedFormatError("", header.format);
+  header.number = fields.ReadNumber<std::uint64_t>();
+  header.epoch = fields.ReadNumber<std::uint64_t>();
+  header.first_sequence = fields.ReadNumber<std::uint64_t>();
+  header.salt = fields.ReadNumber<std::uint64_t>();
+  header.node = fields.ReadString();
   if (!fields.ok()) return std::nullopt;
-  return before + size;
+  decoded.size = body_offset + length;
+  return decoded;
 }
 
 std::string EncodeFrame(std::string_view record, std::uint64_t sequence, std::uint64_t salt) {
   std::string checked = ByteWriter().AppendNumber(sequence).bytes();
   checked += record;
-  std::string out = ByteWriter()
-                        .AppendNumber(static_cast<std::uint32_t>(record.size()))
-                        .AppendNumber(Crc32c(checked, salt))
-                        .bytes();
-  out += checked;
-  return out;
+  std::string frame = ByteWriter()
+                          .AppendNumber(static_cast<std::uint32_t>(record.size()))
+                          .AppendNumber(Crc32c(checked, salt))
+                          .bytes();
+  frame += checked;
+  return frame;
 }
 
-std::string SegmentName(std::uint64_t number) { return fmt::format("{:016}{}", number, kSuffix); }
+std::string SegmentName(std::uint64_t number) {
+  return fmt::format("{:0{}}{}", number, kNumberDigits, kSuffix);
+}
 
 std::optional<std::uint64_t> SegmentNumber(std::string_view name) {
-  if (name.size() != 16 + kSuffix.size() || !name.ends_with(kSuffix)) return std::nullopt;
+  if (name.size() != kNumberDigits + kSuffix.size() || !name.ends_with(kSuffix)) return std::nullopt;
   std::uint64_t number = 0;
-  const auto read = std::from_chars(name.data(), name.data() + 16, number);
-  if (read.ec != std::errc() || read.ptr != name.data() + 16) return std::nullopt;
+  const char* const end = name.data() + kNumberDigits;
+  const auto parsed = std::from_chars(name.data(), end, number);
+  if (parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
   return number;
 }
 
-FrameScan ScanFrames(std::string_view bytes, std::uint64_t salt, std::uint64_t& expected,
-                     const std::function<void(std::string_view, std::uint64_t)>& found) {
+FrameScan ScanFrames(std::string_view bytes, std::uint64_t salt, std::uint64_t expected_sequence,
+                     const std::function<void(std::string_view, std::uint64_t)>& on_record) {
   FrameScan scan;
-  std::size_t at = 0, bad_since = 0;
-  bool bad = false;
-  while (at < bytes.size()) {
-    const std::optional<Frame> frame = FrameAt(bytes.substr(at), salt, expected);
+  scan.next_sequence = expected_sequence;
+  std::optional<std::size_t> unreadable_from;
+  const auto end_unreadable = [&](std::size_t offset) {
+    if (unreadable_from) scan.unreadable.push_back({*unreadable_from, offset - *unreadable_from});
+    unreadable_from.reset();
+  };
+  std::size_t offset = 0;
+  while (offset < bytes.size()) {
+    const std::optional<Frame> frame = ReadFrame(bytes.substr(offset), salt, scan.next_sequence);
     if (!frame) {
-      if (!bad) bad_since = at;
-      bad = true;
-      ++at;
+      if (!unreadable_from) unreadable_from = offset;
+      ++offset;
       continue;
     }
-    if (bad) scan.unreadable.push_back({bad_since, at - bad_since});
-    bad = false;
-    at += frame->size;
+    end_unreadable(offset);
+    offset += frame->size;
     ++scan.frames;
-    if (frame->sequence < expected) continue;
-    expected = frame->sequence + 1;
-    found(frame->record, frame->sequence);
+    if (frame->sequence < scan.next_sequence) continue;
+    scan.next_sequence = frame->sequence + 1;
+    on_record(frame->record, frame->sequence);
   }
-  if (bad) scan.unreadable.push_back({bad_since, bytes.size() - bad_since});
+  end_unreadable(bytes.size());
   return scan;
 }
 
--- a/src/journal/segment_journal.cpp
+++ b/src/journal/segment_journal.cpp
@@ -1,751 +1,493 @@
 #include "journal/segment_journal.h"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <boost/random/mersenne_twister.hpp>
 #include <cerrno>
-#include <stdexcept>
 #include <utility>
 
-#include "journal/format1_reader.h"
+#include "journal/errors.h"
+#include "journal/journal_recovery.h"
+#include "journal/records.h"
 
 namespace sagetally {
 namespace {
 
-using std::chrono::milliseconds;
-
-constexpr std::uint64_t kBlock = 512;  // as the platform counts
-constexpr std::uint64_t kKiB = 1024;
-constexpr std::uint64_t kLeastSegment = 32 * kKiB, kMostSegmentBytes = 8 * 1024 * kKiB;
-constexpr std::uint64_t kReserveStep = 64 * kKiB;
-constexpr std::uint64_t kStep = 48 * kKiB;   // copied in one turn of compaction
-constexpr std::uint64_t kCopiedPerByte = 4;  // of an append, once the log is three quarters full
-constexpr std::size_t kMostSegments = 48;
-constexpr Duration kBetweenSteps = milliseconds(3);
-constexpr Duration kRetryFirst = milliseconds(100), kRetryMost = milliseconds(3000);
-constexpr char kReserveName[] = "reserve", kLockName[] = "lock", kQuarantine[] = "quarantine-";
-
-std::uint64_t Blocks(std::uint64_t bytes) { return (bytes + kBlock - 1) / kBlock * kBlock; }
-std::uint64_t RoundUp(std::uint64_t bytes, std::uint64_t step) { return (bytes + step - 1) / step * step; }
-
-// An eighth of the budget at most, so that two segments' room for copies leaves enough for what lives.
-std::uint64_t SegmentBytes(const JournalSettings& s) {
-  const std::uint64_t wanted = s.segment_bytes != 0
-                                   ? s.segment_bytes
-                                   : std::clamp(s.disk_budget / 24, kLeastSegment, kMostSegmentBytes);
-  return std::min(wanted, s.disk_budget / 8);
-}
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(3000);
+constexpr char kReserveName[] = "reserve";
+constexpr char kLockName[] = "lock";
 
 }  // namespace
 
-SegmentJournal::SegmentJournal(FileSystem& files, JournalSettings settings, MessageTable& ledger,
+SegmentJournal::SegmentJournal(FileSystem& files, JournalSettings settings, MessageTable& messages,
                                const Clock& clock, Logger& log, JournalHost& host)
     : files_(files),
       settings_(std::move(settings)),
-      segment_bytes_(SegmentBytes(settings_)),
-      messages_(ledger),
+      segment_bytes_(settings_.EffectiveSegmentBytes()),
+      messages_(messages),
       clock_(clock),
       log_(log),
-      host_(host) {
-  const auto check = [&](int error) {
-    if (error != 0) throw std::runtime_error(settings_.folder + ": " + ErrorText(error));
-  };
-  check(files_.MakeFolder(settings_.folder));
-  int error = 0;
-  lock_ = files_.Lock(Path(kLockName), error);
-  if (error == EWOULDBLOCK) {
-    throw std::runtime_error(settings_.folder + ": another process holds this journal (" + kLockName + ")");
-  }
-  check(error);
-  Read();
+      host_(host),
+      segment_log_(files, settings_.folder, clock, settings_.SyncsAnyClass()),
+      reserve_(files, segment_log_.PathOf(kReserveName), settings_.reserve_disk_space),
+      disk_space_(settings_, segment_log_, reserve_),
+      compactor_(segment_log_, index_, disk_space_, clock, counters_, *this),
+      group_commit_(settings_.SyncsAnyClass(), settings_.group_commit_delay) {
+  ThrowOnError(settings_.folder, files_.MakeFolder(settings_.folder));
+  auto lock = files_.Lock(segment_log_.PathOf(kLockName));
+  if (lock.error == EWOULDBLOCK) {
+    throw JournalLockedError(settings_.folder,
+                             std::string("another process holds this journal (") + kLockName + ")");
+  }
+  ThrowOnError(settings_.folder, lock.error);
+  lock_ = std::move(lock.value);
+  Recover();
   host_.BeforeFirstWrite();
-  Begin();
-  messages_.on_message_removed = [this](const Message& message) { Removed(message); };
+  BeginEpoch();
+  messages_.on_message_removed = [this](const Message& message) { OnMessageRemoved(message); };
 }
 
 SegmentJournal::~SegmentJournal() {
   messages_.on_message_removed = nullptr;
-  *alive_ = false;
-}
-
-// What is on record, into the ledger.
-void SegmentJournal::Read() {
-  std::vector<std::pair<std::string, std::string>> pieces;  // names and bytes of what can't be read
-  const std::uint64_t most = std::max(kReserveStep, settings_.disk_budget / 20);
-  std::uint64_t held = 0;
-  int error = 0;
-  const auto there = ReadManifestFile(files_, settings_.folder, error);
-  const bool none = !there && error == ENOENT;
-  const bool old_log =
-      !settings_.format1_path.empty() && files_.Open(settings_.format1_path, FileSystem::Mode::kRead, error);
-  if ((there && there->migrating) || (none && old_log)) {
-    // The process ended while it took over the old log, which is still whole.
-    for (const std::uint64_t number : ListSegments(files_, settings_.folder)) {
-      files_.Remove(Path(SegmentName(number)));
-    }
-    files_.Remove(Path(kManifestName));
-  }
-  RecordApplier applier(messages_);
-  report_ =
-      Replay(files_, settings_.folder, applier,
-             {.on_unreadable = [&](std::uint64_t segment, const UnreadableRange& u, std::string_view bytes) {
-               if (held + bytes.size() > most) return;
-               held += bytes.size();
-               pieces.emplace_back(fmt::format("{}{}-{}", kQuarantine, segment, u.offset), bytes);
-             }});
-  manifest_ = report_.manifest;
-  sequence_ = report_.next_sequence;
-  // Files that the manifest does not name: begun and never used, or dropped and not yet removed.
-  for (const std::string& name : files_.List(settings_.folder, error)) {
-    const auto number = SegmentNumber(name);
-    const bool named = number && *number >= manifest_.oldest && *number <= manifest_.newest;
-    if ((number && !named && !report_.segments.empty()) || name == std::string(kManifestName) + ".new") {
-      files_.Remove(Path(name));
-    } else if (name.starts_with(kQuarantine)) {
-      const auto file = files_.Open(Path(name), FileSystem::Mode::kRead, error);
-      if (file) other_blocks_ += Blocks(file->Size(error));
-    }
+  *is_alive_ = false;
+}
+
+void SegmentJournal::Recover() {
+  RecoveredJournal recovered = RecoverJournal(files_, settings_, messages_, log_);
+  report_ = std::move(recovered.report);
+  segment_log_.Load(report_);
+  disk_space_.AddOtherFiles(recovered.quarantine_disk_bytes);
+  for (const auto& [number, trace] : recovered.traces) {
+    LiveMessage& entry = index_.Insert(number);
+    entry.ordinal = trace.ordinal;
+    entry.last_sequence = trace.last_sequence;
+    entry.segment = trace.segment;
+    segment_log_.AddLiveMessage(trace.segment, number);
+    index_.UpdateSizes(*messages_.Find(number), entry);
+  }
+  replay_note_ = RecoveryNote(report_.records, messages_.pending_count(), report_.unreadable_bytes);
+}
+
+// A new epoch, a new segment, and what recovery concluded goes on record.
+void SegmentJournal::BeginEpoch() {
+  const Format1Report format1 = MigrateFormat1();
+  is_new_ = report_.records == 0 && format1.records == 0;
+  InitializeManifest();
+  reserve_.OpenExisting();
+  StartFirstSegment();
+  RewriteRecoveredMessages(format1);
+  FinishRecovery();
+  if (format1.found) {
+    log_.Info("journal.migrated", {{"from", settings_.format1_path}, {"records", format1.records}});
+  }
+  if (format1.found || report_.is_damaged()) DropDamagedSegments();
+  // Taken over now, or by an earlier process.
+  if (!settings_.format1_path.empty()) files_.Remove(settings_.format1_path);
+  if (!GrowReserve(index_.future_bytes())) OnWriteError(ENOSPC, false);
+  ScheduleTurn();
+}
+
+Format1Report SegmentJournal::MigrateFormat1() {
+  if (!report_.segments.empty() || settings_.format1_path.empty()) return {};
+  const Format1Report format1 = ReadFormat1(files_, settings_.format1_path, messages_);
+  segment_log_.manifest().migrating = format1.found;
+  replay_note_ = RecoveryNote(format1.records, messages_.pending_count(), format1.torn_bytes);
+  return format1;
+}
+
+void SegmentJournal::InitializeManifest() {
+  Manifest& manifest = segment_log_.manifest();
+  if (manifest.salt == 0) {
+    boost::random::mt19937_64 random(settings_.seed ^ static_cast<std::uint64_t>(clock_.Now().count()));
+    manifest.salt = random() | 1;
   }
-  other_blocks_ += 4 * kBlock;  // the manifest, the next one beside it, the lock
-  for (const SegmentReport& s : report_.segments) {
-    if (s.missing) continue;
-    segments_.push_back({s.number, s.bytes, 0, {}, 0});
-    segment_blocks_ += Blocks(s.bytes);
-  }
-  for (const auto& [number, trace] : applier.traces()) {
-    Info& info = infos_[number];
-    info.ordinal = trace.ordinal;
-    info.last = trace.last_sequence;
-    info.segment = trace.segment;
-    const auto at = std::find_if(segments_.begin(), segments_.end(),
-                                 [&](const Segment& s) { return s.number == trace.segment; });
-    at->live += 1;
-    at->based.push_back(number);
-    Count(*messages_.Find(number), info);
-  }
-  if (report_.is_damaged()) {
-    std::uint64_t missing = 0;
-    for (const MissingRecords& m : report_.missing) missing += m.to - m.from;
-    log_.Error("journal.damaged", {{"folder", settings_.folder},
-                                   {"missing_records", missing},
-                                   {"unreadable_bytes", report_.unreadable_bytes},
-                                   {"rejected_records", report_.invalid_records},
-                                   {"manifest_lost", report_.manifest_lost},
-                                   {"messages_lost", report_.lost_messages},
-                                   {"may_have_run", report_.incomplete_histories.size()}});
-    Quarantine(pieces);
-  }
-  note_ = fmt::format("{} records read, {} messages owed", report_.records, messages_.pending_count());
-  if (report_.unreadable_bytes > 0) note_ += fmt::format(", cut off {} torn bytes", report_.unreadable_bytes);
-}
-
-void SegmentJournal::Quarantine(const std::vector<std::pair<std::string, std::string>>& pieces) {
-  for (const auto& [name, bytes] : pieces) {
-    int error = 0;
-    if (files_.Open(Path(name), FileSystem::Mode::kRead, error)) continue;  // from an earlier start
-    const auto file = files_.Open(Path(name), FileSystem::Mode::kCreate, error);
-    if (file) WriteAll(*file, bytes, error);
-    if (error != 0) {
-      log_.Warn("journal.not_quarantined", {{"file", name}, {"why", ErrorText(error)}});
-      continue;
-    }
-    other_blocks_ += Blocks(bytes.size());
-    log_.Warn("journal.quarantined", {{"file", Path(name)}, {"bytes", bytes.size()}});
+  if (!manifest.classes.empty() && manifest.classes != settings_.class_names) {
+    // All messages are written again, with the new numbers.
+    report_.incomplete_histories = RenumberClasses(messages_, manifest.classes, settings_.class_names, log_);
   }
+  manifest.classes = settings_.class_names;
+  manifest.node = settings_.node_name;
+  manifest.epoch += 1;
 }
 
-// A new epoch, a new segment, and what the reading found out goes on record.
-void SegmentJournal::Begin() {
-  Format1Report legacy;
-  if (report_.segments.empty() && !settings_.format1_path.empty()) {
-    legacy = ReadFormat1(files_, settings_.format1_path, messages_);
-    manifest_.migrating = legacy.found;
-    note_ = fmt::format("{} records read, {} messages owed", legacy.records, messages_.pending_count());
-    if (legacy.torn_bytes > 0) note_ += fmt::format(", cut off {} torn bytes", legacy.torn_bytes);
-  }
-  fresh_ = report_.records == 0 && legacy.records == 0;
-  if (manifest_.salt == 0) {
-    boost::random::mt19937_64 random(settings_.seed ^ static_cast<std::uint64_t>(clock_.Now().count()));
-    manifest_.salt = random() | 1;
-  }
-  TakeOverClasses();
-  manifest_.node = settings_.node_name;
-  manifest_.epoch += 1;
-  int error = 0;
-  if (auto file = files_.Open(Path(kReserveName), FileSystem::Mode::kAppend, error)) {
-    reserve_bytes_ = file->Size(error);
-    reserve_ = std::move(file);
-    if (!settings_.reserve_disk_space) {
-      reserve_.reset();
-      if (files_.Remove(Path(kReserveName)) == 0) reserve_bytes_ = 0;
-    }
-  }
-  error = Roll();
-  while (error == ENOSPC && ReleaseReserve(kReserveStep)) error = Roll();
-  if (error != 0) throw std::runtime_error(settings_.folder + ": " + ErrorText(error));
-  std::vector<std::uint64_t> anew = report_.incomplete_histories;
-  const bool all =
-      legacy.found || report_.is_damaged();  // what is damaged goes, once all that lives is copied
-  if (all) {
-    anew.clear();
-    for (const auto& [number, message] : messages_.messages()) anew.push_back(number);
-  }
-  for (const std::uint64_t number : anew) {
-    const Message& m = *messages_.Find(number);
-    Info& info = infos_[number];
-    info.ordinal += 1;
-    const bool needed = legacy.found || std::binary_search(report_.incomplete_histories.begin(),
-                                                           report_.incomplete_histories.end(), number);
-    if (!WriteState(m, info, true) && needed) {
-      throw std::runtime_error(settings_.folder + ": what was read could not be written anew");
-    }
-    Count(m, info);
-  }
-  if (manifest_.unknown_from != 0 || manifest_.migrating) {  // all that it held against is on record by now
-    if (AnySynced() && (error = head_->Sync()) != 0)
-      throw std::runtime_error(settings_.folder + ": " + ErrorText(error));
-    manifest_.unknown_from = 0;
-    manifest_.migrating = false;
-    error = WriteManifest(files_, settings_.folder, manifest_, AnySynced());
-    if (error != 0) throw std::runtime_error(settings_.folder + ": " + ErrorText(error));
-  }
-  if (legacy.found) {
-    log_.Info("journal.migrated", {{"from", settings_.format1_path}, {"records", legacy.records}});
-  }
-  while (all && segments_.size() > 1 && segments_.front().live == 0 && Drop()) {
-  }
-  if (!settings_.format1_path.empty())
-    files_.Remove(settings_.format1_path);  // taken over, now or by an earlier process
-  if (settings_.reserve_disk_space && !GrowReserve(to_come_)) Failed(ENOSPC, false);
-  Schedule();
+void SegmentJournal::StartFirstSegment() {
+  int error = StartSegment();
+  while (error == ENOSPC && ReleaseReserve(DiskReserve::kStepBytes)) error = StartSegment();
+  ThrowOnError(settings_.folder, error);
 }
 
-// Messages carry their class by number; the numbers of this configuration may be others.
-void SegmentJournal::TakeOverClasses() {
-  if (!manifest_.classes.empty() && manifest_.classes != settings_.class_names) {
-    std::vector<std::uint64_t> numbers;
+// Writes the states that recovery changed; after damage or from format 1 all of them, so that the old files
+// can go.
+void SegmentJournal::RewriteRecoveredMessages(const Format1Report& format1) {
+  const std::vector<std::uint64_t>& changed = report_.incomplete_histories;
+  std::vector<std::uint64_t> numbers = changed;
+  if (format1.found || report_.is_damaged()) {
+    numbers.clear();
     for (const auto& [number, message] : messages_.messages()) numbers.push_back(number);
-    for (const std::uint64_t number : numbers) {
-      Message& m = *messages_.Find(number);
-      const auto was = static_cast<std::size_t>(m.request.message_class);
-      const auto at =
-          was < manifest_.classes.size()
-              ? std::find(settings_.class_names.begin(), settings_.class_names.end(), manifest_.classes[was])
-              : settings_.class_names.end();
-      // One that is not configured any more can't be sent: its end is owed.
-      m.request.message_class =
-          at == settings_.class_names.end() ? kNoClass : static_cast<int>(at - settings_.class_names.begin());
-      if (at == settings_.class_names.end() && m.final_status == FinalStatus::kPending) {
-        log_.Warn("journal.class_gone", {{"number", number}, {"id", m.request.id}});
-      }
+  }
+  for (const std::uint64_t number : numbers) {
+    const Message& message = *messages_.Find(number);
+    LiveMessage& entry = index_.Insert(number);
+    entry.ordinal += 1;
+    const bool is_needed = format1.found || std::binary_search(changed.begin(), changed.end(), number);
+    if (!WriteState(message, entry, {.is_copy = true}) && is_needed) {
+      throw JournalError(settings_.folder, "what was read could not be written anew");
     }
-    report_.incomplete_histories = numbers;  // written anew, under the new numbers
+    index_.UpdateSizes(message, entry);
   }
-  manifest_.classes = settings_.class_names;
-}
-
-std::uint64_t SegmentJournal::disk_bytes() const {
-  return segment_blocks_ + other_blocks_ + Blocks(reserve_bytes_);
 }
 
-// Where ordinary records stop; copies may go on for two segments more, so that compaction can always end.
-std::uint64_t SegmentJournal::SoftLimit() const {
-  const std::uint64_t taken = other_blocks_ + Blocks(reserve_bytes_) + 2 * segment_bytes_ + 4 * kBlock;
-  return settings_.disk_budget > taken ? settings_.disk_budget - taken : 0;
+// What was unknown, or in the log of format 1, is on record by now.
+void SegmentJournal::FinishRecovery() {
+  Manifest& manifest = segment_log_.manifest();
+  if (manifest.unknown_from == 0 && !manifest.migrating) return;
+  if (group_commit_.is_enabled()) ThrowOnError(settings_.folder, segment_log_.head_file()->Sync());
+  manifest.unknown_from = 0;
+  manifest.migrating = false;
+  ThrowOnError(settings_.folder, segment_log_.SaveManifest());
 }
 
-Durability SegmentJournal::DurabilityOf(const Message& m) const {
-  const auto at = settings_.class_durability.find(m.request.message_class);
-  return at == settings_.class_durability.end() ? settings_.default_durability : at->second;
-}
-
-bool SegmentJournal::AnySynced() const {
-  return settings_.default_durability == Durability::kSynced ||
-         std::any_of(settings_.class_durability.begin(), settings_.class_durability.end(),
-                     [](const auto& entry) { return entry.second == Durability::kSynced; });
+void SegmentJournal::DropDamagedSegments() {
+  while (segment_log_.segments().size() > 1 && segment_log_.oldest().live_messages == 0) {
+    if (!DropOldestSegment()) return;
+  }
 }
 
-bool SegmentJournal::IsDurable(const Message& m) const {
-  const auto at = infos_.find(m.number);
-  if (at == infos_.end()) return true;
-  if (at->second.dirty || broken_ || fenced_) return false;
-  return DurabilityOf(m) == Durability::kWritten || at->second.last <= synced_;
+bool SegmentJournal::IsDurable(const Message& message) const {
+  const LiveMessage* const entry = index_.Find(message.number);
+  if (entry == nullptr) return true;
+  if (entry->has_unwritten_records || is_broken_ || is_fenced_) return false;
+  return settings_.DurabilityOf(message) == Durability::kWritten ||
+         group_commit_.IsSynced(entry->last_sequence);
 }
 
 bool SegmentJournal::AppendAccepted(std::span<const Message* const> messages) {
-  if (!is_writable() || full_) return false;
-  std::uint64_t live = 0, to_come = 0;
+  if (!is_writable() || is_full_) return false;
+  std::uint64_t live_bytes = index_.live_bytes();
+  std::uint64_t future_bytes = index_.future_bytes();
   std::vector<std::string> states;
-  for (const Message* m : messages) {
-    live += MaxLiveBytes(*m);
-    to_come += MaxFutureRecordBytes(*m);
-    states.push_back(EncodeState(*m, 1));
-  }
-  // All that lives must fit well under the budget, or compaction would copy the same bytes over and over.
-  const std::uint64_t limit = std::min(settings_.disk_budget / 100 * (settings_.reserve_disk_space ? 30 : 45),
-                                       SoftLimit() / 100 * 60);
-  if (live_bytes_ + live > limit) return false;
-  if (settings_.reserve_disk_space && !GrowReserve(to_come_ + to_come)) return Failed(ENOSPC, false);
+  for (const Message* message : messages) {
+    live_bytes += MaxLiveBytes(*message);
+    future_bytes += MaxFutureRecordBytes(*message);
+    states.push_back(EncodeState(*message, 1));
+  }
+  if (live_bytes > disk_space_.live_limit()) return false;
+  if (!GrowReserve(future_bytes)) {
+    OnWriteError(ENOSPC, false);
+    return false;
+  }
   const std::string record = states.size() == 1 ? std::move(states.front()) : EncodeBatch(states);
-  if (record.size() > kMaxRecordBytes || !Write(record, false)) return false;
-  for (const Message* m : messages) {
-    Info& info = infos_[m->number];
-    info.ordinal = 1;
-    Base(m->number, info);
-    Count(*m, info);
-    if (DurabilityOf(*m) == Durability::kSynced) WantSync();
-  }
-  CompactAfter(record.size());
+  if (record.size() > kMaxRecordBytes || !Write(record, {})) return false;
+  for (const Message* message : messages) {
+    LiveMessage& entry = index_.Insert(message->number);
+    entry.ordinal = 1;
+    entry.segment = segment_log_.MoveState(message->number, entry.segment);
+    entry.last_sequence = segment_log_.last_sequence();
+    index_.UpdateSizes(*message, entry);
+    RequestSyncFor(*message);
+  }
+  if (compactor_.OnAppended(record.size())) ScheduleTurn();
   return true;
 }
 
-void SegmentJournal::AppendAttempt(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) { return EncodeAttempt(m, ordinal); });
+void SegmentJournal::AppendAttempt(const Message& message) {
+  AppendEvent(message, [&](std::uint32_t ordinal) { return EncodeAttempt(message, ordinal); });
 }
-void SegmentJournal::AppendOutcome(const Message& m, Outcome outcome) {
-  Record(m, [&](std::uint32_t ordinal) { return EncodeOutcome(m, ordinal, outcome); });
+
+void SegmentJournal::AppendOutcome(const Message& message, Outcome outcome) {
+  AppendEvent(message, [&](std::uint32_t ordinal) { return EncodeOutcome(message, ordinal, outcome); });
 }
-void SegmentJournal::AppendCompletion(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) { return EncodeCompletion(m, ordinal); });
+
+void SegmentJournal::AppendCompletion(const Message& message) {
+  AppendEvent(message, [&](std::uint32_t ordinal) { return EncodeCompletion(message, ordinal); });
 }
-void SegmentJournal::AppendNotified(const Message& m) {
-  Record(m,
-         [&](std::uint32_t ordinal) { return EncodeBareRecord(RecordKind::kNotified, m.number, ordinal); });
+
+void SegmentJournal::AppendNotified(const Message& message) {
+  AppendEvent(message, [&](std::uint32_t ordinal) {
+    return EncodeBareRecord(RecordKind::kNotified, message.number, ordinal);
+  });
 }
-void SegmentJournal::AppendDeadLettered(const Message& m) {
-  Record(m, [&](std::uint32_t ordinal) {
-    return EncodeBareRecord(RecordKind::kDeadLettered, m.number, ordinal);
+
+void SegmentJournal::AppendDeadLettered(const Message& message) {
+  AppendEvent(message, [&](std::uint32_t ordinal) {
+    return EncodeBareRecord(RecordKind::kDeadLettered, message.number, ordinal);
   });
 }
 
-void SegmentJournal::Record(const Message& m, const std::function<std::string(std::uint32_t)>& make) {
-  const auto at = infos_.find(m.number);
-  if (at == infos_.end()) return;  // never taken on
-  Info& info = at->second;
-  info.ordinal += 1;
-  Count(m, info);
-  if (info.dirty) return;  // its whole state will be written
-  const std::string record = make(info.ordinal);
-  if (!Write(record, true)) {
-    info.dirty = true;
-    dirty_.insert(m.number);
+void SegmentJournal::AppendEvent(const Message& message,
+                                 const std::function<std::string(std::uint32_t)>& encode_record) {
+  LiveMessage* const entry = index_.Find(message.number);
+  if (entry == nullptr) return;  // never accepted
+  entry->ordinal += 1;
+  index_.UpdateSizes(message, *entry);
+  if (entry->has_unwritten_records) return;  // its whole state will be written
+  const std::string record = encode_record(entry->ordinal);
+  if (!Write(record, {.is_required = true})) {
+    entry->has_unwritten_records = true;
+    index_.unwritten_messages().insert(message.number);
     return;
   }
-  info.last = sequence_ - 1;
-  if (DurabilityOf(m) == Durability::kSynced) WantSync();
-  CompactAfter(record.size());
+  entry->last_sequence = segment_log_.last_sequence();
+  RequestSyncFor(message);
+  if (compactor_.OnAppended(record.size())) ScheduleTurn();
 }
 
-void SegmentJournal::Count(const Message& m, Info& info) {
-  Uncount(info);
-  info.live = static_cast<std::uint32_t>(MaxLiveBytes(m));
-  info.to_come = static_cast<std::uint32_t>(MaxFutureRecordBytes(m));
-  live_bytes_ += info.live;
-  to_come_ += info.to_come;
+bool SegmentJournal::WriteState(const Message& message, LiveMessage& entry, WriteMode mode) {
+  const std::string record = EncodeState(message, entry.ordinal);
+  if (!Write(record, mode)) return false;
+  if (mode.is_copy) counters_.bytes_copied += kFrameBytes + record.size();
+  entry.segment = segment_log_.MoveState(message.number, entry.segment);
+  entry.last_sequence = segment_log_.last_sequence();
+  RequestSyncFor(message);
+  return true;
 }
 
-void SegmentJournal::Uncount(const Info& info) {
-  live_bytes_ -= info.live;
-  to_come_ -= info.to_come;
+bool SegmentJournal::CopyState(std::uint64_t message_number, LiveMessage& entry) {
+  return WriteState(*messages_.Find(message_number), entry, {.is_copy = true});
 }
 
-// Its state stands in the segment written to last.
-void SegmentJournal::Base(std::uint64_t number, Info& info) {
-  const auto segment = [&](std::uint64_t wanted) {
-    return std::lower_bound(segments_.begin(), segments_.end(), wanted,
-                            [](const Segment& s, std::uint64_t n) { return s.number < n; });
-  };
-  if (info.segment != 0) {
-    const auto old = segment(info.segment);
-    old->live -= 1;
-    old->copied_until = sequence_ - 1;
+void SegmentJournal::OnMessageRemoved(const Message& message) {
+  const LiveMessage* const entry = index_.Find(message.number);
+  if (entry == nullptr) return;
+  segment_log_.RemoveLiveMessage(entry->segment);
+  const std::uint32_t removal_ordinal = entry->ordinal + 1;
+  if (entry->has_unwritten_records) {
+    index_.unwritten_messages().erase(message.number);
+    index_.unwritten_removals()[message.number] = removal_ordinal;
+  } else if (group_commit_.is_enabled() && !group_commit_.IsSynced(entry->last_sequence)) {
+    index_.unsynced_removals().push_back({message.number, removal_ordinal, entry->last_sequence});
   }
-  info.segment = written_in_;
-  info.last = sequence_ - 1;
-  const auto now = segment(written_in_);
-  now->live += 1;
-  now->based.push_back(number);
+  index_.Erase(message.number);
 }
 
-bool SegmentJournal::WriteState(const Message& m, Info& info, bool copy) {
-  const std::string record = EncodeState(m, info.ordinal);
-  if (!Write(record, !copy, copy)) return false;
-  if (copy) counters_.bytes_copied += kFrameBytes + record.size();
-  Base(m.number, info);
-  if (DurabilityOf(m) == Durability::kSynced) WantSync();
-  return true;
+bool SegmentJournal::Write(std::string_view record, WriteMode mode) {
+  if (is_broken_ || is_fenced_ || (is_unwritable_ && !is_retrying_)) return false;
+  const std::uint64_t frame_bytes = kFrameBytes + record.size();
+  const LogSegment& head = segment_log_.segments().back();
+  if (head.bytes + frame_bytes > segment_bytes_ && head.bytes > segment_bytes_ / 2) {
+    StartSegment();  // after an error the present one goes on
+  }
+  if (is_fenced_) return false;
+  int error = AppendRecord(record, mode);
+  while (error == ENOSPC && mode.is_required && ReleaseReserve(frame_bytes)) {
+    error = AppendRecord(record, mode);
+  }
+  // Another file may work where this one fails.
+  if (error != 0 && error != ENOSPC && StartSegment() == 0) {
+    error = segment_log_.Append(record);
+    if (error == 0) counters_.bytes_appended += frame_bytes;
+  }
+  if (error != 0) OnWriteError(error, mode.is_required);
+  return error == 0;
 }
 
-void SegmentJournal::Removed(const Message& m) {
-  const auto at = infos_.find(m.number);
-  if (at == infos_.end()) return;
-  const Info& info = at->second;
-  Uncount(info);
-  const auto segment = std::lower_bound(segments_.begin(), segments_.end(), info.segment,
-                                        [](const Segment& s, std::uint64_t n) { return s.number < n; });
-  segment->live -= 1;
-  if (info.dirty) {
-    dirty_.erase(m.number);
-    tombstones_[m.number] = info.ordinal + 1;
-  } else if (info.last > synced_ && AnySynced()) {
-    recent_.push_back({m.number, info.ordinal + 1, info.last});
-  }
-  infos_.erase(at);
-}
-
-bool SegmentJournal::Write(std::string_view record, bool must, bool copy) {
-  if (broken_ || fenced_ || (unwritable_ && !retrying_)) return false;
-  const std::uint64_t size = kFrameBytes + record.size();
-  const Segment& head = segments_.back();
-  if (head.bytes + size > segment_bytes_ && head.bytes > segment_bytes_ / 2)
-    Roll();  // if it can't, on in this one
-  if (fenced_) return false;
-  int error = MakeRoom(size, copy) ? AppendFrame(record) : ENOSPC;
-  while (error == ENOSPC && must && ReleaseReserve(size)) {
-    error = MakeRoom(size, copy) ? AppendFrame(record) : ENOSPC;
-  }
-  // Another file may do where this one fails.
-  if (error != 0 && error != ENOSPC && Roll() == 0) error = AppendFrame(record);
-  return error == 0 || Failed(error, must);
-}
-
-int SegmentJournal::AppendFrame(std::string_view record) {
-  Segment& head = segments_.back();
-  const std::string frame = EncodeFrame(record, sequence_, manifest_.salt);
-  int error = 0;
-  const std::size_t done = WriteAll(*head_, frame, error);
-  const bool torn = error != 0 && done > 0 && head_->Truncate(head.bytes) != 0;
-  if (error == 0 || torn) {  // a torn frame may stay: the next one repeats its number
-    segment_blocks_ -= Blocks(head.bytes);
-    head.bytes += done;
-    segment_blocks_ += Blocks(head.bytes);
-  }
-  if (error != 0) return error;
-  counters_.bytes_appended += frame.size();
-  written_in_ = head.number;
-  ++sequence_;
-  return 0;
+// Appends within the disk budget. Gives an errno number.
+int SegmentJournal::AppendRecord(std::string_view record, WriteMode mode) {
+  const std::uint64_t frame_bytes = kFrameBytes + record.size();
+  const bool has_space = mode.is_copy ? disk_space_.FitsCopy(frame_bytes) : compactor_.MakeSpace(frame_bytes);
+  if (!has_space) return ENOSPC;
+  const int error = segment_log_.Append(record);
+  if (error == 0) counters_.bytes_appended += frame_bytes;
+  return error;
 }
 
-bool SegmentJournal::Failed(int error, bool must) {
+void SegmentJournal::OnWriteError(int error, bool is_required) {
   ++counters_.failures;
-  if (!full_ && error == ENOSPC)
-    log_.Error("journal.full", {{"folder", settings_.folder}, {"held", messages_.pending_count()}});
-  full_ = full_ || error == ENOSPC;
-  if (must && !unwritable_) {
-    unwritable_ = true;
-    log_.Error("journal.unwritable", {{"folder", settings_.folder}, {"why", ErrorText(error)}});
+  if (error == ENOSPC && !is_full_) {
+    is_full_ = true;
+    log_.Error("journal.full", {{"folder", settings_.folder}, {"pending", messages_.pending_count()}});
   }
-  if (must || error == ENOSPC) {
-    if (retry_due_ == Time::max()) retry_after_ = kRetryFirst, retry_due_ = clock_.Now() + retry_after_;
-    Schedule();
+  if (is_required && !is_unwritable_) {
+    is_unwritable_ = true;
+    log_.Error("journal.unwritable", {{"folder", settings_.folder}, {"error", ErrorText(error)}});
   }
-  return false;
+  if (!is_required && error != ENOSPC) return;
+  if (retry_.due == Time::max()) {
+    retry_.delay = kMinRetryDelay;
+    retry_.due = clock_.Now() + retry_.delay;
+  }
+  ScheduleTurn();
+}
+
+bool SegmentJournal::ReleaseReserve(std::uint64_t size) {
+  if (!reserve_.Release(size)) return false;
+  OnWriteError(ENOSPC, false);  // no new messages until it is whole again
+  return true;
 }
 
-int SegmentJournal::Roll(bool trust_head) {
+int SegmentJournal::StartSegment(bool sync_previous) {
   if (CheckFence()) return EROFS;
-  const bool synced = AnySynced();
-  int error = 0, sync_error = 0;
-  // What stands in the old one must last before a new one says that it goes on from there.
-  if (synced && head_ && trust_head && synced_ + 1 < sequence_) {
-    sync_error = head_->Sync();
-    if (sync_error == 0) synced_ = sequence_ - 1;
-    head_untrusted_ = sync_error != 0;
-  }
-  const std::uint64_t number = segments_.empty() ? manifest_.newest + 1 : segments_.back().number + 1;
-  std::shared_ptr<File> file = files_.Open(Path(SegmentName(number)), FileSystem::Mode::kCreate, error);
-  if (!file) return error;
-  const std::string header = EncodeSegmentHeader(
-      {kJournalFormat, number, manifest_.epoch, sequence_, manifest_.salt, manifest_.node});
-  // On an error the file stays: no manifest names it, and the next try begins it anew.
-  WriteAll(*file, header, error);
-  if (error != 0) return error;
-  if (synced && (error = file->Sync()) != 0) return error;
-  Manifest next = manifest_;
-  next.newest = number;
-  if (segments_.empty()) next.oldest = number;
-  next.written = clock_.CurrentTimestamp();
-  if ((error = WriteManifest(files_, settings_.folder, next, synced)) != 0) return error;
-  manifest_ = std::move(next);
-  segments_.push_back({number, header.size(), 0, {}, 0});
-  segment_blocks_ += Blocks(header.size());
-  head_ = std::move(file);
-  head_untrusted_ = false;
+  int sync_error = 0;
+  // The last segment must be durable before a manifest says that the next one continues it.
+  if (sync_previous && segment_log_.head_file()) {
+    sync_error = group_commit_.SyncNow(*segment_log_.head_file(), segment_log_.last_sequence());
+  }
+  if (const int error = segment_log_.StartSegment(); error != 0) return error;
+  group_commit_.OnFileReplaced();
   ++counters_.segments_started;
-  if (sync_error != 0) SyncFailed(sync_error);
+  if (sync_error != 0) RecoverFromFailedSync(sync_error);
   return 0;
 }
 
 // A manifest of a later epoch: another process has taken over, whatever became of the lock.
 bool SegmentJournal::CheckFence() {
-  if (fenced_ || segments_.empty() || !head_) return fenced_;
-  int error = 0;
-  const auto there = ReadManifestFile(files_, settings_.folder, error);
-  if (!there || there->epoch <= manifest_.epoch) return false;
-  fenced_ = true;
+  if (is_fenced_) return true;
+  const auto later_epoch = segment_log_.FindLaterEpoch();
+  if (!later_epoch) return false;
+  is_fenced_ = true;
   log_.Error("journal.fenced",
-             {{"folder", settings_.folder}, {"epoch", manifest_.epoch}, {"newer", there->epoch}});
+             {{"folder", settings_.folder}, {"epoch", epoch()}, {"later_epoch", *later_epoch}});
   host_.OnFenced();
   return true;
 }
 
 bool SegmentJournal::Reclaim() {
-  int error = 0;
-  const auto there = ReadManifestFile(files_, settings_.folder, error);
-  if (!there || (there->epoch != manifest_.epoch && !GoAbove(*there))) return false;
-  if (reserve_) {  // the other may have given it up
-    reserve_.reset();
-    reserve_bytes_ = 0;
-    if (!GrowReserve(to_come_)) Failed(ENOSPC, false);
-  }
-  return true;
-}
-
-// Enters the segment that another process began its epoch with, and begins one above.
-bool SegmentJournal::GoAbove(const Manifest& there) {
-  if (there.epoch != manifest_.epoch + 1 || there.oldest != manifest_.oldest ||
-      there.newest != manifest_.newest + 1 || there.classes != manifest_.classes) {
+  const auto present = ReadManifestFile(files_, settings_.folder).manifest;
+  if (!present) return false;
+  if (present->epoch != epoch() && !(segment_log_.AdoptSuccessor(*present) && StartSegment() == 0)) {
     return false;
   }
-  int error = 0;
-  const auto begun = files_.Open(Path(SegmentName(there.newest)), FileSystem::Mode::kRead, error);
-  if (!begun) return false;
-  const std::string bytes = ReadAll(*begun, kLeastSegment, error);
-  SegmentHeader header;
-  // A record in it would bear a number that the next of ours bears, too.
-  if (error != 0 || DecodeSegmentHeader(bytes, header) != bytes.size() || header.first != sequence_)
-    return false;
-  manifest_ = there;
-  manifest_.epoch += 1;
-  segments_.push_back({there.newest, bytes.size(), 0, {}, 0});
-  segment_blocks_ += Blocks(bytes.size());
-  return Roll() == 0;
+  if (reserve_.is_open()) {  // the other process may have released it
+    reserve_.Close();
+    if (!GrowReserve(index_.future_bytes())) OnWriteError(ENOSPC, false);
+  }
+  return true;
 }
 
-// The oldest segment, once nothing lives in it.
-bool SegmentJournal::Drop() {
+bool SegmentJournal::DropOldestSegment() {
   if (CheckFence()) return false;
-  const Segment& oldest = segments_.front();
-  if (AnySynced() && oldest.copied_until > synced_) {  // the copies must outlast what they are copied from
-    WantSync();
+  // Copies must survive a loss of power before what they were copied from goes.
+  if (group_commit_.is_enabled() && !group_commit_.IsSynced(segment_log_.oldest().last_copy_sequence)) {
+    RequestSync();
     return false;
   }
-  Manifest next = manifest_;
-  next.oldest = segments_[1].number;
-  int error = WriteManifest(files_, settings_.folder, next, AnySynced());
-  // With no room for a manifest the file goes first: a missing oldest one is no damage.
-  if (error != 0 && error != ENOSPC) return false;
-  const int removed = files_.Remove(Path(SegmentName(oldest.number)));
-  if (removed != 0 && removed != ENOENT) return false;
-  if (error == 0) manifest_ = std::move(next);
-  segment_blocks_ -= Blocks(oldest.bytes);
-  segments_.pop_front();
+  if (!segment_log_.DropOldest()) return false;
   ++counters_.segments_dropped;
   return true;
 }
 
-bool SegmentJournal::Wanted() const {
-  return segment_blocks_ > SoftLimit() / 2 || segments_.size() > kMostSegments;
+void SegmentJournal::RequestSync() {
+  if (group_commit_.Request(clock_.Now())) ScheduleTurn();
 }
 
-// Copies up to about `most` bytes forward and drops what holds nothing any more. False: nothing could be
-// done.
-bool SegmentJournal::CompactSome(std::uint64_t most) {
-  if (compacting_) return false;
-  compacting_ = true;
-  const Time begun = clock_.Now();
-  bool moved = false;
-  while (segments_.size() > 1 && !fenced_) {
-    Segment& oldest = segments_.front();
-    if (oldest.live == 0) {
-      if (!Drop()) break;
-      moved = true;
-      continue;
-    }
-    if (most == 0 || !Wanted()) break;
-    const std::uint64_t number = oldest.based.back();
-    const auto info = infos_.find(number);
-    if (info == infos_.end() || info->second.segment != oldest.number) {  // it has gone, or moved
-      oldest.based.pop_back();
-      continue;
-    }
-    const std::uint64_t before = counters_.bytes_copied;
-    if (!WriteState(*messages_.Find(number), info->second, true)) break;
-    most -= std::min(most, counters_.bytes_copied - before);
-    moved = true;
-  }
-  compacting_ = false;
-  counters_.longest_step = std::max(counters_.longest_step, clock_.Now() - begun);
-  return moved;
+void SegmentJournal::RequestSyncFor(const Message& message) {
+  if (settings_.DurabilityOf(message) == Durability::kSynced) RequestSync();
 }
 
-// Ordinary records go up to the soft limit; compaction makes room below it at once, if it must.
-bool SegmentJournal::MakeRoom(std::uint64_t size, bool copy) {
-  const std::uint64_t room = Blocks(size) + kBlock;
-  if (copy) return disk_bytes() + room <= settings_.disk_budget;
-  // Once round at most: a second time it would copy the same bytes again.
-  const std::uint64_t enough = counters_.bytes_copied + segment_blocks_;
-  while (segment_blocks_ + room > SoftLimit()) {
-    if (counters_.bytes_copied > enough || !CompactSome(kStep)) return segment_blocks_ + room <= SoftLimit();
+void SegmentJournal::StartSync() {
+  if (is_broken_) return group_commit_.CancelRequest();
+  switch (group_commit_.Begin(segment_log_.last_sequence())) {
+    case GroupCommit::Start::kNothingToDo:
+      return;
+    case GroupCommit::Start::kAllSynced:
+      return host_.OnProgress();
+    case GroupCommit::Start::kUntrusted:
+      RecoverFromFailedSync(EIO);
+      return host_.OnProgress();
+    case GroupCommit::Start::kStarted:
+      break;
   }
-  return true;
+  ++counters_.syncs;
+  host_.SyncInBackground(segment_log_.head_file(),
+                         [this, sequence = segment_log_.last_sequence(), is_alive = is_alive_](int error) {
+                           if (*is_alive) OnSyncCompleted(sequence, error);
+                         });
+}
+
+void SegmentJournal::OnSyncCompleted(std::uint64_t sequence, int error) {
+  const bool is_synced = group_commit_.Complete(sequence, error);
+  if (is_broken_ || is_fenced_) return;
+  if (!is_synced) RecoverFromFailedSync(error);
+  auto& removals = index_.unsynced_removals();
+  while (!removals.empty() && group_commit_.IsSynced(removals.front().last_sequence)) removals.pop_front();
+  if (!group_commit_.IsSynced(segment_log_.last_sequence())) RequestSync();
+  host_.OnProgress();
 }
 
-void SegmentJournal::CompactAfter(std::uint64_t appended) {
-  if (segments_.size() < 2) return;
-  if (segment_blocks_ > SoftLimit() / 4 * 3) CompactSome(appended * kCopiedPerByte);
-  if (compact_due_ == Time::max() && (Wanted() || segments_.front().live == 0)) {
-    compact_due_ = clock_.Now() + kBetweenSteps;
-    Schedule();
+// The file isn't trusted any more, and not synced a second time: a second sync may succeed although the
+// kernel has dropped what it could not write. What the file may lack is written to a new one.
+void SegmentJournal::RecoverFromFailedSync(int error) {
+  log_.Error("journal.sync_failed",
+             {{"file", SegmentName(segment_log_.segments().back().number)}, {"error", ErrorText(error)}});
+  ++counters_.failures;
+  if (RewriteUnsynced() && segment_log_.head_file()->Sync() == 0) {
+    group_commit_.SetSynced(segment_log_.last_sequence());
+    index_.unsynced_removals().clear();
+    return;
   }
+  is_broken_ = true;
+  log_.Error("journal.broken", {{"folder", settings_.folder}, {"pending", messages_.pending_count()}});
 }
 
-bool SegmentJournal::GrowReserve(std::uint64_t need) {
-  if (need <= reserve_bytes_) return true;
-  const std::uint64_t size = RoundUp(need, kReserveStep);
-  if (disk_bytes() - Blocks(reserve_bytes_) + size > settings_.disk_budget) return false;
-  int error = 0;
-  if (!reserve_) reserve_ = files_.Open(Path(kReserveName), FileSystem::Mode::kCreate, error);
-  if (reserve_) error = reserve_->Allocate(size);
-  if (error != 0) return false;
-  reserve_bytes_ = size;
-  return true;
-}
-
-bool SegmentJournal::ReleaseReserve(std::uint64_t size) {
-  if (!reserve_ || reserve_bytes_ == 0) return false;
-  const std::uint64_t freed = std::min(reserve_bytes_, RoundUp(size, kReserveStep));
-  if (reserve_->Truncate(reserve_bytes_ - freed) != 0) return false;
-  reserve_bytes_ -= freed;
-  Failed(ENOSPC, false);  // no new messages until it is whole again
+bool SegmentJournal::RewriteUnsynced() {
+  const std::uint64_t synced_sequence = group_commit_.synced_sequence();
+  if (StartSegment(false) != 0) return false;
+  for (const std::uint64_t number : index_.WrittenAfter(synced_sequence)) {
+    if (!WriteState(*messages_.Find(number), *index_.Find(number), {.is_copy = true})) return false;
+  }
+  for (const RemovedMessage& removed : index_.unsynced_removals()) {
+    const std::string record = EncodeBareRecord(RecordKind::kRemoved, removed.number, removed.ordinal);
+    if (!Write(record, {.is_required = true, .is_copy = true})) return false;
+  }
   return true;
 }
 
-void SegmentJournal::ShrinkReserve() {
-  const std::uint64_t wanted = RoundUp(to_come_, kReserveStep) + kReserveStep;
-  if (!reserve_ || reserve_bytes_ <= 2 * wanted) return;
-  if (reserve_->Truncate(wanted) == 0) reserve_bytes_ = wanted;
-}
-
-void SegmentJournal::WantSync() {
-  if (sync_out_ || sync_due_ != Time::max()) return;
-  sync_due_ = clock_.Now() + settings_.group_commit_delay;
-  Schedule();
-}
-
-void SegmentJournal::StartSync() {
-  sync_due_ = Time::max();
-  if (sync_out_ || broken_ || fenced_) return;
-  if (synced_ + 1 >= sequence_) return host_.OnProgress();  // a roll has synced it all
-  if (head_untrusted_) {
-    SyncFailed(EIO);
-    return host_.OnProgress();
-  }
-  sync_out_ = true;
-  ++counters_.syncs;
-  host_.SyncInBackground(head_, [this, until = sequence_ - 1, alive = alive_](int error) {
-    if (*alive) Synced(until, error);
-  });
-}
-
-void SegmentJournal::Synced(std::uint64_t until, int error) {
-  sync_out_ = false;
-  if (broken_ || fenced_) return;
-  if (until <= synced_) {  // a roll has synced that file itself
-    error = 0;
-  } else if (error == 0) {
-    synced_ = until;
-  } else {
-    SyncFailed(error);
+// Writes the states of messages with unwritten records, and the removals of those that are gone.
+bool SegmentJournal::WriteUnwrittenRecords() {
+  auto& unwritten = index_.unwritten_messages();
+  while (!unwritten.empty()) {
+    const std::uint64_t number = *unwritten.begin();
+    LiveMessage& entry = *index_.Find(number);
+    if (!WriteState(*messages_.Find(number), entry, {.is_required = true})) return false;
+    entry.has_unwritten_records = false;
+    unwritten.erase(number);
   }
-  while (!recent_.empty() && recent_.front().sequence <= synced_) recent_.pop_front();
-  if (synced_ + 1 < sequence_) WantSync();
-  host_.OnProgress();
+  auto& removals = index_.unwritten_removals();
+  while (!removals.empty()) {
+    const auto [number, ordinal] = *removals.begin();
+    if (!Write(EncodeBareRecord(RecordKind::kRemoved, number, ordinal), {.is_required = true})) return false;
+    removals.erase(number);
+  }
+  return true;
 }
 
-// The file is not trusted any more, and not synced a second time. What it may not hold is written to a new
-// one.
-void SegmentJournal::SyncFailed(int error) {
-  log_.Error("journal.sync_failed",
-             {{"file", SegmentName(segments_.back().number)}, {"why", ErrorText(error)}});
-  ++counters_.failures;
-  const std::uint64_t held = synced_;
-  bool whole = Roll(false) == 0;
-  std::vector<std::uint64_t> anew;
-  for (const auto& [number, info] : infos_) {
-    if (info.last > held) anew.push_back(number);
-  }
-  std::sort(anew.begin(), anew.end());
-  for (const std::uint64_t number : anew) {
-    whole = whole && WriteState(*messages_.Find(number), infos_.at(number), true);
-  }
-  for (const Gone& gone : recent_) {
-    whole = whole && Write(EncodeBareRecord(RecordKind::kRemoved, gone.number, gone.ordinal), true, true);
-  }
-  if (whole && head_->Sync() == 0) {
-    synced_ = sequence_ - 1;
-    recent_.clear();
-    return;
-  }
-  broken_ = true;
-  log_.Error("journal.broken", {{"folder", settings_.folder}, {"held", messages_.pending_count()}});
-}
-
-// What could not be written, once more: whole states, and ends of what is forgotten.
-void SegmentJournal::TryAgain() {
-  retry_due_ = Time::max();
-  if (broken_ || fenced_) return;
-  retrying_ = true;
-  bool whole = true;
-  for (auto at = dirty_.begin(); whole && at != dirty_.end();) {
-    Info& info = infos_.at(*at);
-    whole = WriteState(*messages_.Find(*at), info, false);
-    if (!whole) break;
-    info.dirty = false;
-    at = dirty_.erase(at);
-  }
-  while (whole && !tombstones_.empty()) {
-    const auto [number, ordinal] = *tombstones_.begin();
-    whole = Write(EncodeBareRecord(RecordKind::kRemoved, number, ordinal), true);
-    if (whole) tombstones_.erase(tombstones_.begin());
-  }
-  retrying_ = false;
-  const bool was_unwritable = unwritable_;
-  if (whole && unwritable_) {
-    unwritable_ = false;
+void SegmentJournal::RetryUnwritten() {
+  retry_.due = Time::max();
+  if (is_broken_ || is_fenced_) return;
+  is_retrying_ = true;
+  const bool is_written = WriteUnwrittenRecords();
+  is_retrying_ = false;
+  const bool becomes_writable = is_written && is_unwritable_;
+  if (becomes_writable) {
+    is_unwritable_ = false;
     log_.Info("journal.writable", {{"folder", settings_.folder}});
   }
-  if (whole && full_ && (!settings_.reserve_disk_space || GrowReserve(to_come_))) {
-    full_ = false;
-    log_.Info("journal.room", {{"disk_bytes", disk_bytes()}});
+  if (is_written && is_full_ && GrowReserve(index_.future_bytes())) {
+    is_full_ = false;
+    log_.Info("journal.space_available", {{"disk_bytes", disk_bytes()}});
   }
-  if (!whole || full_) {
-    retry_after_ = std::min(kRetryMost, std::max(kRetryFirst, retry_after_ * 2));
-    retry_due_ = clock_.Now() + retry_after_;
+  if (!is_written || is_full_) {
+    retry_.delay = std::clamp(retry_.delay * 2, kMinRetryDelay, kMaxRetryDelay);
+    retry_.due = clock_.Now() + retry_.delay;
   }
-  if (was_unwritable && !unwritable_) host_.OnProgress();
+  if (becomes_writable) host_.OnProgress();
 }
 
 void SegmentJournal::RunDueWork() {
-  if (fenced_) return;
+  if (is_fenced_) return;
   const Time now = clock_.Now();
-  if (sync_due_ <= now) StartSync();
-  if (retry_due_ <= now) TryAgain();
-  if (compact_due_ <= now) {
-    compact_due_ = Time::max();
-    const bool moved = CompactSome(kStep);
-    ShrinkReserve();
-    if (moved && segments_.size() > 1 && (Wanted() || segments_.front().live == 0)) {
-      compact_due_ = now + kBetweenSteps;
-    }
+  if (group_commit_.due() <= now) StartSync();
+  if (retry_.due <= now) RetryUnwritten();
+  if (compactor_.due() <= now) {
+    const bool has_changed = compactor_.RunStep();
+    reserve_.Shrink(index_.future_bytes());  // which leaves more space for segments
+    if (has_changed) compactor_.ScheduleNextStep(now);
   }
-  Schedule();
+  ScheduleTurn();
 }
 
-void SegmentJournal::Schedule() {
-  const Time due = std::min({compact_due_, sync_due_, retry_due_});
+void SegmentJournal::ScheduleTurn() {
+  const Time due = std::min({compactor_.due(), group_commit_.due(), retry_.due});
   if (due != Time::max()) host_.ScheduleTurn(std::max(Duration(0), due - clock_.Now()));
 }
 
--- a/src/journal/segment_journal.h
+++ b/src/journal/segment_journal.h
@@ -1,67 +1,60 @@
-// The journal: segments of records under a manifest, compacted in small steps while traffic flows. What was
-// taken on always finds room for its attempts, outcomes and end; what would not is refused.
-// docs/design/journal.md.
+// The journal: segments of records under a manifest, compacted in small steps while messages are handled.
+// Space for the attempts, outcomes and completion of an accepted message is always left; a message that would
+// not fit is rejected. docs/design/journal.md has the reasons. Used from the event loop's thread only.
 #ifndef SAGETALLY_SRC_JOURNAL_SEGMENT_JOURNAL_H_
 #define SAGETALLY_SRC_JOURNAL_SEGMENT_JOURNAL_H_
 
 #include <cstdint>
-#include <deque>
 #include <functional>
-#include <map>
 #include <memory>
-#include <set>
+#include <span>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
 #include "core/message_table.h"
 #include "core/ports.h"
+#include "journal/disk_reserve.h"
+#include "journal/disk_space.h"
 #include "journal/file_system/file_system.h"
-#include "journal/manifest.h"
+#include "journal/format1_reader.h"
+#include "journal/group_commit.h"
+#include "journal/journal_settings.h"
+#include "journal/live_message_index.h"
 #include "journal/replay.h"
+#include "journal/segment_compactor.h"
+#include "journal/segment_log.h"
 #include "logging/logger.h"
 #include "time/clock.h"
 
 namespace sagetally {
 
-enum class Durability {
-  kWritten,  // outlasts the process
-  kSynced    // outlasts the machine's power: answers, calls and notices wait for it
-};
-
-struct JournalSettings {
-  std::string folder;        // the journal's own; made if it isn't there
-  std::string format1_path;  // a log of format 1 to take over; need not exist
-  std::string node_name;
-  std::uint64_t disk_budget = 3'000'000;       // bytes of all its files, each counted in whole 512 bytes
-  std::uint64_t segment_bytes = 0;             // 0: a twenty-fourth of the budget, from 32 KiB to 8 MiB
-  std::vector<std::string> class_names;        // names, by number
-  std::map<int, Durability> class_durability;  // of classes that differ
-  Durability default_durability = Durability::kWritten;
-  Duration group_commit_delay =
-      std::chrono::milliseconds(2);  // longest that a group commit waits for company
-  bool reserve_disk_space = false;   // holds blocks of the disk for the records to come
-  std::uint64_t seed = 1;
-};
-
-class JournalHost {  // the loop that the journal runs in
+// What the journal needs of the event loop.
+class JournalHost {
  public:
   virtual ~JournalHost() = default;
-  virtual void ScheduleTurn(Duration d) = 0;  // call Turn; one at a time, a new one replaces the last
-  virtual void OnProgress() = 0;  // what was not Safe may be so now; not from within a call of the journal
-  // Syncs the file away from the loop and calls back on it, later.
+  // Calls RunDueWork after `delay`. There is one such timer: a new call replaces the last.
+  virtual void ScheduleTurn(Duration delay) = 0;
+  // Messages that were not durable may be so now. Called from within a call of the journal, so the host must
+  // look later.
+  virtual void OnProgress() = 0;
+  // Syncs the file on another thread and calls `done` on the loop's thread, later.
   virtual void SyncInBackground(std::shared_ptr<File> file, std::function<void(int error)> done) = 0;
-  // All has been read and nothing written. May throw: the journal is given back to whom it was taken from.
+  // All has been read and nothing written. May throw: the journal then stays with the process that passed it
+  // on.
   virtual void BeforeFirstWrite() {}
-  virtual void OnFenced() = 0;  // a newer process has the journal: this one must end, saying nothing more
+  // A newer process has the journal: this one must end, and send nothing more.
+  virtual void OnFenced() = 0;
 };
 
-class SegmentJournal : public Journal {
+class SegmentJournal : public Journal, private SegmentCompactor::Actions {
  public:
-  // Reads what the folder holds into `ledger`, which tells it of messages that go. Throws std::runtime_error
-  // naming folder or file: held by another process, read-only, of a newer format, no room to begin.
-  SegmentJournal(FileSystem& files, JournalSettings settings, MessageTable& ledger, const Clock& clock,
+  using Counters = JournalCounters;
+
+  // Reads what the folder holds into `messages` and begins a new epoch. Keeps references to all arguments but
+  // `settings`, and sets messages.on_message_removed. Throws JournalError: locked by another process,
+  // read-only, of a newer format, no space to begin.
+  SegmentJournal(FileSystem& files, JournalSettings settings, MessageTable& messages, const Clock& clock,
                  Logger& log, JournalHost& host);
   ~SegmentJournal() override;
   SegmentJournal(const SegmentJournal&) = delete;
@@ -75,92 +68,87 @@
   void AppendDeadLettered(const Message& message) override;
   bool IsDurable(const Message& message) const override;
 
-  // Another process goes on with it: nothing is written any more.
-  void Retire() { fenced_ = true; }
-  // One that was to go on with it has died. True: all is as it was, in an epoch above any that it began.
-  // False: it wrote more than the beginning of an epoch, or there is no room for another.
+  // Another process continues with the journal: this one writes nothing any more.
+  void Retire() { is_fenced_ = true; }
+  // The process that was to continue with it has died. Returns true if all is as it was, in an epoch above
+  // any that it began; false if it did more than to begin its epoch, or there is no space for another one.
   bool Reclaim();
+  // By which another process may hold the lock.
   int lock_descriptor() const { return lock_->descriptor(); }
-  bool has_unwritten_records() const {
-    return !dirty_.empty() || !tombstones_.empty();
-  }  // records could not be written
+  // Whether records could not be written, and wait.
+  bool has_unwritten_records() const { return index_.has_unwritten_records(); }
 
-  void RunDueWork();  // steps that are due: compaction, group commit, trying again after an error
+  // Does what is due: compaction, group commit, retries after an error. Called when JournalHost::ScheduleTurn
+  // says.
+  void RunDueWork();
 
-  struct Counters {
-    std::uint64_t bytes_appended = 0, bytes_copied = 0;  // bytes, frames included
-    std::uint64_t segments_started = 0, segments_dropped = 0, syncs = 0, failures = 0;
-    Duration longest_step{0};  // of compaction
-  };
   const Counters& counters() const { return counters_; }
+  // Of the replay at start.
   const ReplayReport& report() const { return report_; }
-  bool is_new() const { return fresh_; }                    // nothing was on record
-  const std::string& replay_note() const { return note_; }  // of the reading, for the log
-  std::uint64_t disk_bytes() const;                         // as the budget counts them
-  std::uint64_t live_bytes() const { return live_bytes_; }
-  std::uint64_t segments() const { return segments_.size(); }
-  std::uint64_t epoch() const { return manifest_.epoch; }
-  bool is_full() const { return full_; }
-  bool is_writable() const { return !unwritable_ && !broken_ && !fenced_; }
+  // Whether nothing was on record at start.
+  bool is_new() const { return is_new_; }
+  // What the start read, for the log.
+  const std::string& replay_note() const { return replay_note_; }
+  // Disk space of all files, as the budget counts it.
+  std::uint64_t disk_bytes() const { return disk_space_.used(); }
+  std::uint64_t live_bytes() const { return index_.live_bytes(); }
+  std::uint64_t segments() const { return segment_log_.segments().size(); }
+  std::uint64_t epoch() const { return segment_log_.manifest().epoch; }
+  // Whether new messages are rejected until there is space on the disk.
+  bool is_full() const { return is_full_; }
+  bool is_writable() const { return !is_unwritable_ && !is_broken_ && !is_fenced_; }
 
  private:
-  struct Segment {
-    std::uint64_t number = 0, bytes = 0, live = 0;
-    std::vector<std::uint64_t> based;  // messages whose state was written here, some since copied forward
-    std::uint64_t copied_until = 0;    // sequence number of the last copy made of them
-  };
-  struct Info {                 // of one live message
-    std::uint64_t segment = 0;  // that holds its state
-    std::uint64_t last = 0;     // sequence number of its latest record
-    std::uint32_t ordinal = 0;
-    std::uint32_t live = 0, to_come = 0;  // bytes
-    bool dirty = false;                   // its latest records could not be written
+  // How a record is written.
+  struct WriteMode {
+    bool is_required = false;  // uses up the reserve; a failure makes the journal unwritable
+    bool is_copy = false;      // may take the space that is left for compaction
   };
-  struct Gone {
-    std::uint64_t number = 0;
-    std::uint32_t ordinal = 0;
-    std::uint64_t sequence = 0;
+  // When to retry what could not be written.
+  struct RetryTimer {
+    Time due = Time::max();
+    Duration delay{0};
   };
 
-  void Read();
-  void Begin();
-  void TakeOverClasses();
-  void Quarantine(const std::vector<std::pair<std::string, std::string>>& pieces);
-
-  void Record(const Message& message, const std::function<std::string(std::uint32_t ordinal)>& record);
-  bool Write(std::string_view record, bool must, bool copy = false);
-  int AppendFrame(std::string_view record);
-  bool Failed(int error, bool must);
-  bool WriteState(const Message& message, Info& info, bool copy);
-  void Base(std::uint64_t number, Info& info);
-  void Count(const Message& message, Info& info);
-  void Uncount(const Info& info);
-  void Removed(const Message& message);
-
-  int Roll(bool trust_head = true);
-  bool Drop();
-  bool CompactSome(std::uint64_t most);
-  void CompactAfter(std::uint64_t appended);
-  bool Wanted() const;
-  bool MakeRoom(std::uint64_t size, bool copy);
-  bool CheckFence();
-  bool GoAbove(const Manifest& there);
-
-  bool GrowReserve(std::uint64_t need);
+  // Opening.
+  void Recover();
+  void BeginEpoch();
+  Format1Report MigrateFormat1();
+  void InitializeManifest();
+  void StartFirstSegment();
+  void RewriteRecoveredMessages(const Format1Report& format1);
+  void FinishRecovery();
+  void DropDamagedSegments();
+
+  // Appending.
+  void AppendEvent(const Message& message,
+                   const std::function<std::string(std::uint32_t ordinal)>& encode_record);
+  bool WriteState(const Message& message, LiveMessage& entry, WriteMode mode);
+  bool Write(std::string_view record, WriteMode mode);
+  int AppendRecord(std::string_view record, WriteMode mode);
+  void OnWriteError(int error, bool is_required);
   bool ReleaseReserve(std::uint64_t size);
-  void ShrinkReserve();
+  bool GrowReserve(std::uint64_t bytes) { return reserve_.Grow(bytes, disk_space_.reserve_limit()); }
+  void OnMessageRemoved(const Message& message);
+  bool CopyState(std::uint64_t message_number, LiveMessage& entry) override;
+  bool DropOldestSegment() override;
+
+  // Begins a new segment. `sync_previous`: the last one is synced first. Gives an errno number.
+  int StartSegment(bool sync_previous = true);
+  bool CheckFence();
 
-  bool AnySynced() const;
-  Durability DurabilityOf(const Message& message) const;
-  void WantSync();
+  // Syncing.
+  void RequestSync();
+  void RequestSyncFor(const Message& message);
   void StartSync();
-  void Synced(std::uint64_t until, int error);
-  void SyncFailed(int error);
+  void OnSyncCompleted(std::uint64_t sequence, int error);
+  void RecoverFromFailedSync(int error);
+  bool RewriteUnsynced();
 
-  void TryAgain();
-  void Schedule();
-  std::string Path(std::string_view name) const { return settings_.folder + "/" + std::string(name); }
-  std::uint64_t SoftLimit() const;
+  // Retries.
+  void RetryUnwritten();
+  bool WriteUnwrittenRecords();
+  void ScheduleTurn();
 
   FileSystem& files_;
   const JournalSettings settings_;
@@ -170,31 +158,24 @@
   Logger& log_;
   JournalHost& host_;
   std::unique_ptr<FileLock> lock_;
-  Manifest manifest_;
-  ReplayReport report_;
-  std::deque<Segment> segments_;  // oldest first; the last one is written to
-  std::shared_ptr<File> head_;
-  std::unordered_map<std::uint64_t, Info> infos_;
-  std::set<std::uint64_t> dirty_;
-  std::map<std::uint64_t, std::uint32_t> tombstones_;  // gone while dirty: number, ordinal
-  std::deque<Gone> recent_;                            // gone by records that are not synced yet
-  std::uint64_t sequence_ = 1;                         // of the next record
-  std::uint64_t written_in_ = 0;                       // segment of the last record
-  std::uint64_t synced_ = 0;                           // records up to here outlast the machine's power
-  std::uint64_t live_bytes_ = 0, to_come_ = 0;
-  std::uint64_t segment_blocks_ = 0;  // bytes of all segments, in whole blocks
-  std::uint64_t other_blocks_ = 0;    // manifest, lock, quarantine
-  std::unique_ptr<File> reserve_;
-  std::uint64_t reserve_bytes_ = 0;
+  SegmentLog segment_log_;
+  LiveMessageIndex index_;
+  DiskReserve reserve_;
+  DiskSpace disk_space_;
   Counters counters_;
-  std::string note_;
-  bool fresh_ = false, compacting_ = false, retrying_ = false;
-  bool full_ = false, unwritable_ = false, broken_ = false, fenced_ = false;
-  bool sync_out_ = false;
-  bool head_untrusted_ = false;  // a sync of it failed
-  Time compact_due_ = Time::max(), sync_due_ = Time::max(), retry_due_ = Time::max();
-  Duration retry_after_{0};
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // a sync may come back after it is gone
+  SegmentCompactor compactor_;
+  GroupCommit group_commit_;
+  RetryTimer retry_;
+  ReplayReport report_;
+  std::string replay_note_;
+  bool is_new_ = false;
+  bool is_full_ = false;        // no new messages until there is space
+  bool is_unwritable_ = false;  // a required record could not be written
+  bool is_retrying_ = false;
+  bool is_broken_ = false;  // what was not synced could not be written to another file
+  bool is_fenced_ = false;  // another process has the journal
+  // False once the journal is gone; a sync may complete after that.
+  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace sagetally
--- a/src/journal/snapshot.cpp
+++ b/src/journal/snapshot.cpp
@@ -3,141 +3,168 @@
 #include <algorithm>
 #include <cerrno>
 #include <memory>
-#include <stdexcept>
+#include <optional>
 #include <utility>
 #include <vector>
 
+#include "journal/errors.h"
+
 namespace sagetally {
 namespace {
 
-constexpr int kTries = 100;  // a node drops a segment every second or so
-constexpr std::size_t kChunk = 1 << 20;
-
-[[noreturn]] void Raise(const std::string& path, int error) {
-  throw std::runtime_error(path + ": " + ErrorText(error));
-}
+constexpr int kMaxTries = 100;  // a node drops a segment every second or so
+constexpr std::size_t kChunkBytes = 1 << 20;
 
 struct OpenSegment {
-  std::uint64_t number = 0, size = 0;
+  std::uint64_t number = 0;
+  std::uint64_t size = 0;
   std::unique_ptr<File> file;
 };
 
-// All segments that a manifest names, open; it is read again while they change.
-std::vector<OpenSegment> OpenAll(FileSystem& files, const std::string& folder, Manifest& manifest) {
-  int error = 0;
-  for (int tries = 0; tries < kTries; ++tries) {
-    const auto read = ReadManifestFile(files, folder, error);
-    if (!read) {
-      throw std::runtime_error(folder + ": expected a journal, found " +
-                               (error == ENOENT ? "no MANIFEST" : "a MANIFEST that can't be read"));
-    }
-    manifest = *read;
-    std::vector<OpenSegment> all;
-    for (std::uint64_t number = manifest.oldest; number <= manifest.newest; ++number) {
-      OpenSegment segment;
-      segment.number = number;
-      segment.file = files.Open(folder + "/" + SegmentName(number), FileSystem::Mode::kRead, error);
-      if (!segment.file) break;
-      segment.size = segment.file->Size(error);
-      if (error != 0) break;
-      all.push_back(std::move(segment));
+struct OpenJournal {
+  Manifest manifest;
+  std::vector<OpenSegment> segments;
+};
+
+IoResult<OpenSegment> TryOpenSegment(FileSystem& files, const std::string& folder, std::uint64_t number) {
+  auto opened = files.Open(folder + "/" + SegmentName(number), FileSystem::Mode::kRead);
+  if (!opened.ok()) return {{}, opened.error};
+  const auto size = opened.value->Size();
+  return {{number, size.value, std::move(opened.value)}, size.error};
+}
+
+IoResult<std::vector<OpenSegment>> TryOpenSegments(FileSystem& files, const std::string& folder,
+                                                   const Manifest& manifest) {
+  std::vector<OpenSegment> segments;
+  for (std::uint64_t number = manifest.oldest; number <= manifest.newest; ++number) {
+    auto opened = TryOpenSegment(files, folder, number);
+    if (!opened.ok()) return {{}, opened.error};
+    segments.push_back(std::move(opened.value));
+  }
+  return {std::move(segments), 0};
+}
+
+// Opens all segments that the manifest names; reads it again while they change.
+OpenJournal OpenJournalFiles(FileSystem& files, const std::string& folder) {
+  for (int tries = 0; tries < kMaxTries; ++tries) {
+    const ManifestFile read = ReadManifestFile(files, folder);
+    if (!read.manifest) {
+      throw JournalMissingError(folder,
+                                std::string("expected a journal, found ") +
+                                    (read.error == ENOENT ? "no MANIFEST" : "a MANIFEST that can't be read"));
     }
-    if (error == 0) return all;
-    if (error != ENOENT) Raise(folder, error);
+    auto segments = TryOpenSegments(files, folder, *read.manifest);
+    if (segments.ok()) return {*read.manifest, std::move(segments.value)};
+    if (segments.error != ENOENT) throw JournalIoError(folder, segments.error);
   }
-  throw std::runtime_error(folder + ": a segment is missing");
+  throw JournalMissingError(folder, "a segment is missing");
 }
 
-// The segments' bytes under numbers from `first` on.
-std::uint64_t CopyAll(FileSystem& files, const std::vector<OpenSegment>& all, const std::string& to,
-                      std::uint64_t first) {
+void CopySegment(FileSystem& files, const OpenSegment& segment, const std::string& path) {
+  const auto opened = files.Open(path, FileSystem::Mode::kCreate);
+  ThrowOnError(path, opened.error);
+  std::string chunk;
+  std::uint64_t offset = 0;
+  while (offset < segment.size) {
+    chunk.resize(std::min<std::uint64_t>(kChunkBytes, segment.size - offset));
+    const auto [count, error] = segment.file->ReadAt(offset, chunk.data(), chunk.size());
+    if (error == EINTR) continue;
+    ThrowOnError(path, error);
+    if (count == 0) throw JournalIoError(path, EIO);
+    ThrowOnError(path, WriteAll(*opened.value, std::string_view(chunk).substr(0, count)).error);
+    offset += count;
+  }
+  ThrowOnError(path, opened.value->Sync());
+}
+
+// Copies the segments under numbers from `first_number` on. Gives how many bytes they have.
+std::uint64_t CopySegments(FileSystem& files, const std::vector<OpenSegment>& segments,
+                           const std::string& destination, std::uint64_t first_number) {
+  std::uint64_t number = first_number;
   std::uint64_t bytes = 0;
-  for (const OpenSegment& segment : all) {
-    const std::string path = to + "/" + SegmentName(first++);
-    int error = 0;
-    const auto out = files.Open(path, FileSystem::Mode::kCreate, error);
-    if (!out) Raise(path, error);
-    std::string chunk;
-    for (std::uint64_t at = 0; at < segment.size; at += chunk.size()) {
-      chunk.resize(std::min<std::uint64_t>(kChunk, segment.size - at));
-      const std::size_t got = segment.file->ReadAt(at, chunk.data(), chunk.size(), error);
-      if (error == EINTR) {
-        chunk.clear();
-        continue;
-      }
-      if (error != 0 || got == 0) Raise(path, error != 0 ? error : EIO);
-      chunk.resize(got);
-      WriteAll(*out, chunk, error);
-      if (error != 0) Raise(path, error);
-    }
-    if ((error = out->Sync()) != 0) Raise(path, error);
+  for (const OpenSegment& segment : segments) {
+    CopySegment(files, segment, destination + "/" + SegmentName(number));
+    ++number;
     bytes += segment.size;
   }
   return bytes;
 }
 
+// Replays the snapshot; it must be there, and sound unless damage is allowed.
+ReplayReport CheckSnapshot(FileSystem& files, const std::string& folder, bool allow_damaged) {
+  MessageTable messages;
+  RecordApplier applier(messages);
+  ReplayReport report = Replay(files, folder, applier);
+  if (report.segments.empty()) throw JournalMissingError(folder, "expected a snapshot of a journal");
+  if (report.is_damaged() && !allow_damaged) {
+    throw JournalDamagedError(folder,
+                              "this snapshot is damaged (sagetally journal verify); --damaged takes it");
+  }
+  return report;
+}
+
+std::unique_ptr<FileLock> LockDestination(FileSystem& files, const std::string& folder) {
+  auto lock = files.Lock(folder + "/lock");
+  if (lock.error == EWOULDBLOCK) throw JournalLockedError(folder, "a running process holds this journal");
+  ThrowOnError(folder, lock.error);
+  return std::move(lock.value);
+}
+
 }  // namespace
 
-ReplayReport ReplayLive(FileSystem& files, const std::string& folder, MessageTable& ledger) {
+ReplayReport ReplayLive(FileSystem& files, const std::string& folder, MessageTable& messages) {
   for (int tries = 0;; ++tries) {
-    ledger = MessageTable();
-    RecordApplier applier(ledger);
+    messages = MessageTable();
+    RecordApplier applier(messages);
     ReplayReport report = Replay(files, folder, applier);
-    int error = 0;
-    const auto after = ReadManifestFile(files, folder, error);
-    if (!after || after->oldest == report.manifest.oldest || tries >= kTries) return report;
+    const auto after = ReadManifestFile(files, folder).manifest;
+    if (!after || after->oldest == report.manifest.oldest || tries >= kMaxTries) return report;
   }
 }
 
-SnapshotResult WriteSnapshot(FileSystem& files, const std::string& from, const std::string& to) {
-  SnapshotResult copied;
-  const std::vector<OpenSegment> all = OpenAll(files, from, copied.manifest);
-  int error = files.MakeFolder(to);
-  if (error != 0) Raise(to, error);
-  if (ReadManifestFile(files, to, error) || error != ENOENT) {
-    throw std::runtime_error(to + ": expected a folder without a journal");
+SnapshotResult WriteSnapshot(FileSystem& files, const std::string& source, const std::string& destination) {
+  const OpenJournal journal = OpenJournalFiles(files, source);
+  ThrowOnError(destination, files.MakeFolder(destination));
+  const ManifestFile present = ReadManifestFile(files, destination);
+  if (present.manifest || present.error != ENOENT) {
+    throw JournalExistsError(destination, "expected a folder without a journal");
   }
-  copied.segments = all.size();
-  copied.bytes = CopyAll(files, all, to, copied.manifest.oldest);
-  if ((error = WriteManifest(files, to, copied.manifest, true)) != 0) Raise(to, error);
-  return copied;
+  SnapshotResult result;
+  result.manifest = journal.manifest;
+  result.segments = journal.segments.size();
+  result.bytes = CopySegments(files, journal.segments, destination, journal.manifest.oldest);
+  ThrowOnError(destination, WriteManifest(files, destination, journal.manifest, true));
+  return result;
 }
 
-SnapshotResult RestoreSnapshot(FileSystem& files, const std::string& from, const std::string& to,
+SnapshotResult RestoreSnapshot(FileSystem& files, const std::string& source, const std::string& destination,
                                const RestoreOptions& options) {
-  MessageTable ledger;
-  RecordApplier applier(ledger);
-  const ReplayReport report = Replay(files, from, applier);
-  if (report.segments.empty()) throw std::runtime_error(from + ": expected a snapshot of a journal");
-  if (report.is_damaged() && !options.allow_damaged) {
-    throw std::runtime_error(from +
-                             ": this snapshot is damaged (sagetally journal verify); --damaged takes it");
-  }
-  int error = files.MakeFolder(to);
-  if (error != 0) Raise(to, error);
-  const auto lock = files.Lock(to + "/lock", error);
-  if (!lock) {
-    if (error == EWOULDBLOCK) throw std::runtime_error(to + ": a running process holds this journal");
-    Raise(to, error);
+  const ReplayReport report = CheckSnapshot(files, source, options.allow_damaged);
+  ThrowOnError(destination, files.MakeFolder(destination));
+  const auto lock = LockDestination(files, destination);
+  const std::optional<Manifest> replaced = ReadManifestFile(files, destination).manifest;
+  const std::vector<std::uint64_t> replaced_segments = ListSegments(files, destination);
+  if ((replaced || !replaced_segments.empty()) && !options.replace) {
+    throw JournalExistsError(destination,
+                             "holds a journal already; --replace puts the snapshot in its place");
   }
-  const auto there = ReadManifestFile(files, to, error);
-  const std::vector<std::uint64_t> numbers = ListSegments(files, to);
-  if ((there || !numbers.empty()) && !options.replace) {
-    throw std::runtime_error(to + ": holds a journal already; --replace puts the snapshot in its place");
+  const OpenJournal snapshot = OpenJournalFiles(files, source);
+  SnapshotResult result;
+  Manifest& manifest = result.manifest;
+  manifest = snapshot.manifest;
+  const std::uint64_t first_number =
+      std::max(manifest.oldest, replaced_segments.empty() ? 0 : replaced_segments.back() + 1);
+  result.segments = snapshot.segments.size();
+  result.bytes = CopySegments(files, snapshot.segments, destination, first_number);
+  manifest.newest = first_number + (manifest.newest - manifest.oldest);
+  manifest.oldest = first_number;
+  manifest.epoch = std::max(manifest.epoch, replaced ? replaced->epoch : 0) + 1;
+  if (!options.exact) manifest.unknown_from = report.next_sequence;
+  ThrowOnError(destination, WriteManifest(files, destination, manifest, true));
+  for (const std::uint64_t number : replaced_segments) {
+    files.Remove(destination + "/" + SegmentName(number));
   }
-  SnapshotResult copied;
-  const std::vector<OpenSegment> all = OpenAll(files, from, copied.manifest);
-  Manifest& m = copied.manifest;
-  const std::uint64_t first = std::max(m.oldest, numbers.empty() ? 0 : numbers.back() + 1);
-  copied.segments = all.size();
-  copied.bytes = CopyAll(files, all, to, first);
-  m.newest = first + (m.newest - m.oldest);
-  m.oldest = first;
-  m.epoch = std::max(m.epoch, there ? there->epoch : 0) + 1;
-  if (!options.exact) m.unknown_from = report.next_sequence;
-  if ((error = WriteManifest(files, to, m, true)) != 0) Raise(to, error);
-  for (const std::uint64_t number : numbers) files.Remove(to + "/" + SegmentName(number));
-  return copied;
+  return result;
 }
 
 }  // namespace sagetally
--- a/src/journal/snapshot.h
+++ b/src/journal/snapshot.h
@@ -1,4 +1,5 @@
-// Journals as a whole: read beside the process that writes one, copied as it stood at a moment, put back.
+// Works on journals as a whole: reads one beside the process that writes it, copies it as it stood at one
+// moment, and puts a copy in place.
 #ifndef SAGETALLY_SRC_JOURNAL_SNAPSHOT_H_
 #define SAGETALLY_SRC_JOURNAL_SNAPSHOT_H_
 
@@ -10,27 +11,28 @@
 
 namespace sagetally {
 
-// As Replay, but begun anew while a process drops segments under it.
-ReplayReport ReplayLive(FileSystem& files, const std::string& folder, MessageTable& ledger);
+// As Replay, but begun again while a process drops segments meanwhile.
+ReplayReport ReplayLive(FileSystem& files, const std::string& folder, MessageTable& messages);
 
 struct SnapshotResult {
-  std::uint64_t segments = 0, bytes = 0;
-  Manifest manifest;
+  std::uint64_t segments = 0;
+  std::uint64_t bytes = 0;
+  Manifest manifest;  // of the copy
 };
 
-// Copies the journal in `from` to the folder `to`, which must not hold one. A process may write to it
-// meanwhile: its segments only grow, and one that is dropped is read on through its open file. Throws
-// std::runtime_error.
-SnapshotResult WriteSnapshot(FileSystem& files, const std::string& from, const std::string& to);
+// Copies the journal in the folder `source` to the folder `destination`, which must not hold one. A process
+// may write to the source meanwhile: its segments only grow, and one that is dropped is read on through its
+// open file. Throws JournalIoError, JournalMissingError or JournalExistsError.
+SnapshotResult WriteSnapshot(FileSystem& files, const std::string& source, const std::string& destination);
 
 struct RestoreOptions {
-  bool replace = false;  // the journal that is there goes
-  bool exact = false;    // nothing has happened since the snapshot: its node was stopped before it was taken
-  bool allow_damaged = false;  // although the snapshot is
+  bool replace = false;        // a journal in the destination is replaced
+  bool exact = false;          // nothing has happened since: the node was stopped before the snapshot
+  bool allow_damaged = false;  // take a damaged snapshot, too
 };
-// Makes the snapshot the journal in `to`, under an epoch above both. Until the manifest is switched the one
-// that was there counts. Throws std::runtime_error naming what is in the way.
-SnapshotResult RestoreSnapshot(FileSystem& files, const std::string& from, const std::string& to,
+// Makes the snapshot `source` the journal in `destination`, under an epoch above both. A journal that is
+// there counts until the manifest is replaced. Throws JournalError of every kind.
+SnapshotResult RestoreSnapshot(FileSystem& files, const std::string& source, const std::string& destination,
                                const RestoreOptions& options);
 
 }  // namespace sagetally
--- a/src/time/clock.cpp
+++ b/src/time/clock.cpp
@@ -8,7 +8,7 @@
 namespace sagetally {
 
 SystemClock::SystemClock() {
-  // The kernel's own name for this start of the machine: 16 of its hexadecimal digits.
+  // The kernel identifies this start of the machine by a UUID; 16 of its hexadecimal digits do.
   std::ifstream file("/proc/sys/kernel/random/boot_id");
   std::string text;
   std::getline(file, text);
@@ -17,22 +17,22 @@
   std::from_chars(text.data(), text.data() + text.size(), boot_id_, 16);
 }
 
-SystemClock::SystemClock(const Timestamp& of) : SystemClock() {
+SystemClock::SystemClock(const Timestamp& reference) : SystemClock() {
   const Timestamp now = CurrentTimestamp();
-  if (of.boot_id != 0 && of.boot_id == now.boot_id)
-    wall_start_ += of.wall_time + (now.steady_time - of.steady_time) - now.wall_time;
+  if (reference.boot_id == 0 || reference.boot_id != now.boot_id) return;
+  wall_start_ += reference.wall_time + (now.steady_time - reference.steady_time) - now.wall_time;
 }
 
 SystemClock::ClockCorrection SystemClock::ContinueFrom(const Timestamp& last) {
   const Timestamp now = CurrentTimestamp();
   if (last.wall_time <= now.wall_time) return {};
-  ClockCorrection carried;
-  carried.is_measured =
+  ClockCorrection correction;
+  correction.is_measured =
       last.boot_id != 0 && last.boot_id == now.boot_id && last.steady_time <= now.steady_time;
-  carried.amount = last.wall_time - now.wall_time +
-                   (carried.is_measured ? now.steady_time - last.steady_time : Duration(0));
-  wall_start_ += carried.amount;
-  return carried;
+  correction.amount = last.wall_time - now.wall_time +
+                      (correction.is_measured ? now.steady_time - last.steady_time : Duration(0));
+  wall_start_ += correction.amount;
+  return correction;
 }
 
 Timestamp SystemClock::CurrentTimestamp() const {
--- a/src/time/clock.h
+++ b/src/time/clock.h
@@ -1,5 +1,5 @@
-// One clock for everything: the wall clock as it stood at the start, carried on by the steady one. It never
-// goes back, and deadlines and windows in the store mean the same after a restart.
+// Clocks. One time scale serves the whole program: the wall clock as read at the start, advanced by the
+// steady clock. It never goes back, and deadlines in the journal keep their meaning over a restart.
 #ifndef SAGETALLY_SRC_TIME_CLOCK_H_
 #define SAGETALLY_SRC_TIME_CLOCK_H_
 
@@ -10,11 +10,13 @@
 
 namespace sagetally {
 
-// A moment by both clocks: the wall's may have been set anew between two processes, the machine's steady one
-// can't be, but counts from the machine's start.
+// A moment on both clocks. The wall clock may be set anew between two processes; the steady clock can't be,
+// but counts from the machine's start.
 struct Timestamp {
-  Time wall_time{0}, steady_time{0};
-  std::uint64_t boot_id = 0;  // which start of the machine; 0: not known
+  Time wall_time{0};    // since 1970
+  Time steady_time{0};  // since the machine's start
+  // Identifies one start of the machine; 0: not known, and then steady_time isn't either.
+  std::uint64_t boot_id = 0;
   bool operator==(const Timestamp&) const = default;
 };
 
@@ -22,26 +24,27 @@
  public:
   virtual ~Clock() = default;
   virtual Time Now() const = 0;
+  // Now() as a moment on both clocks. Without a steady clock only the wall time is known.
   virtual Timestamp CurrentTimestamp() const { return {Now(), Time(0), 0}; }
 };
 
 class SystemClock : public Clock {
  public:
   SystemClock();
-  // Tells the time as another process of this start of the machine does, of which this is a moment.
-  explicit SystemClock(const Timestamp& of);
+  // Continues the time scale of another process, of which `reference` is a moment. If the machine was started
+  // anew since, it begins a scale of its own.
+  explicit SystemClock(const Timestamp& reference);
   Time Now() const override {
     return wall_start_ +
            std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - steady_start_);
   }
   Timestamp CurrentTimestamp() const override;
-  // Goes on from the last moment of an earlier process: if the wall's clock was set back meanwhile, by the
-  // machine's steady one or, if that has begun anew, from that moment on. How far it was carried, and whether
-  // that was measured.
   struct ClockCorrection {
-    Duration amount{0};
-    bool is_measured = true;
+    Duration amount{0};       // by how far the clock was advanced
+    bool is_measured = true;  // false: the time that passed meanwhile isn't known
   };
+  // Continues after the last moment of an earlier process. If the wall clock was set back since, the scale
+  // goes on by the steady clock or, if that has begun anew, from `last` on.
   ClockCorrection ContinueFrom(const Timestamp& last);
 
  private:
--- a/tests/fuzz/journal_fuzz.cpp
+++ b/tests/fuzz/journal_fuzz.cpp
@@ -44,10 +44,9 @@
     RecordApplier applier(messages);
     Replay(disk, "/j", applier);
     for (const auto& [number, message] : messages.messages()) {
-      Message again;
-      std::uint32_t ordinal = 0;
-      if (!DecodeState(EncodeState(message, 7), again, ordinal) || ordinal != 7) std::abort();
-      if (EncodeState(again, 7) != EncodeState(message, 7)) std::abort();
+      const auto again = DecodeState(EncodeState(message, 7));
+      if (!again || again->ordinal != 7) std::abort();
+      if (EncodeState(again->message, 7) != EncodeState(message, 7)) std::abort();
     }
   } catch (const std::runtime_error&) {
   }
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -30,8 +30,7 @@
 
 // Offsets at which the frames of a segment begin, and its end.
 std::vector<std::size_t> Frames(const std::string& bytes) {
-  SegmentHeader header;
-  std::vector<std::size_t> at = {*DecodeSegmentHeader(bytes, header)};
+  std::vector<std::size_t> at = {DecodeSegmentHeader(bytes)->size};
   while (at.back() < bytes.size()) {
     ByteReader in(std::string_view(bytes).substr(at.back(), 4));
     at.push_back(at.back() + kFrameBytes + in.ReadNumber<std::uint32_t>());
@@ -96,9 +95,8 @@
     assert(life->ledger.pending_count() == 3 && life->ledger.Find(3) == nullptr);
     assert(life->ledger.Find(1)->first_uncertain_attempt == Time(0));
     assert(!life->ledger.Find(2)->first_uncertain_attempt && !life->ledger.Find(4)->first_uncertain_attempt);
-    int error = 0;
     int set_aside = 0;
-    for (const std::string& name : disk.List(settings.folder, error)) {
+    for (const std::string& name : disk.List(settings.folder).value) {
       if (!name.starts_with("quarantine-")) continue;
       ++set_aside;
       assert(disk.Content(settings.folder + "/" + name).size() == frames[4] - frames[3]);
@@ -114,7 +112,7 @@
   // A record that is cut out whole leaves only the gap in the numbers.
   FaultInjectingFileSystem disk = whole;
   disk.Restart();
-  disk.CutOut(kFirst, frames[4], frames[5] - frames[4]);  // the outcome of "through"
+  disk.EraseBytes(kFirst, frames[4], frames[5] - frames[4]);  // the outcome of "through"
   Life life(disk, clock, settings);
   assert(life.journal.report().missing.size() == 1 && life.journal.report().unreadable_bytes == 0);
   assert(life.ledger.pending_count() == 4 && life.ledger.Find(2)->first_uncertain_attempt &&
@@ -222,11 +220,10 @@
   FaultInjectingFileSystem disk;
   Fill(disk, clock, settings);
   disk.Restart();
-  SegmentHeader header;
   const std::string bytes = disk.Content(kFirst);
-  const std::size_t size = *DecodeSegmentHeader(bytes, header);
-  header.format = 3;
-  disk.Put(kFirst, EncodeSegmentHeader(header) + bytes.substr(size));
+  DecodedSegmentHeader decoded = *DecodeSegmentHeader(bytes);
+  decoded.header.format = 3;
+  disk.Put(kFirst, EncodeSegmentHeader(decoded.header) + bytes.substr(decoded.size));
   std::string why = Refusal([&] { Life(disk, clock, settings); });
   assert(why.find("0000000000000001.seg") != why.npos && why.find("format 3") != why.npos);
   disk.Restart();
@@ -246,8 +243,7 @@
   // The lock's file was taken away and made anew: both have one. The older process notices and says no more.
   FaultInjectingFileSystem shared(disk);
   const Manifest newer = [&] {
-    int error = 0;
-    Manifest m = *ReadManifestFile(shared, settings.folder, error);
+    Manifest m = *ReadManifestFile(shared, settings.folder).manifest;
     m.epoch += 1;
     return m;
   }();
@@ -261,8 +257,7 @@
 
 // The files of one that was to go on with this journal, and died amid it.
 void Overwrite(FaultInjectingFileSystem& disk, FaultInjectingFileSystem& other) {
-  int error = 0;
-  for (const std::string& name : other.List("/state/journal", error)) {
+  for (const std::string& name : other.List("/state/journal").value) {
     const std::string path = "/state/journal/" + name;
     if (!disk.Exists(path) || disk.Content(path) != other.Content(path)) disk.Put(path, other.Content(path));
   }
@@ -405,8 +400,7 @@
   FaultInjectingFileSystem disk;
   Fill(disk, clock, settings);
   disk.Restart();
-  int error = 0;
-  Manifest m = *ReadManifestFile(disk, settings.folder, error);
+  Manifest m = *ReadManifestFile(disk, settings.folder).manifest;
   m.unknown_from = 4'000'000'000;
   assert(WriteManifest(disk, settings.folder, m, true) == 0);
   for (int start = 0; start < 2; ++start) {
--- a/tests/journal/journal_world.h
+++ b/tests/journal/journal_world.h
@@ -10,6 +10,7 @@
 #include <cstdio>
 #include <optional>
 
+#include "journal/attempt_replay.h"
 #include "journal/file_system/fault_injecting_file_system.h"
 #include "journal/segment_journal.h"
 
