--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -1,6 +1,5 @@
 #include "net/admin_server.h"
 
-#include <arpa/inet.h>
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <netinet/in.h>
@@ -8,140 +7,149 @@
 
 #include <algorithm>
 #include <cerrno>
+#include <chrono>
 #include <cstring>
-#include <stdexcept>
+#include <optional>
+#include <string>
 #include <utility>
 
+#include "net/listen_error.h"
+#include "net/socket_address.h"
+
 namespace sagetally {
 namespace {
 
-// A caller types one word; who holds on for longer than this wants something else.
-constexpr Duration kLongestCall = std::chrono::seconds(6);
-constexpr Duration kLinger = std::chrono::milliseconds(200);  // for the answer to be read
-constexpr Duration kAcceptAgain = std::chrono::milliseconds(50);
-constexpr int kFirst = 0;  // priority: before all that the loop has to do beside
+constexpr Duration kRequestTimeout = std::chrono::seconds(6);
+// After the answer, for it to be read.
+constexpr Duration kLingerTime = std::chrono::milliseconds(200);
+// How long accepting pauses when no descriptor is free.
+constexpr Duration kAcceptPause = std::chrono::milliseconds(50);
+
+bool IsOutOfResources(int error_number) {
+  return error_number == EMFILE || error_number == ENFILE || error_number == ENOBUFS ||
+         error_number == ENOMEM;
+}
 
 }  // namespace
 
 class AdminServer::Client {
  public:
-  Client(AdminServer& door, int fd)
-      : door_(door),
-        buffers_(bufferevent_socket_new(door.loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE)),
-        timer_(door.loop_, [this] { door_.Close(*this); }) {
-    bufferevent_setcb(buffers_.get(), Readable, Written, Happened, this);
+  Client(AdminServer& server, int socket)
+      : server_(server),
+        buffers_(bufferevent_socket_new(server_.loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE)),
+        timer_(server_.loop_, [this] { server_.Close(*this); }) {
+    bufferevent_setcb(buffers_.get(), OnReadable, OnOutputDrained, OnEvent, this);
     bufferevent_setwatermark(buffers_.get(), EV_READ, 0, 2 * kMaxAdminLineBytes);
-    bufferevent_priority_set(buffers_.get(), kFirst);
+    bufferevent_priority_set(buffers_.get(), static_cast<int>(EventPriority::kUrgent));
     bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
-    timer_.Schedule(kLongestCall);
+    timer_.Schedule(kRequestTimeout);
   }
-  void Leave() {
+
+  // Safe within the client's own callbacks, unlike its destructor.
+  void Close() {
     buffers_.reset();
     timer_.Stop();
   }
-  bool answered() const { return answered_; }
+  bool is_answered() const { return is_answered_; }
 
  private:
   void Read() {
-    evbuffer* in = bufferevent_get_input(buffers_.get());
-    if (answered_) {  // guards against a reset that overtakes the answer: what comes behind is read away
-      evbuffer_drain(in, evbuffer_get_length(in));
+    evbuffer* input = bufferevent_get_input(buffers_.get());
+    const std::size_t size = evbuffer_get_length(input);
+    if (is_answered_) {  // unread bytes at the close would be a reset that overtakes the answer
+      evbuffer_drain(input, size);
       return;
     }
-    const std::size_t size = evbuffer_get_length(in);
-    const AdminRequest call =
-        ParseAdminRequest({reinterpret_cast<const char*>(evbuffer_pullup(in, -1)), size});
-    if (call.state == AdminRequest::State::kIncomplete) return;
-    answered_ = true;
-    evbuffer_drain(in, size);
-    const std::string answer = HandleAdminRequest(call, door_.answers_);
+    const AdminRequest request =
+        ParseAdminRequest({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
+    if (request.state == AdminRequest::State::kIncomplete) return;
+    is_answered_ = true;
+    evbuffer_drain(input, size);
+    const std::string answer = HandleAdminRequest(request, server_.handlers_);
     bufferevent_write(buffers_.get(), answer.data(), answer.size());
-    timer_.Schedule(kLinger);
+    timer_.Schedule(kLingerTime);
   }
-  static void Readable(bufferevent*, void* self) { static_cast<Client*>(self)->Read(); }
-  static void Written(bufferevent*, void* self) {
-    auto* c = static_cast<Client*>(self);
-    if (c->answered_) ::shutdown(bufferevent_getfd(c->buffers_.get()), SHUT_WR);
+
+  static void OnReadable(bufferevent*, void* self) { static_cast<Client*>(self)->Read(); }
+
+  static void OnOutputDrained(bufferevent*, void* self) {
+    auto* client = static_cast<Client*>(self);
+    if (client->is_answered_) ::shutdown(bufferevent_getfd(client->buffers_.get()), SHUT_WR);
   }
-  static void Happened(bufferevent* b, short, void* self) {
-    auto* c = static_cast<Client*>(self);
-    // One who has ended its sending may still read; the timer ends it.
-    if (c->answered_ && evbuffer_get_length(bufferevent_get_output(b)) > 0) return;
-    c->door_.Close(*c);
+
+  // Closed by the client, or broken.
+  static void OnEvent(bufferevent* buffers, short, void* self) {
+    auto* client = static_cast<Client*>(self);
+    // A client that has ended its sending may still read; the timer closes it.
+    if (client->is_answered_ && evbuffer_get_length(bufferevent_get_output(buffers)) > 0) return;
+    client->server_.Close(*client);
   }
 
-  AdminServer& door_;
-  std::unique_ptr<bufferevent, Free<bufferevent_free>> buffers_;
+  AdminServer& server_;
+  BufferEventPtr buffers_;
   Timer timer_;
-  bool answered_ = false;
+  bool is_answered_ = false;
 };
 
-FileDescriptor AdminServer::Listen(const Address& at) {
+FileDescriptor AdminServer::Listen(const Address& address) {
   FileDescriptor listener(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(at.port);
-  const int on = 1;
-  ::setsockopt(listener.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (inet_pton(AF_INET, at.host.c_str(), &address.sin_addr) != 1 ||
-      ::bind(listener.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
+  const int enabled = 1;
+  ::setsockopt(listener.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  const std::optional<sockaddr_in> wanted = ToSocketAddress(address);
+  if (!wanted || ::bind(listener.get(), reinterpret_cast<const sockaddr*>(&*wanted), sizeof *wanted) != 0 ||
       ::listen(listener.get(), SOMAXCONN) != 0) {
-    throw std::runtime_error("admin: can't listen on " + at.host + ":" + std::to_string(at.port) + ": " +
-                             std::strerror(errno));
+    const int error_number = errno;
+    const std::string text = FormatAddress(address);
+    throw ListenError("admin: can't listen on " + text + ": " + std::strerror(error_number), text,
+                      error_number);
   }
   return listener;
 }
 
-AdminServer::AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t most_connections,
-                         AdminHandlers answers)
+AdminServer::AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t max_connections,
+                         AdminHandlers handlers)
     : loop_(loop),
-      most_(std::max<std::size_t>(1, most_connections)),
-      answers_(std::move(answers)),
+      max_connections_(std::max<std::size_t>(1, max_connections)),
+      handlers_(std::move(handlers)),
       listener_(std::move(listener)),
-      sweep_(loop, [this] { closed_.clear(); }),
-      accept_again_(loop, [this] { event_add(accepts_.get(), nullptr); }) {
-  sockaddr_in address{};
-  socklen_t size = sizeof address;
-  getsockname(listener_.get(), reinterpret_cast<sockaddr*>(&address), &size);
-  port_ = ntohs(address.sin_port);
-  accepts_.reset(event_new(loop.base(), listener_.get(), EV_READ | EV_PERSIST, Acceptable, this));
-  event_priority_set(accepts_.get(), kFirst);
-  event_add(accepts_.get(), nullptr);
-}
+      accept_event_(StartReadEvent(loop, listener_.get(), OnAcceptable, this, EventPriority::kUrgent)),
+      port_(LocalPort(listener_.get())),
+      accept_again_timer_(loop, [this] { event_add(accept_event_.get(), nullptr); }),
+      closed_clients_(loop) {}
 
 AdminServer::~AdminServer() = default;
 
-void AdminServer::Acceptable(evutil_socket_t, short, void* self) {
-  static_cast<AdminServer*>(self)->Accept();
+void AdminServer::OnAcceptable(evutil_socket_t, short, void* self) {
+  static_cast<AdminServer*>(self)->AcceptClients();
 }
 
-void AdminServer::Accept() {
-  // Not all at once: callers who come by the thousand must not keep the clients waiting.
-  for (std::size_t i = 0; i < most_; ++i) {
-    const int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0) {
-      if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-        event_del(accepts_.get());  // else the loop would turn round and round
-        accept_again_.Schedule(kAcceptAgain);
-      }
-      return;
+// Not all at once: admin clients that come by the thousand must not keep the others waiting.
+void AdminServer::AcceptClients() {
+  for (std::size_t accepted = 0; accepted < max_connections_; ++accepted) {
+    const int socket = ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (socket < 0) {
+      if (!IsOutOfResources(errno)) return;
+      event_del(accept_event_.get());  // the listener stays readable: the loop would call again and again
+      return accept_again_timer_.Schedule(kAcceptPause);
     }
-    if (callers_.size() >= most_) {
-      const auto answered = std::find_if(callers_.begin(), callers_.end(),
-                                         [](const auto& caller) { return caller->answered(); });
-      Close(answered == callers_.end() ? *callers_.front() : **answered);
-    }
-    callers_.push_back(std::make_unique<Client>(*this, fd));
+    if (clients_.size() >= max_connections_) MakeCapacity();
+    clients_.push_back(std::make_unique<Client>(*this, socket));
   }
 }
 
-void AdminServer::Close(Client& caller) {
-  const auto at = std::find_if(callers_.begin(), callers_.end(),
-                               [&](const auto& owned) { return owned.get() == &caller; });
-  if (at == callers_.end()) return;
-  caller.Leave();
-  closed_.splice(closed_.end(), callers_, at);
-  sweep_.Schedule(Duration(0));
+void AdminServer::MakeCapacity() {
+  const auto answered = std::find_if(clients_.begin(), clients_.end(),
+                                     [](const auto& client) { return client->is_answered(); });
+  Close(answered == clients_.end() ? *clients_.front() : **answered);
+}
+
+void AdminServer::Close(Client& client) {
+  const auto found = std::find_if(clients_.begin(), clients_.end(),
+                                  [&](const auto& owned) { return owned.get() == &client; });
+  if (found == clients_.end()) return;
+  client.Close();
+  closed_clients_.Delete(std::move(*found));
+  clients_.erase(found);
 }
 
 }  // namespace sagetally
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,5 +1,4 @@
-// The operators' door: a listener for calls of one line each, apart from the clients' connections. It is
-// answered before all else that the loop has to do.
+// The operators' TCP interface: one request of one line per connection, apart from the clients' connections.
 #ifndef SAGETALLY_SRC_NET_ADMIN_SERVER_H_
 #define SAGETALLY_SRC_NET_ADMIN_SERVER_H_
 
@@ -10,17 +9,20 @@
 #include "admin/admin_request.h"
 #include "base/file_descriptor.h"
 #include "config/config.h"
+#include "net/deferred_deleter.h"
 #include "net/event_loop.h"
 
 namespace sagetally {
 
+// Answers before everything else that the event loop has to do. On the loop's thread, the handlers too.
 class AdminServer {
  public:
-  // A listening socket. Throws std::runtime_error naming the address if it can't listen.
-  static FileDescriptor Listen(const Address& at);
-  // Each connection takes a descriptor; over `most_connections` the caller that has waited longest without a
-  // whole line gives way.
-  AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t most_connections, AdminHandlers answers);
+  // Opens a listening socket. Throws ListenError.
+  static FileDescriptor Listen(const Address& address);
+
+  // `max_connections`: each takes a descriptor; at least 1. Beyond it, a client that was answered or else the
+  // one that has waited longest without a whole line is closed.
+  AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t max_connections, AdminHandlers handlers);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
@@ -29,19 +31,21 @@
 
  private:
   class Client;
-  static void Acceptable(evutil_socket_t, short, void* self);
-  void Accept();
-  void Close(Client& caller);
+
+  static void OnAcceptable(evutil_socket_t, short, void* self);
+  void AcceptClients();
+  void MakeCapacity();
+  void Close(Client& client);
 
   EventLoop& loop_;
-  const std::size_t most_;
-  const AdminHandlers answers_;
+  const std::size_t max_connections_;
+  const AdminHandlers handlers_;
   FileDescriptor listener_;
-  EventPtr accepts_;
+  EventPtr accept_event_;
   std::uint16_t port_ = 0;
-  std::list<std::unique_ptr<Client>> callers_;  // oldest first
-  std::list<std::unique_ptr<Client>> closed_;   // freed once libevent is out of them
-  Timer sweep_, accept_again_;
+  std::list<std::unique_ptr<Client>> clients_;  // oldest first
+  Timer accept_again_timer_;
+  DeferredDeleter<Client> closed_clients_;
 };
 
 }  // namespace sagetally
--- a/src/net/control_server.cpp
+++ b/src/net/control_server.cpp
@@ -2,71 +2,81 @@
 
 #include <event2/buffer.h>
 #include <sys/socket.h>
-#include <sys/stat.h>
 #include <sys/un.h>
 #include <unistd.h>
 
 #include <cerrno>
+#include <cstdlib>
 #include <cstring>
-#include <stdexcept>
 #include <utility>
 
 #include "base/file_descriptor.h"
+#include "net/listen_error.h"
+#include "net/unix_socket.h"
 
 namespace sagetally {
 namespace {
 
-constexpr timeval kIdle{30, 0};
+constexpr timeval kIdleTimeout{30, 0};
 
 }  // namespace
 
 struct ControlServer::Client {
   ControlServer* server = nullptr;  // null once it is closed
-  std::unique_ptr<bufferevent, Free<bufferevent_free>> buffers;
-  bool asked = false;  // one request at a time
+  BufferEventPtr buffers;
+  bool awaits_answer = false;
 };
 
-ControlServer::ControlServer(EventLoop& loop, std::string path, std::size_t most_request, Handler handler)
-    : loop_(loop), path_(std::move(path)), most_request_(most_request), handler_(std::move(handler)) {
-  sockaddr_un at{};
-  at.sun_family = AF_UNIX;
-  if (path_.size() >= sizeof at.sun_path) {
-    throw std::runtime_error("control socket: the path " + path_ + " is longer than " +
-                             std::to_string(sizeof at.sun_path - 1) + " bytes");
+ControlServer::ControlServer(EventLoop& loop, std::string path, std::size_t max_request_bytes,
+                             Handler handler)
+    : loop_(loop),
+      path_(std::move(path)),
+      max_request_bytes_(max_request_bytes),
+      handler_(std::move(handler)) {
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  if (path_.size() >= sizeof address.sun_path) {
+    throw ListenError("control socket: the path " + path_ + " is longer than " +
+                          std::to_string(sizeof address.sun_path - 1) + " bytes",
+                      path_, ENAMETOOLONG);
   }
-  std::memcpy(at.sun_path, path_.data(), path_.size());
+  std::memcpy(address.sun_path, path_.data(), path_.size());
   ::unlink(path_.c_str());
-  FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const mode_t before = ::umask(0177);  // from the first moment nobody else may connect
-  const bool bound = ::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0;
-  ::umask(before);
-  if (!bound) throw std::runtime_error("control socket " + path_ + ": " + std::strerror(errno));
-  listener_.reset(evconnlistener_new(loop_.base(), Accepted, this,
+  FileDescriptor socket(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (const int error_number = BindForOwnerOnly(socket, address); error_number != 0) {
+    throw ListenError("control socket " + path_ + ": " + std::strerror(error_number), path_, error_number);
+  }
+  listener_.reset(evconnlistener_new(loop_.base(), OnAccepted, this,
                                      LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kMostConnections,
-                                     fd.get()));
-  if (!listener_) throw std::runtime_error("control socket " + path_ + ": can't listen");
-  fd.Release();
+                                     socket.get()));
+  if (!listener_) throw ListenError("control socket " + path_ + ": can't listen", path_, errno);
+  socket.Release();
 }
 
 ControlServer::~ControlServer() {
-  for (auto& [raw, client] : clients_) client->server = nullptr, client->buffers.reset();
+  // A responder may still hold a client.
+  for (const auto& [client, owned] : clients_) {
+    client->server = nullptr;
+    client->buffers.reset();
+  }
   ::unlink(path_.c_str());
 }
 
-void ControlServer::Accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-  auto* s = static_cast<ControlServer*>(self);
-  if (s->clients_.size() >= kMostConnections) {
-    ::close(fd);
+void ControlServer::OnAccepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
+  auto* server = static_cast<ControlServer*>(self);
+  if (server->clients_.size() >= kMostConnections) {
+    ::close(socket);
     return;
   }
   const auto client = std::make_shared<Client>();
-  client->server = s;
-  client->buffers.reset(bufferevent_socket_new(s->loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
-  bufferevent_setcb(client->buffers.get(), Readable, nullptr, Happened, client.get());
-  bufferevent_setwatermark(client->buffers.get(), EV_READ, 0, s->most_request_ + 1);
-  bufferevent_set_timeouts(client->buffers.get(), &kIdle, &kIdle);
-  s->clients_[client.get()] = client;
-  bufferevent_enable(client->buffers.get(), EV_READ | EV_WRITE);
+  client->server = server;
+  client->buffers.reset(bufferevent_socket_new(server->loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE));
+  bufferevent* buffers = client->buffers.get();
+  bufferevent_setcb(buffers, OnReadable, nullptr, OnEvent, client.get());
+  bufferevent_setwatermark(buffers, EV_READ, 0, server->max_request_bytes_ + 1);
+  bufferevent_set_timeouts(buffers, &kIdleTimeout, &kIdleTimeout);
+  server->clients_[client.get()] = client;
+  bufferevent_enable(buffers, EV_READ | EV_WRITE);
 }
 
 void ControlServer::Close(Client& client) {
@@ -75,38 +85,42 @@
   clients_.erase(&client);
 }
 
-void ControlServer::Happened(bufferevent*, short what, void* client) {
-  auto* c = static_cast<Client*>(client);
-  // A client that waits for an answer says nothing meanwhile; the answer comes in its own time.
-  if ((what & BEV_EVENT_TIMEOUT) != 0 && c->asked) {
-    bufferevent_enable(c->buffers.get(), EV_READ);
+void ControlServer::OnEvent(bufferevent*, short events, void* argument) {
+  auto* client = static_cast<Client*>(argument);
+  // A client that waits for an answer sends nothing meanwhile, however long the answer takes.
+  if ((events & BEV_EVENT_TIMEOUT) != 0 && client->awaits_answer) {
+    bufferevent_enable(client->buffers.get(), EV_READ);
     return;
   }
-  c->server->Close(*c);
+  client->server->Close(*client);
 }
 
-void ControlServer::Readable(bufferevent*, void* client) {
-  auto* c = static_cast<Client*>(client);
-  if (!c->asked) c->server->Next(*c);
+void ControlServer::OnReadable(bufferevent*, void* argument) {
+  auto* client = static_cast<Client*>(argument);
+  if (!client->awaits_answer) client->server->ReadRequest(*client);
 }
 
-void ControlServer::Next(Client& client) {
-  evbuffer* in = bufferevent_get_input(client.buffers.get());
+void ControlServer::ReadRequest(Client& client) {
+  evbuffer* input = bufferevent_get_input(client.buffers.get());
   std::size_t size = 0;
-  const std::unique_ptr<char, Free<std::free>> line(evbuffer_readln(in, &size, EVBUFFER_EOL_LF));
+  const std::unique_ptr<char, Free<std::free>> line(evbuffer_readln(input, &size, EVBUFFER_EOL_LF));
   if (!line) {
-    if (evbuffer_get_length(in) > most_request_) Close(client);  // no line at all
+    if (evbuffer_get_length(input) > max_request_bytes_) Close(client);
     return;
   }
-  client.asked = true;
+  client.awaits_answer = true;
   handler_({line.get(), size}, [weak = std::weak_ptr(clients_.at(&client))](std::string answer) {
-    const std::shared_ptr<Client> c = weak.lock();
-    if (!c || c->server == nullptr || !c->asked) return;
-    c->asked = false;
-    answer += '\n';
-    bufferevent_write(c->buffers.get(), answer.data(), answer.size());
-    if (evbuffer_get_length(bufferevent_get_input(c->buffers.get())) > 0) c->server->Next(*c);
+    if (const std::shared_ptr<Client> locked = weak.lock()) Respond(*locked, std::move(answer));
   });
 }
 
+void ControlServer::Respond(Client& client, std::string answer) {
+  if (client.server == nullptr || !client.awaits_answer) return;
+  client.awaits_answer = false;
+  answer += '\n';
+  bufferevent_write(client.buffers.get(), answer.data(), answer.size());
+  const bool has_next_request = evbuffer_get_length(bufferevent_get_input(client.buffers.get())) > 0;
+  if (has_next_request) client.server->ReadRequest(client);
+}
+
 }  // namespace sagetally
--- a/src/net/control_server.h
+++ b/src/net/control_server.h
@@ -1,4 +1,4 @@
-// A listener on a Unix socket for operators on the same machine: one request a line, one answer a line.
+// A server on a Unix socket for operators on the same machine: one request a line, one answer a line.
 #ifndef SAGETALLY_SRC_NET_CONTROL_SERVER_H_
 #define SAGETALLY_SRC_NET_CONTROL_SERVER_H_
 
@@ -15,29 +15,37 @@
 
 namespace sagetally {
 
+// On the event loop's thread, the handler too.
 class ControlServer {
  public:
   static constexpr std::size_t kMostConnections = 8;
-  using Responder = std::function<void(std::string line)>;  // at most once; the client may have gone
-  using Handler = std::function<void(std::string_view line, Responder answer)>;
-
-  // The socket gets mode 0600; one that a dead process left is replaced. Throws std::runtime_error.
-  ControlServer(EventLoop& loop, std::string path, std::size_t most_request, Handler handler);
+  // Sends the answer, without its line's end. Only the first call counts; the client may have gone.
+  using Responder = std::function<void(std::string line)>;
+  // Handles a request, without its line's end. A connection's next request waits for the answer.
+  using Handler = std::function<void(std::string_view line, Responder respond)>;
+
+  // Creates the socket with mode 0600, in place of one that a process left behind. Throws ListenError.
+  ControlServer(EventLoop& loop, std::string path, std::size_t max_request_bytes, Handler handler);
+  // Removes the socket.
   ~ControlServer();
+  ControlServer(const ControlServer&) = delete;
+  ControlServer& operator=(const ControlServer&) = delete;
 
  private:
   struct Client;
-  static void Accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
-  static void Readable(bufferevent*, void* client);
-  static void Happened(bufferevent*, short what, void* client);
-  void Next(Client& client);
+
+  static void OnAccepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
+  static void OnReadable(bufferevent*, void* client);
+  static void OnEvent(bufferevent*, short events, void* client);
+  void ReadRequest(Client& client);
+  static void Respond(Client& client, std::string answer);
   void Close(Client& client);
 
   EventLoop& loop_;
   const std::string path_;
-  const std::size_t most_request_;
+  const std::size_t max_request_bytes_;
   Handler handler_;
-  std::unique_ptr<evconnlistener, Free<evconnlistener_free>> listener_;
+  EventListenerPtr listener_;
   std::map<Client*, std::shared_ptr<Client>> clients_;
 };
 
--- a/src/net/endpoint_list_watcher.cpp
+++ b/src/net/endpoint_list_watcher.cpp
@@ -1,8 +1,11 @@
 #include "net/endpoint_list_watcher.h"
 
 #include <event2/buffer.h>
+#include <event2/bufferevent.h>
 
 #include <algorithm>
+#include <chrono>
+#include <optional>
 #include <utility>
 
 #include "net/http_connection.h"
@@ -10,145 +13,162 @@
 namespace sagetally {
 namespace {
 
-// What discovery has counts as told after 6 s, and a drain binds 2 s later. A line comes every 2 s, so a
-// silent watch is known after 3 s. From then on an ask has its place and, unless hundreds share discovery, a
-// second one, as the first may be refused late or never be answered: 3 + 2.2 + 0.6 + 2.2 s.
-constexpr Duration kSilent = std::chrono::milliseconds(3000);
-constexpr Duration kUnheard = std::chrono::milliseconds(1000);       // the agent answers at once
-constexpr Duration kUnheardAsked = std::chrono::milliseconds(2200);  // discovery refuses after up to 2 s
-constexpr Duration kAgain = std::chrono::milliseconds(200);
-// Where lists are asked for, discovery itself serves all senders: together they come again no sooner than so
-// many of them would at kAgain.
-constexpr int kFewSenders = 4;
-// The longest wait between two asks, however many senders there are and however often discovery has refused:
-// one that waits for as long when discovery comes back still hears of a drain before it binds.
-constexpr Duration kLongestWait = std::chrono::milliseconds(5000);
-constexpr int kMostTimes = 3;  // the first wait, after failures in a row
-// Versions older than ours: another discovery, to which we were moved, may lag behind. What still is older
-// after so long has begun to count anew; what it had at the move counts as told 4 s after it.
-constexpr Duration kBehind = std::chrono::milliseconds(4000);
-constexpr std::size_t kLongestList = 4 * 1024 * 1024, kMostReadAhead = 1024 * 1024;
-
-Duration FirstWait(int senders) {
-  return std::clamp<Duration>(kAgain * senders / kFewSenders, kAgain, kLongestWait);
+using std::chrono::milliseconds;
+
+// What discovery has counts as announced after 6 s, and a drain binds 2 s later. A line comes every 2 s, so
+// silence is noticed after 3 s. Until then there is time for one request and, unless hundreds of dispatchers
+// share discovery, for a second one, as the first may be rejected late or never be answered:
+// 3 + 2.2 + 0.6 + 2.2 s.
+constexpr Duration kMaxSilence = milliseconds(3000);
+constexpr Duration kResponseTimeout = milliseconds(1000);           // the agent answers at once
+constexpr Duration kOnRequestResponseTimeout = milliseconds(2200);  // discovery rejects after up to 2 s
+constexpr Duration kRetryDelay = milliseconds(200);
+// Where lists are sent on request, discovery itself serves all dispatchers: together they come again no
+// sooner than so many of them would after kRetryDelay.
+constexpr int kSmallFleetSize = 4;
+// The longest delay between two requests, however many dispatchers there are and however often discovery has
+// rejected: one that waits for as long when discovery comes back still receives a drain before it binds.
+constexpr Duration kMaxBackoff = milliseconds(5000);
+constexpr int kMaxBackoffFactor = 3;  // of the first delay, after failures in a row
+// A revision older than ours may come from another discovery, to which we were moved and which lags behind.
+// If it is still older after this time, discovery has begun to count anew; what it had at the move counts as
+// announced 4 s after it.
+constexpr Duration kOlderRevisionPatience = milliseconds(4000);
+constexpr std::size_t kMaxListBytes = 4 * 1024 * 1024;
+constexpr std::size_t kMaxReadAheadBytes = 1024 * 1024;
+constexpr int kOk = 200;
+
+Duration FirstBackoff(int dispatcher_count) {
+  return std::clamp<Duration>(kRetryDelay * dispatcher_count / kSmallFleetSize, kRetryDelay, kMaxBackoff);
+}
+
+Backoff NewBackoff(int dispatcher_count, std::uint64_t seed) {
+  const Duration first = FirstBackoff(dispatcher_count);
+  return {first, std::min(kMaxBackoffFactor * first, kMaxBackoff), seed};
 }
 
 }  // namespace
 
 EndpointListWatcher::EndpointListWatcher(EventLoop& loop, const Address& discovery, const SiteSettings& site,
-                                         std::int64_t known, std::uint64_t seed,
-                                         std::function<void(const EndpointListUpdate&)> news, Logger& log)
+                                         std::int64_t known_revision, std::uint64_t backoff_seed,
+                                         std::function<void(const EndpointListUpdate&)> on_update,
+                                         Logger& log)
     : loop_(loop),
       discovery_(discovery),
       site_(site),
-      revision_(known),
-      news_(std::move(news)),
+      revision_(known_revision),
+      on_update_(std::move(on_update)),
       log_(log),
-      stream_(kLongestList),
-      back_off_(FirstWait(site.policy.dispatcher_count),
-                std::min(kMostTimes * FirstWait(site.policy.dispatcher_count), kLongestWait), seed),
-      silent_(loop, [this] { Lost("silent"); }),
-      again_(loop, [this] { Ask(); }),
-      behind_(loop, [this] {
-        older_counts_ = true;
-        Lost("behind");
+      stream_(kMaxListBytes),
+      backoff_(NewBackoff(site.policy.dispatcher_count, backoff_seed)),
+      silence_timer_(loop, [this] { OnWatchLost("silent"); }),
+      retry_timer_(loop, [this] { StartWatch(); }),
+      older_revision_timer_(loop, [this] {
+        accepts_older_revision_ = true;
+        OnWatchLost("behind");
       }) {
-  Ask();
+  StartWatch();
 }
+
 EndpointListWatcher::~EndpointListWatcher() = default;
 
-void EndpointListWatcher::Ask() {
+void EndpointListWatcher::StartWatch() {
   stream_.Clear();
-  lost_ = false;
-  connection_ = OpenConnection(loop_, discovery_, kMostReadAhead, 0);
-  evhttp_request* request = evhttp_request_new(Done, this);
-  evhttp_request_set_header_cb(request, Head);
-  evhttp_request_set_chunked_cb(request, Chunk);
+  is_lost_ = false;
+  connection_ = OpenHttpConnection(loop_, discovery_, {kMaxReadAheadBytes, 0});
+  evhttp_request* request = evhttp_request_new(OnRequestEnded, this);
+  evhttp_request_set_header_cb(request, OnHeaders);
+  evhttp_request_set_chunked_cb(request, OnChunkReceived);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", discovery_.host.c_str());
-  // Guards against giving up what was about to be answered: discovery that serves many has a queue.
-  silent_.Schedule(site_.policy.endpoint_list_on_request ? kUnheardAsked : kUnheard);
+  // Discovery that serves many dispatchers has a queue: giving up sooner would lose the place in it.
+  silence_timer_.Schedule(site_.policy.endpoint_list_on_request ? kOnRequestResponseTimeout
+                                                                : kResponseTimeout);
   const std::string target = "/v1/servers?watch=1&after=" + std::to_string(revision_);
   evhttp_make_request(connection_.get(), request, EVHTTP_REQ_GET, target.c_str());
 }
 
 void EndpointListWatcher::ChangeAddress(const Address& discovery) {
   discovery_ = discovery;
-  again_.Stop();
-  behind_.Stop();
-  older_counts_ = false;
-  Ask();
+  retry_timer_.Stop();
+  older_revision_timer_.Stop();
+  accepts_older_revision_ = false;
+  StartWatch();
 }
 
-void EndpointListWatcher::Lost(const char* how) {
-  if (std::exchange(lost_, true)) return;  // once for each connection
-  log_.Warn("discovery.lost", {{"how", how}, {"revision", revision_}});
-  silent_.Stop();
+// Once for each connection.
+void EndpointListWatcher::OnWatchLost(const char* reason) {
+  if (std::exchange(is_lost_, true)) return;
+  log_.Warn("discovery.lost", {{"reason", reason}, {"revision", revision_}});
+  silence_timer_.Stop();
   bufferevent_disable(evhttp_connection_get_bufferevent(connection_.get()), EV_READ);
-  // Pushed lists come from an agent on this machine, at no cost. Discovery that hundreds of senders ask five
-  // times a second each refuses nearly all of them for as long as they go on.
-  again_.Schedule(site_.policy.endpoint_list_on_request ? back_off_.NextDelay() : kAgain);
+  // Pushed lists come from an agent on this machine, at no cost. Discovery that hundreds of dispatchers ask
+  // five times a second each rejects nearly all of them for as long as they go on.
+  retry_timer_.Schedule(site_.policy.endpoint_list_on_request ? backoff_.NextDelay() : kRetryDelay);
 }
 
-int EndpointListWatcher::Head(evhttp_request* request, void* self) {
-  auto* w = static_cast<EndpointListWatcher*>(self);
-  // Where nothing has changed since the version held, the first line may be an empty one.
-  if (evhttp_request_get_response_code(request) == 200) w->Heard();
+int EndpointListWatcher::OnHeaders(evhttp_request* request, void* self) {
+  // Where nothing has changed since our revision, the first line may be an empty one, later.
+  if (evhttp_request_get_response_code(request) == kOk) {
+    static_cast<EndpointListWatcher*>(self)->OnLineReceived();
+  }
   return 0;
 }
 
-void EndpointListWatcher::Chunk(evhttp_request* request, void* self) {
-  auto* w = static_cast<EndpointListWatcher*>(self);
-  evbuffer* in = evhttp_request_get_input_buffer(request);
-  std::string text(evbuffer_get_length(in), '\0');
-  evbuffer_remove(in, text.data(), text.size());
-  // The text of a refusal is no list.
-  if (w->lost_ || evhttp_request_get_response_code(request) != 200) return;
-  const bool whole = w->stream_.Add(
-      text,
-      [w](const std::string& list) {
-        if (!w->lost_) w->List(list);
-      },
-      [w] { w->Heard(); });
-  if (whole || w->lost_) return;
-  w->log_.Warn("discovery.unreadable", {{"why", "no list of endpoints"}});
-  w->Lost("unreadable");
+void EndpointListWatcher::OnChunkReceived(evhttp_request* request, void* self) {
+  auto* watcher = static_cast<EndpointListWatcher*>(self);
+  evbuffer* input = evhttp_request_get_input_buffer(request);
+  std::string text(evbuffer_get_length(input), '\0');
+  evbuffer_remove(input, text.data(), text.size());
+  const bool is_ok = evhttp_request_get_response_code(request) == kOk;  // else it is the text of an error
+  if (is_ok && !watcher->is_lost_) watcher->OnChunk(text);
+}
+
+void EndpointListWatcher::OnChunk(const std::string& text) {
+  const auto on_list = [this](const std::string& list) {
+    if (!is_lost_) OnListReceived(list);
+  };
+  const bool is_valid = stream_.Add(text, on_list, [this] { OnLineReceived(); });
+  if (is_valid || is_lost_) return;
+  log_.Warn("discovery.unreadable", {{"reason", "no list of endpoints"}});
+  OnWatchLost("unreadable");
 }
 
-void EndpointListWatcher::Heard() {
-  if (!lost_) silent_.Schedule(kSilent);
+// The watch is alive.
+void EndpointListWatcher::OnLineReceived() {
+  if (!is_lost_) silence_timer_.Schedule(kMaxSilence);
 }
 
-// Guards against a list that can't be read: one log line, and the list stays as it was. What it held counts
-// as told all the same, so the watch is asked for anew after the version held.
-void EndpointListWatcher::List(const std::string& text) {
-  EndpointListUpdate news;
+// A list that can't be read changes nothing. What it had counts as announced all the same, so the watch is
+// made again after the revision that we have.
+void EndpointListWatcher::OnListReceived(const std::string& text) {
+  EndpointListUpdate update;
   try {
     json::Value value;
     if (parser_.parse(text).get(value) != simdjson::SUCCESS) json::Malformed("no JSON");
-    news = ReadList(value, site_);
-  } catch (const std::exception& e) {
-    log_.Warn("discovery.unreadable", {{"why", e.what()}});
-    return Lost("unreadable");
+    update = ReadList(value, site_);
+  } catch (const std::exception& error) {
+    log_.Warn("discovery.unreadable", {{"reason", error.what()}});
+    return OnWatchLost("unreadable");
   }
-  Heard();
-  if (news.revision < revision_ && !older_counts_) {
-    // It would bring back what has been told to drain. Its changes up to ours come here by themselves, or
-    // never.
-    if (behind_.pending()) return;
-    log_.Warn("discovery.behind", {{"revision", news.revision}, {"held", revision_}});
-    return behind_.Schedule(kBehind);
+  OnLineReceived();
+  if (update.revision < revision_ && !accepts_older_revision_) {
+    // It would bring back endpoints that have been told to drain. Its changes up to our revision come by
+    // themselves, or never.
+    if (older_revision_timer_.pending()) return;
+    log_.Warn("discovery.behind", {{"revision", update.revision}, {"known_revision", revision_}});
+    return older_revision_timer_.Schedule(kOlderRevisionPatience);
   }
-  behind_.Stop();
-  older_counts_ = false;
-  revision_ = news.revision;
-  back_off_.Reset();
-  news_(news);
+  older_revision_timer_.Stop();
+  accepts_older_revision_ = false;
+  revision_ = update.revision;
+  backoff_.Reset();
+  on_update_(update);
 }
 
-void EndpointListWatcher::Done(evhttp_request* request, void* self) {
-  auto* w = static_cast<EndpointListWatcher*>(self);
-  if (request != nullptr && evhttp_request_get_response_code(request) == 200) return w->Lost("ended");
-  w->Lost("broke");
+void EndpointListWatcher::OnRequestEnded(evhttp_request* request, void* self) {
+  auto* watcher = static_cast<EndpointListWatcher*>(self);
+  const bool is_ok = request != nullptr && evhttp_request_get_response_code(request) == kOk;
+  watcher->OnWatchLost(is_ok ? "ended" : "broke");
 }
 
 }  // namespace sagetally
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,48 +1,63 @@
 #include "net/event_loop.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <stdexcept>
 #include <utility>
 
 namespace sagetally {
 namespace {
 
-void Fire(evutil_socket_t, short, void* fire) { (*static_cast<std::function<void()>*>(fire))(); }
+constexpr int kPriorityCount = 2;  // of EventPriority
+// A round of normal events is interrupted after this time, to look for urgent ones.
+constexpr timeval kMaxDispatchInterval{0, 20'000};
+// ... and after this many callbacks.
+constexpr int kMaxDispatchCallbacks = 64;
 
-event_base* NewBase() {
-  struct ConfigFree {
-    void operator()(event_config* c) const { event_config_free(c); }
-  };
-  const std::unique_ptr<event_config, ConfigFree> config(event_config_new());
+void InvokeFunction(evutil_socket_t, short, void* function) {
+  (*static_cast<std::function<void()>*>(function))();
+}
+
+event_base* NewEventBase() {
+  const std::unique_ptr<event_config, Free<event_config_free>> config(event_config_new());
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);  // else timers are up to 5 ms late
-  // Events of priority 0 go first, and a long round of others is interrupted to look for them.
-  constexpr timeval kRound{0, 20'000};
-  event_config_set_max_dispatch_interval(config.get(), &kRound, 64, 1);
+  event_config_set_max_dispatch_interval(config.get(), &kMaxDispatchInterval, kMaxDispatchCallbacks,
+                                         static_cast<int>(EventPriority::kNormal));
   event_base* base = event_base_new_with_config(config.get());
-  if (base != nullptr) event_base_priority_init(base, 2);
+  if (base != nullptr) event_base_priority_init(base, kPriorityCount);
   return base;
 }
 
 }  // namespace
 
-EventLoop::EventLoop() : base_(NewBase()) {
+EventLoop::EventLoop() : base_(NewEventBase()) {
   if (!base_) throw std::runtime_error("no event loop");
 }
 
-Timer::Timer(EventLoop& loop, std::function<void()> fire)
-    : fire_(std::move(fire)), event_(evtimer_new(loop.base(), Fire, &fire_)) {}
+EventPtr StartReadEvent(EventLoop& loop, evutil_socket_t descriptor, event_callback_fn callback,
+                        void* argument, EventPriority priority) {
+  EventPtr event(event_new(loop.base(), descriptor, EV_READ | EV_PERSIST, callback, argument));
+  event_priority_set(event.get(), static_cast<int>(priority));
+  event_add(event.get(), nullptr);
+  return event;
+}
+
+Timer::Timer(EventLoop& loop, std::function<void()> on_fired)
+    : on_fired_(std::move(on_fired)), event_(evtimer_new(loop.base(), InvokeFunction, &on_fired_)) {}
 
-void Timer::Schedule(Duration d) {
+void Timer::Schedule(Duration delay) {
   // Counted from now. libevent counts from when this round of the loop began, so that a timer set late in a
   // long round fires early or, if nothing else wakes the loop, late.
   event_base_update_cache_time(event_get_base(event_.get()));
-  const auto us = std::max<std::int64_t>(0, d.count());
-  const timeval wait{static_cast<time_t>(us / 1'000'000), static_cast<suseconds_t>(us % 1'000'000)};
+  const auto microseconds = std::max<std::int64_t>(0, delay.count());
+  const timeval wait{static_cast<time_t>(microseconds / 1'000'000),
+                     static_cast<suseconds_t>(microseconds % 1'000'000)};
   event_add(event_.get(), &wait);
 }
 
-Signal::Signal(EventLoop& loop, int number, std::function<void()> fire)
-    : fire_(std::move(fire)), event_(evsignal_new(loop.base(), number, Fire, &fire_)) {
+Signal::Signal(EventLoop& loop, int number, std::function<void()> on_received)
+    : on_received_(std::move(on_received)),
+      event_(evsignal_new(loop.base(), number, InvokeFunction, &on_received_)) {
   event_add(event_.get(), nullptr);
 }
 
--- a/src/net/gossip_transport.h
+++ b/src/net/gossip_transport.h
@@ -1,4 +1,4 @@
-// Short notes between dispatchers, over UDP. They may be lost.
+// Short messages between dispatchers, over UDP.
 #ifndef SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
 #define SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
 
@@ -11,24 +11,33 @@
 
 namespace sagetally {
 
+// Does nothing if the configuration names no address to listen at. Messages may be lost. On the event loop's
+// thread.
 class GossipTransport {
  public:
-  static constexpr std::size_t kMostBytes = 256;  // a longer note voids the run
+  static constexpr std::size_t kMostBytes = 256;  // of a message; the platform forbids longer ones
 
-  GossipTransport(EventLoop& loop, const Config& config, std::function<void(const GossipReceived&)> note,
+  // `inherited`: the bound socket of another process, used if there is one. `config` must outlive this.
+  // Throws ListenError, or std::runtime_error if an address is malformed.
+  GossipTransport(EventLoop& loop, const Config& config,
+                  std::function<void(const GossipReceived&)> on_message,
                   FileDescriptor inherited = FileDescriptor());
   ~GossipTransport();
+
+  // Of the socket; -1 without one. Stays this object's.
   int descriptor() const { return socket_.get(); }
-  // To all; false if it was too long or there is nobody to tell.
+  // Sends to all dispatchers. False if the message is too long, could not be sent or there is nobody to send
+  // it to.
   bool Broadcast(const std::string& body);
 
  private:
-  static void Readable(evutil_socket_t, short, void* self);
+  static void OnReadable(evutil_socket_t, short, void* self);
+  void ReceiveMessage();
 
   const Config& config_;
-  std::function<void(const GossipReceived&)> note_;
+  std::function<void(const GossipReceived&)> on_message_;
   FileDescriptor socket_;
-  EventPtr event_;
+  EventPtr read_event_;
 };
 
 }  // namespace sagetally
--- a/src/net/handover_channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -3,84 +3,97 @@
 #include <fcntl.h>
 #include <poll.h>
 #include <sys/socket.h>
-#include <sys/stat.h>
 #include <sys/time.h>
 #include <sys/un.h>
+#include <unistd.h>
 
 #include <algorithm>
 #include <cerrno>
+#include <chrono>
 #include <cstring>
-#include <stdexcept>
 #include <utility>
 #include <vector>
 
+#include "net/listen_error.h"
+#include "net/unix_socket.h"
+
 namespace sagetally {
 namespace {
 
-constexpr std::size_t kPart = 32 * 1024;  // bytes of one packet on the wire, well under a socket's buffer
-constexpr std::size_t kMostWhole = 64 * 1024 * 1024;
-constexpr timeval kSendPatience{0, 500'000};
+// A packet goes in parts: kind, a byte that is 1 if more parts follow, and up to kMaxPartBytes bytes.
+constexpr std::size_t kPartHeadBytes = 2;
+constexpr std::size_t kMaxPartBytes = 32 * 1024;  // well below the size of a socket's buffer
+constexpr std::size_t kMaxPacketBytes = 64 * 1024 * 1024;
+constexpr timeval kSendTimeout{0, 500'000};
 constexpr int kBacklog = 4;
 
-// A state folder's path may be longer than the 107 bytes of a Unix socket's name: it is reached by
-// descriptor.
-sockaddr_un NameIn(const FileDescriptor& folder, const std::string& name) {
-  sockaddr_un at{};
-  at.sun_family = AF_UNIX;
+// The socket's address by the folder's descriptor, as the folder's path may be longer than the 107 bytes of a
+// Unix socket's name.
+sockaddr_un AddressIn(const FileDescriptor& folder, const std::string& name) {
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
   const std::string path = "/proc/self/fd/" + std::to_string(folder.get()) + "/" + name;
-  std::memcpy(at.sun_path, path.data(), std::min(path.size(), sizeof at.sun_path - 1));
-  return at;
+  std::memcpy(address.sun_path, path.data(), std::min(path.size(), sizeof address.sun_path - 1));
+  return address;
 }
+
 FileDescriptor OpenFolder(const std::string& folder) {
   return FileDescriptor(::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
 }
+
 FileDescriptor NewSocket(int flags) {
   return FileDescriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | flags, 0));
 }
 
+// Ancillary data with room for one descriptor.
+struct DescriptorMessage {
+  alignas(cmsghdr) char bytes[CMSG_SPACE(sizeof(int))] = {};
+};
+
+void AttachDescriptor(msghdr& message, DescriptorMessage& storage, int descriptor) {
+  message.msg_control = storage.bytes;
+  message.msg_controllen = sizeof storage.bytes;
+  cmsghdr* header = CMSG_FIRSTHDR(&message);
+  header->cmsg_level = SOL_SOCKET;
+  header->cmsg_type = SCM_RIGHTS;
+  header->cmsg_len = CMSG_LEN(sizeof(int));
+  std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
+}
+
+// Moves the descriptors that came with a message to `descriptor`; only the last one stays open.
+void TakeDescriptor(msghdr& message, FileDescriptor& descriptor) {
+  for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
+    int received = -1;
+    std::memcpy(&received, CMSG_DATA(header), sizeof received);
+    descriptor = FileDescriptor(received);
+  }
+}
+
 }  // namespace
 
-HandoverChannel::HandoverChannel(FileDescriptor fd) : fd_(std::move(fd)) {
-  ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDTIMEO, &kSendPatience, sizeof kSendPatience);
+HandoverChannel::HandoverChannel(FileDescriptor socket) : socket_(std::move(socket)) {
+  ::setsockopt(socket_.get(), SOL_SOCKET, SO_SNDTIMEO, &kSendTimeout, sizeof kSendTimeout);
 }
 
 HandoverChannel HandoverChannel::Connect(const std::string& folder, const std::string& name) {
-  const FileDescriptor there = OpenFolder(folder);
-  FileDescriptor fd = NewSocket(0);
-  const sockaddr_un at = NameIn(there, name);
-  if (there.get() < 0 || fd.get() < 0 ||
-      ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
+  const FileDescriptor folder_descriptor = OpenFolder(folder);
+  FileDescriptor socket = NewSocket(0);
+  const sockaddr_un address = AddressIn(folder_descriptor, name);
+  if (folder_descriptor.get() < 0 || socket.get() < 0 ||
+      ::connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     return HandoverChannel();
   }
-  return HandoverChannel(std::move(fd));
+  return HandoverChannel(std::move(socket));
 }
 
 bool HandoverChannel::Send(char kind, std::string_view bytes, int fd) {
   do {
     if (!is_open()) return false;
-    const std::string_view part = bytes.substr(0, kPart);
+    const std::string_view part = bytes.substr(0, kMaxPartBytes);
     bytes.remove_prefix(part.size());
-    char head[2] = {kind, static_cast<char>(bytes.empty() ? 0 : 1)};
-    iovec pieces[2] = {{head, sizeof head}, {const_cast<char*>(part.data()), part.size()}};
-    msghdr message{};
-    message.msg_iov = pieces;
-    message.msg_iovlen = 2;
-    alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
-    if (fd >= 0) {
-      message.msg_control = control;
-      message.msg_controllen = sizeof control;
-      cmsghdr* header = CMSG_FIRSTHDR(&message);
-      header->cmsg_level = SOL_SOCKET;
-      header->cmsg_type = SCM_RIGHTS;
-      header->cmsg_len = CMSG_LEN(sizeof(int));
-      std::memcpy(CMSG_DATA(header), &fd, sizeof fd);
-      fd = -1;  // goes with the first part
-    }
-    ssize_t sent = -1;
-    do {
-      sent = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-    } while (sent < 0 && errno == EINTR);
-    if (sent < 0) {
+    const int part_descriptor = std::exchange(fd, -1);  // goes with the first part
+    if (!SendPart(kind, !bytes.empty(), part, part_descriptor)) {
       Close();
       return false;
     }
@@ -88,100 +101,108 @@
   return true;
 }
 
-HandoverChannel::Got HandoverChannel::ReceivePart(Packet& packet, bool& more) {
-  std::vector<char> buffer(2 + kPart);
+bool HandoverChannel::SendPart(char kind, bool has_more, std::string_view bytes, int fd) {
+  char head[kPartHeadBytes] = {kind, static_cast<char>(has_more ? 1 : 0)};
+  iovec pieces[2] = {{head, sizeof head}, {const_cast<char*>(bytes.data()), bytes.size()}};
+  msghdr message{};
+  message.msg_iov = pieces;
+  message.msg_iovlen = std::size(pieces);
+  DescriptorMessage control;
+  if (fd >= 0) AttachDescriptor(message, control, fd);
+  ssize_t sent = -1;
+  do {
+    sent = ::sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
+  } while (sent < 0 && errno == EINTR);
+  return sent >= 0;
+}
+
+// Appends the part that comes next, if one has come, to `packet`.
+HandoverChannel::PartResult HandoverChannel::ReceivePart(Packet& packet) {
+  std::vector<char> buffer(kPartHeadBytes + kMaxPartBytes);
   iovec piece{buffer.data(), buffer.size()};
   msghdr message{};
   message.msg_iov = &piece;
   message.msg_iovlen = 1;
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
-  message.msg_control = control;
-  message.msg_controllen = sizeof control;
-  const ssize_t size = ::recvmsg(fd_.get(), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
-  if (size < 0 && (errno == EAGAIN || errno == EINTR)) return Got::kNothing;
-  for (cmsghdr* h = size < 0 ? nullptr : CMSG_FIRSTHDR(&message); h != nullptr;
-       h = CMSG_NXTHDR(&message, h)) {
-    if (h->cmsg_level != SOL_SOCKET || h->cmsg_type != SCM_RIGHTS) continue;
-    int fd = -1;
-    std::memcpy(&fd, CMSG_DATA(h), sizeof fd);
-    packet.fd = FileDescriptor(fd);
-  }
-  if (size < 2 || (message.msg_flags & MSG_TRUNC) != 0) return Got::kEnd;
+  DescriptorMessage control;
+  message.msg_control = control.bytes;
+  message.msg_controllen = sizeof control.bytes;
+  const ssize_t size = ::recvmsg(socket_.get(), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
+  if (size < 0 && (errno == EAGAIN || errno == EINTR)) return PartResult::kNothing;
+  if (size >= 0) TakeDescriptor(message, packet.fd);
+  const auto part_bytes = static_cast<std::size_t>(std::max<ssize_t>(size, 0));
+  if (part_bytes < kPartHeadBytes || (message.msg_flags & MSG_TRUNC) != 0) return PartResult::kEnded;
   packet.kind = buffer[0];
-  more = buffer[1] != 0;
-  packet.bytes.append(buffer.data() + 2, static_cast<std::size_t>(size) - 2);
-  return packet.bytes.size() > kMostWhole ? Got::kEnd : Got::kPart;
+  const bool has_more = buffer[1] != 0;
+  packet.bytes.append(buffer.data() + kPartHeadBytes, part_bytes - kPartHeadBytes);
+  if (packet.bytes.size() > kMaxPacketBytes) return PartResult::kEnded;
+  return has_more ? PartResult::kMoreParts : PartResult::kWholePacket;
 }
 
 std::optional<Packet> HandoverChannel::Receive(Duration within) {
-  const auto until = std::chrono::steady_clock::now() + within;
+  const auto deadline = std::chrono::steady_clock::now() + within;
   while (is_open()) {
-    bool more = false;
-    switch (ReceivePart(partial_, more)) {
-      case Got::kPart:
-        if (!more) return std::exchange(partial_, Packet());
+    switch (ReceivePart(partial_packet_)) {
+      case PartResult::kWholePacket:
+        return std::exchange(partial_packet_, Packet());
+      case PartResult::kMoreParts:
         continue;
-      case Got::kEnd:
+      case PartResult::kEnded:
         Close();
-        return {};
-      case Got::kNothing:
+        return std::nullopt;
+      case PartResult::kNothing:
         break;
     }
-    const auto left =
-        std::chrono::ceil<std::chrono::milliseconds>(until - std::chrono::steady_clock::now()).count();
-    if (left <= 0) return {};
-    pollfd waits{fd_.get(), POLLIN, 0};
-    ::poll(&waits, 1, static_cast<int>(left));
+    const auto time_left = deadline - std::chrono::steady_clock::now();
+    const auto milliseconds = std::chrono::ceil<std::chrono::milliseconds>(time_left).count();
+    if (milliseconds <= 0) return std::nullopt;
+    pollfd readable{socket_.get(), POLLIN, 0};
+    ::poll(&readable, 1, static_cast<int>(milliseconds));
   }
-  return {};
-}
-
-void HandoverChannel::OnReadable(EventLoop& loop, std::function<void(Packet)> packet,
-                                 std::function<void()> ended) {
-  packet_ = std::move(packet);
-  ended_ = std::move(ended);
-  event_.reset(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Readable, this));
-  event_add(event_.get(), nullptr);
-}
-
-void HandoverChannel::Readable(evutil_socket_t, short, void* self) {
-  auto* c = static_cast<HandoverChannel*>(self);
-  bool more = false;
-  const Got got = c->ReceivePart(c->partial_, more);
-  if (got == Got::kEnd) {
-    c->Close();
-    c->ended_();
-  } else if (got == Got::kPart && !more) {
-    c->packet_(std::exchange(c->partial_, Packet()));
+  return std::nullopt;
+}
+
+void HandoverChannel::OnReadable(EventLoop& loop, std::function<void(Packet)> on_packet,
+                                 std::function<void()> on_ended) {
+  on_packet_ = std::move(on_packet);
+  on_ended_ = std::move(on_ended);
+  read_event_ = StartReadEvent(loop, socket_.get(), OnSocketReadable, this);
+}
+
+void HandoverChannel::OnSocketReadable(evutil_socket_t, short, void* self) {
+  auto* channel = static_cast<HandoverChannel*>(self);
+  const PartResult result = channel->ReceivePart(channel->partial_packet_);
+  if (result == PartResult::kEnded) {
+    channel->Close();
+    channel->on_ended_();
+  } else if (result == PartResult::kWholePacket) {
+    channel->on_packet_(std::exchange(channel->partial_packet_, Packet()));
   }
 }
 
 void HandoverChannel::Close() {
-  event_.reset();
-  fd_ = FileDescriptor();
+  read_event_.reset();
+  socket_ = FileDescriptor();
 }
 
 HandoverListener::HandoverListener(EventLoop& loop, const std::string& folder, const std::string& name,
-                                   std::function<void(HandoverChannel)> came)
-    : fd_(NewSocket(SOCK_NONBLOCK)), came_(std::move(came)) {
-  const FileDescriptor there = OpenFolder(folder);
-  const sockaddr_un at = NameIn(there, name);
-  ::unlinkat(there.get(), name.c_str(), 0);
-  const mode_t before = ::umask(0177);  // from the first moment nobody else may connect
-  const bool bound = ::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
-  const int error = errno;
-  ::umask(before);
-  if (!bound || ::listen(fd_.get(), kBacklog) != 0) {
-    throw std::runtime_error(folder + "/" + name + ": " + std::strerror(bound ? errno : error));
+                                   std::function<void(HandoverChannel)> on_accepted)
+    : socket_(NewSocket(SOCK_NONBLOCK)), on_accepted_(std::move(on_accepted)) {
+  const FileDescriptor folder_descriptor = OpenFolder(folder);
+  const sockaddr_un address = AddressIn(folder_descriptor, name);
+  ::unlinkat(folder_descriptor.get(), name.c_str(), 0);
+  int error_number = BindForOwnerOnly(socket_, address);
+  if (error_number == 0 && ::listen(socket_.get(), kBacklog) != 0) error_number = errno;
+  if (error_number != 0) {
+    const std::string path = folder + "/" + name;
+    throw ListenError(path + ": " + std::strerror(error_number), path, error_number);
   }
-  event_.reset(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Acceptable, this));
-  event_add(event_.get(), nullptr);
+  accept_event_ = StartReadEvent(loop, socket_.get(), OnAcceptable, this);
 }
 
-void HandoverListener::Acceptable(evutil_socket_t, short, void* self) {
+void HandoverListener::OnAcceptable(evutil_socket_t, short, void* self) {
   auto* listener = static_cast<HandoverListener*>(self);
-  FileDescriptor fd(::accept4(listener->fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-  if (fd.get() >= 0) listener->came_(HandoverChannel(std::move(fd)));
+  FileDescriptor socket(::accept4(listener->socket_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+  if (socket.get() >= 0) listener->on_accepted_(HandoverChannel(std::move(socket)));
 }
 
 }  // namespace sagetally
--- a/src/net/handover_channel.h
+++ b/src/net/handover_channel.h
@@ -1,5 +1,5 @@
-// A local channel between two processes of one node: packets in order, each with a kind, bytes and perhaps a
-// descriptor. A Unix socket of type SEQPACKET, reached by a name in the node's state folder.
+// The channel between two processes of one node during an upgrade: a Unix socket of type SEQPACKET, reached
+// by a name in the node's state folder.
 #ifndef SAGETALLY_SRC_NET_HANDOVER_CHANNEL_H_
 #define SAGETALLY_SRC_NET_HANDOVER_CHANNEL_H_
 
@@ -13,52 +13,64 @@
 
 namespace sagetally {
 
+// `kind` and `bytes` mean what the two processes have agreed on.
 struct Packet {
   char kind = 0;
   std::string bytes = {};
-  FileDescriptor fd = FileDescriptor();
+  FileDescriptor fd = FileDescriptor();  // that came with it, if any
 };
 
+// Packets in order, in both directions. Used by one thread, and until OnReadable() without an event loop.
 class HandoverChannel {
  public:
   HandoverChannel() = default;
-  explicit HandoverChannel(FileDescriptor fd);
-  // Not open() if nobody listens there.
+  // Takes over a connected socket.
+  explicit HandoverChannel(FileDescriptor socket);
+  // Not is_open() if nobody listens there.
   static HandoverChannel Connect(const std::string& folder, const std::string& name);
 
-  bool is_open() const { return fd_.get() >= 0; }
-  // Blocks for half a second at most; false, and closed, if the other side is gone or takes nothing.
+  bool is_open() const { return socket_.get() >= 0; }
+  // Sends a packet, and a copy of the descriptor `fd` unless it is -1. Blocks for half a second at most for
+  // each part; false, and closed, if the other side is gone or reads nothing.
   bool Send(char kind, std::string_view bytes = {}, int fd = -1);
-  // Blocks. None if nothing whole comes in time, or the other side is gone (then no longer open()).
+  // Blocks. None if no whole packet comes within that time, or the other side is gone (then no longer
+  // is_open()).
   std::optional<Packet> Receive(Duration within);
 
-  // From now on packets are handed over as they come; `ended` once the other side is gone.
-  void OnReadable(EventLoop& loop, std::function<void(Packet)> packet, std::function<void()> ended);
+  // From now on calls `on_packet` for each packet as it comes, and `on_ended` once the other side is gone.
+  // This object must not be moved any more.
+  void OnReadable(EventLoop& loop, std::function<void(Packet)> on_packet, std::function<void()> on_ended);
   void Close();
 
  private:
-  static void Readable(evutil_socket_t, short, void* self);
-  enum class Got { kPart, kNothing, kEnd };
-  Got ReceivePart(Packet& packet, bool& more);
+  enum class PartResult { kMoreParts, kWholePacket, kNothing, kEnded };
 
-  FileDescriptor fd_;
-  EventPtr event_;
-  Packet partial_;
-  std::function<void(Packet)> packet_;
-  std::function<void()> ended_;
+  static void OnSocketReadable(evutil_socket_t, short, void* self);
+  bool SendPart(char kind, bool has_more, std::string_view bytes, int fd);
+  PartResult ReceivePart(Packet& packet);
+
+  FileDescriptor socket_;
+  EventPtr read_event_;
+  Packet partial_packet_;
+  std::function<void(Packet)> on_packet_;
+  std::function<void()> on_ended_;
 };
 
+// Accepts channels of other processes of the same user. On the event loop's thread.
 class HandoverListener {
  public:
-  // Replaces a socket of that name. Throws std::runtime_error.
+  // Replaces a socket of that name. Throws ListenError.
   HandoverListener(EventLoop& loop, const std::string& folder, const std::string& name,
-                   std::function<void(HandoverChannel)> came);
+                   std::function<void(HandoverChannel)> on_accepted);
+  HandoverListener(const HandoverListener&) = delete;
+  HandoverListener& operator=(const HandoverListener&) = delete;
 
  private:
-  static void Acceptable(evutil_socket_t, short, void* self);
-  FileDescriptor fd_;
-  EventPtr event_;
-  std::function<void(HandoverChannel)> came_;
+  static void OnAcceptable(evutil_socket_t, short, void* self);
+
+  FileDescriptor socket_;
+  std::function<void(HandoverChannel)> on_accepted_;
+  EventPtr accept_event_;
 };
 
 }  // namespace sagetally
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -3,80 +3,92 @@
 #include <event2/buffer.h>
 #include <event2/keyvalq_struct.h>
 
+#include <utility>
+
 #include "net/http_connection.h"
+#include "net/socket_address.h"
 #include "net/write_observer.h"
 
 namespace sagetally {
 namespace {
 
-constexpr std::size_t kMostAnswer = 64 * 1024 * 1024;  // a registry's list of all applications
+constexpr std::size_t kMaxResponseBytes = 64 * 1024 * 1024;  // a registry's list of all applications
+
+void ReadResponse(evhttp_request* request, HttpResult& result) {
+  evbuffer* input = evhttp_request_get_input_buffer(request);
+  result.body.assign(evbuffer_get_length(input), '\0');
+  evbuffer_copyout(input, result.body.data(), result.body.size());
+  const evkeyvalq* headers = evhttp_request_get_input_headers(request);
+  for (const evkeyval* header = headers->tqh_first; header != nullptr; header = header->next.tqe_next) {
+    result.headers.emplace_back(header->key, header->value);
+  }
+}
 
 }  // namespace
 
 class HttpClient::PendingCall {
  public:
-  PendingCall(HttpClient& calls, const Address& to, Done done)
-      : calls_(calls),
+  PendingCall(HttpClient& client, const Address& address, Done done)
+      : client_(client),
         done_(std::move(done)),
-        connection_(OpenConnection(calls.loop_, to, kMostAnswer, kMostAnswer)),
-        watch_(connection_.get(), [] {}),
-        time_out_(calls.loop_, [this] {
-          End({0, watch_.written()});
-        }) {}
-  void Send(evhttp_request* request, evhttp_cmd_type method, const std::string& path, Duration time_out) {
-    time_out_.Schedule(time_out);
+        connection_(OpenHttpConnection(client.loop_, address, {kMaxResponseBytes, kMaxResponseBytes})),
+        write_observer_(connection_.get(), [] {}),
+        timer_(client.loop_, [this] { OnTimeout(); }) {}
+
+  void Send(evhttp_request* request, evhttp_cmd_type method, const std::string& path, Duration timeout) {
+    timer_.Schedule(timeout);
     evhttp_make_request(connection_.get(), request, method, path.c_str());
   }
-  static void Answered(evhttp_request* request, void* self) {
-    auto* one = static_cast<PendingCall*>(self);
-    HttpResult result{request == nullptr ? 0 : evhttp_request_get_response_code(request),
-                      one->watch_.written()};
-    if (result.status_code != 0) {
-      evbuffer* in = evhttp_request_get_input_buffer(request);
-      result.body.assign(evbuffer_get_length(in), '\0');
-      evbuffer_copyout(in, result.body.data(), result.body.size());
-      const evkeyvalq* headers = evhttp_request_get_input_headers(request);
-      for (const evkeyval* h = headers->tqh_first; h != nullptr; h = h->next.tqe_next) {
-        result.headers.emplace_back(h->key, h->value);
-      }
-    }
-    one->End(result);
+
+  // Null or status code 0: the connection failed.
+  static void OnResponse(evhttp_request* request, void* self) {
+    auto* call = static_cast<PendingCall*>(self);
+    HttpResult result;
+    result.status_code = request == nullptr ? 0 : evhttp_request_get_response_code(request);
+    result.request_written = call->write_observer_.is_written();
+    if (result.status_code != 0) ReadResponse(request, result);
+    call->Finish(result);
   }
 
  private:
-  void End(const HttpResult& result) {
-    const auto at = calls_.out_.find(this);
-    if (at == calls_.out_.end()) return;
-    time_out_.Stop();
-    calls_.over_.push_back(std::move(at->second));
-    calls_.out_.erase(at);
-    calls_.sweep_.Schedule(Duration(0));
+  void OnTimeout() {
+    HttpResult result;
+    result.request_written = write_observer_.is_written();
+    Finish(result);
+  }
+
+  void Finish(const HttpResult& result) {
+    const auto found = client_.pending_calls_.find(this);
+    if (found == client_.pending_calls_.end()) return;
+    timer_.Stop();
+    client_.finished_calls_.Delete(std::move(found->second));
+    client_.pending_calls_.erase(found);
     done_(result);
   }
 
-  HttpClient& calls_;
+  HttpClient& client_;
   Done done_;
   ConnectionPtr connection_;
-  WriteObserver watch_;
-  Timer time_out_;
+  WriteObserver write_observer_;
+  Timer timer_;
 };
 
-HttpClient::HttpClient(EventLoop& loop) : loop_(loop), sweep_(loop, [this] { over_.clear(); }) {}
+HttpClient::HttpClient(EventLoop& loop) : loop_(loop), finished_calls_(loop) {}
+
 HttpClient::~HttpClient() = default;
 
-void HttpClient::Send(const Address& to, evhttp_cmd_type method, const std::string& path,
-                      const std::vector<std::pair<std::string, std::string>>& headers,
-                      const std::string& body, Duration time_out, Done done) {
-  auto one = std::make_unique<PendingCall>(*this, to, std::move(done));
-  PendingCall* raw = one.get();
-  evhttp_request* request = evhttp_request_new(PendingCall::Answered, raw);
-  evkeyvalq* out = evhttp_request_get_output_headers(request);
-  evhttp_add_header(out, "Host", (to.host + ":" + std::to_string(to.port)).c_str());
-  evhttp_add_header(out, "Connection", "close");
-  for (const auto& [name, value] : headers) evhttp_add_header(out, name.c_str(), value.c_str());
+void HttpClient::Send(const Address& address, evhttp_cmd_type method, const std::string& path,
+                      const HttpHeaders& headers, const std::string& body, Duration timeout, Done done) {
+  auto owned = std::make_unique<PendingCall>(*this, address, std::move(done));
+  PendingCall* call = owned.get();
+  evhttp_request* request = evhttp_request_new(PendingCall::OnResponse, call);
+  evkeyvalq* output_headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(output_headers, "Host", FormatAddress(address).c_str());
+  evhttp_add_header(output_headers, "Connection", "close");
+  for (const auto& [name, value] : headers) evhttp_add_header(output_headers, name.c_str(), value.c_str());
   evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
-  out_[raw] = std::move(one);
-  raw->Send(request, method, path, time_out);
+  pending_calls_[call] = std::move(owned);
+  call->Send(request, method, path, timeout);
 }
 
 }  // namespace sagetally
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -6,38 +6,39 @@
 #include <map>
 #include <memory>
 #include <string>
-#include <utility>
-#include <vector>
 
 #include "config/config.h"
+#include "net/deferred_deleter.h"
 #include "net/event_loop.h"
+#include "net/http_headers.h"
 
 namespace sagetally {
 
 struct HttpResult {
-  int status_code = 0;           // 0: no answer
-  bool request_written = false;  // the whole request went out: it may have been read
+  int status_code = 0;           // 0: no response
+  bool request_written = false;  // the whole request was written: the peer may have read it
   std::string body = {};
-  std::vector<std::pair<std::string, std::string>> headers = {};
+  HttpHeaders headers = {};
 };
 
+// On the event loop's thread. Its destructor drops the requests that are in flight without a result.
 class HttpClient {
  public:
   using Done = std::function<void(const HttpResult&)>;
+
   explicit HttpClient(EventLoop& loop);
   ~HttpClient();
 
-  void Send(const Address& to, evhttp_cmd_type method, const std::string& path,
-            const std::vector<std::pair<std::string, std::string>>& headers, const std::string& body,
-            Duration time_out, Done done);
+  // `done` is called once: with the response, or with status code 0 if there is none within `timeout`.
+  void Send(const Address& address, evhttp_cmd_type method, const std::string& path,
+            const HttpHeaders& headers, const std::string& body, Duration timeout, Done done);
 
  private:
   class PendingCall;
 
   EventLoop& loop_;
-  std::map<PendingCall*, std::unique_ptr<PendingCall>> out_;
-  std::vector<std::unique_ptr<PendingCall>> over_;  // freed once libevent is out of them
-  Timer sweep_;
+  std::map<PendingCall*, std::unique_ptr<PendingCall>> pending_calls_;
+  DeferredDeleter<PendingCall> finished_calls_;
 };
 
 }  // namespace sagetally
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -2,6 +2,7 @@
 
 #include <event2/buffer.h>
 
+#include <chrono>
 #include <utility>
 
 #include "config/json.h"
@@ -10,24 +11,31 @@
 namespace sagetally {
 namespace {
 
-constexpr Duration kAgain = std::chrono::milliseconds(50);
-constexpr Duration kUnheard = std::chrono::milliseconds(500);  // the agent answers at once
-constexpr std::size_t kMostLines = 200;                        // in one post
-constexpr std::size_t kMostAnswer = 64 * 1024;
-
-std::string Line(const Message& m) {
-  std::string line = "{\"id\":" + json::Quote(m.request.id) + ",\"status\":";
-  if (m.final_status != FinalStatus::kRejected) return line + "\"undeliverable\"}\n";
+constexpr Duration kRetryDelay = std::chrono::milliseconds(50);
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(500);  // the agent answers at once
+constexpr std::size_t kMaxBatchSize = 200;                             // notifications
+constexpr std::size_t kMaxResponseBytes = 64 * 1024;
+constexpr int kBadRequest = 400;
+
+// A line of the platform's protocol: {"id":..,"status":"undeliverable"}, or "deferred" with the time after
+// which the message may come again.
+std::string EncodePlatformNotice(const Message& message) {
+  std::string line = "{\"id\":" + json::Quote(message.request.id) + ",\"status\":";
+  if (message.final_status != FinalStatus::kRejected) return line + "\"undeliverable\"}\n";
   line += "\"deferred\"";
-  const auto again = std::chrono::duration_cast<std::chrono::milliseconds>(m.retry_after).count();
-  if (again > 0) line += ",\"again_ms\":" + std::to_string(again);
+  const auto retry_after = std::chrono::duration_cast<std::chrono::milliseconds>(message.retry_after).count();
+  if (retry_after > 0) line += ",\"again_ms\":" + std::to_string(retry_after);
   return line + "}\n";
 }
 
 }  // namespace
 
 NotificationClient::Encoding NotificationClient::PlatformEncoding() {
-  return {"/v1/notices", "application/json", "", "", "", Line};
+  Encoding encoding;
+  encoding.path = "/v1/notices";
+  encoding.content_type = "application/json";
+  encoding.line = EncodePlatformNotice;
+  return encoding;
 }
 
 NotificationClient::Encoding NotificationClient::BatchEncoding(
@@ -35,85 +43,96 @@
   return {std::move(path), "application/cloudevents-batch+json", "[", ",", "]", std::move(event)};
 }
 
-NotificationClient::NotificationClient(EventLoop& loop, const Address& to, Encoding form,
-                                       std::function<void(std::uint64_t)> heard, Logger& log)
+NotificationClient::NotificationClient(EventLoop& loop, const Address& address, Encoding encoding,
+                                       std::function<void(std::uint64_t)> on_acknowledged, Logger& log)
     : loop_(loop),
-      to_(to),
-      form_(std::move(form)),
-      heard_(std::move(heard)),
+      address_(address),
+      encoding_(std::move(encoding)),
+      on_acknowledged_(std::move(on_acknowledged)),
       log_(log),
-      post_(loop, [this] { Post(); }),
-      unheard_(loop, [this] { Failed("no answer"); }) {}
+      post_timer_(loop, [this] { PostBatch(); }),
+      response_timer_(loop, [this] { OnBatchFailed("no answer"); }) {}
+
 NotificationClient::~NotificationClient() = default;
 
 void NotificationClient::Notify(const Message& message) {
-  waiting_[message.number] = form_.line(message);
-  if (out_.empty() && !post_.pending()) post_.Schedule(Duration(0));
+  pending_[message.number] = encoding_.line(message);
+  if (in_flight_.empty() && !post_timer_.pending()) post_timer_.Schedule(Duration(0));
 }
 
-void NotificationClient::ChangeAddress(const Address& to) {
-  to_ = to;
+void NotificationClient::ChangeAddress(const Address& address) {
+  address_ = address;
   connection_.reset();
-  unheard_.Stop();
-  out_.clear();
-  post_.Schedule(Duration(0));
+  response_timer_.Stop();
+  in_flight_.clear();
+  post_timer_.Schedule(Duration(0));
 }
 
 void NotificationClient::Shutdown() {
-  waiting_.clear();
-  out_.clear();
+  pending_.clear();
+  in_flight_.clear();
   connection_.reset();
-  post_.Stop();
-  unheard_.Stop();
+  post_timer_.Stop();
+  response_timer_.Stop();
 }
 
-void NotificationClient::Post() {
-  if (waiting_.empty()) return;
-  // Guards a notice against the answer to an earlier post that was given up, and against a connection that
-  // has fallen silent.
-  if (failing_) connection_.reset();
-  if (!connection_) connection_ = OpenConnection(loop_, to_, kMostAnswer, kMostAnswer);
-  evhttp_request* request = evhttp_request_new(Done, this);
+void NotificationClient::PostBatch() {
+  if (pending_.empty()) return;
+  // After a failure the old connection may have fallen silent, or still bring the response to the batch that
+  // was given up, which would be taken for the response to this one.
+  if (is_failing_) connection_.reset();
+  if (!connection_) {
+    connection_ = OpenHttpConnection(loop_, address_, {kMaxResponseBytes, kMaxResponseBytes});
+  }
+  evhttp_request* request = evhttp_request_new(OnResponse, this);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
-  evhttp_add_header(headers, "Host", to_.host.c_str());
-  evhttp_add_header(headers, "Content-Type", form_.content_type.c_str());
-  evbuffer* body = evhttp_request_get_output_buffer(request);
-  std::string text = form_.open;
-  for (const auto& [number, line] : waiting_) {
-    if (out_.size() >= kMostLines) break;
-    if (!out_.empty()) text += form_.between;
-    out_.push_back(number);
-    text += line;
+  evhttp_add_header(headers, "Host", address_.host.c_str());
+  evhttp_add_header(headers, "Content-Type", encoding_.content_type.c_str());
+  const std::string body = TakeBatch();
+  evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
+  response_timer_.Schedule(kResponseTimeout);
+  evhttp_make_request(connection_.get(), request, EVHTTP_REQ_POST, encoding_.path.c_str());
+}
+
+// The body of the next batch, whose numbers go to in_flight_.
+std::string NotificationClient::TakeBatch() {
+  std::string body = encoding_.open;
+  for (const auto& [number, notification] : pending_) {
+    if (in_flight_.size() >= kMaxBatchSize) break;
+    if (!in_flight_.empty()) body += encoding_.between;
+    in_flight_.push_back(number);
+    body += notification;
   }
-  text += form_.close;
-  evbuffer_add(body, text.data(), text.size());
-  unheard_.Schedule(kUnheard);
-  evhttp_make_request(connection_.get(), request, EVHTTP_REQ_POST, form_.path.c_str());
+  return body + encoding_.close;
+}
+
+void NotificationClient::OnBatchFailed(const char* reason) {
+  if (!is_failing_) log_.Warn("notifications.failing", {{"reason", reason}});
+  is_failing_ = true;
+  response_timer_.Stop();
+  in_flight_.clear();
+  post_timer_.Schedule(kRetryDelay);
 }
 
-void NotificationClient::Failed(const char* how) {
-  if (!failing_) log_.Warn("notices.unheard", {{"how", how}});
-  failing_ = true;
-  unheard_.Stop();
-  out_.clear();
-  post_.Schedule(kAgain);
+void NotificationClient::OnResponse(evhttp_request* request, void* self) {
+  auto* client = static_cast<NotificationClient*>(self);
+  if (!client->response_timer_.pending()) return;  // the batch was given up
+  client->OnStatus(request == nullptr ? 0 : evhttp_request_get_response_code(request));
 }
 
-void NotificationClient::Done(evhttp_request* request, void* self) {
-  auto* n = static_cast<NotificationClient*>(self);
-  if (!n->unheard_.pending()) return;
-  const int code = request == nullptr ? 0 : evhttp_request_get_response_code(request);
-  if (code == 0) return n->Failed("no connection");
-  if (code == 400) n->log_.Error("notices.rejected", {{"answer", code}});
-  if (code < 200 || code > 299) return n->Failed("not heard");
-  if (n->failing_) n->log_.Info("notices.heard");
-  n->failing_ = false;
-  n->unheard_.Stop();
-  for (const std::uint64_t number : std::exchange(n->out_, {})) {
-    n->waiting_.erase(number);
-    n->heard_(number);
+// `status`: 0 if the connection failed.
+void NotificationClient::OnStatus(int status) {
+  if (status == 0) return OnBatchFailed("no connection");
+  if (status == kBadRequest) log_.Error("notifications.rejected", {{"status", status}});
+  if (status < 200 || status > 299) return OnBatchFailed("not acknowledged");
+  if (is_failing_) log_.Info("notifications.recovered");
+  is_failing_ = false;
+  response_timer_.Stop();
+  for (const std::uint64_t number : std::exchange(in_flight_, {})) {
+    pending_.erase(number);
+    on_acknowledged_(number);
   }
-  if (!n->waiting_.empty()) n->post_.Schedule(Duration(0));
+  if (!pending_.empty()) post_timer_.Schedule(Duration(0));
 }
 
 }  // namespace sagetally
--- a/src/net/notification_client.h
+++ b/src/net/notification_client.h
@@ -1,8 +1,9 @@
-// Tells the ends of messages taken on and not delivered, again until they were heard: to the platform as
-// notices, to the sink of events as result events.
+// Reports to their senders the messages that ended undelivered: to the platform as notices, to the event sink
+// as result events.
 #ifndef SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
 #define SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <string>
@@ -15,43 +16,57 @@
 
 namespace sagetally {
 
+// Posts notifications in batches, one batch at a time, and again until they were acknowledged (2xx). On the
+// event loop's thread.
 class NotificationClient : public Notifier {
  public:
-  struct Encoding {  // of a post
-    std::string path, content_type, open, between, close;
-    std::function<std::string(const Message&)> line;
+  // How a batch is written.
+  struct Encoding {
+    std::string path;
+    std::string content_type;
+    std::string open;                                 // before the first notification
+    std::string between;                              // between two
+    std::string close;                                // after the last
+    std::function<std::string(const Message&)> line;  // one notification
   };
-  static Encoding PlatformEncoding();  // JSON lines at the platform's own address
-  static Encoding BatchEncoding(std::string path,
-                                std::function<std::string(const Message&)> event);  // of CloudEvents
+  // JSON lines, to the platform's own address.
+  static Encoding PlatformEncoding();
+  // A batch of CloudEvents.
+  static Encoding BatchEncoding(std::string path, std::function<std::string(const Message&)> event);
 
-  // `heard` is called for each message whose notice was answered with success.
-  NotificationClient(EventLoop& loop, const Address& to, Encoding form,
-                     std::function<void(std::uint64_t)> heard, Logger& log);
+  // `on_acknowledged` is called with the number of each message whose notification was acknowledged.
+  NotificationClient(EventLoop& loop, const Address& address, Encoding encoding,
+                     std::function<void(std::uint64_t)> on_acknowledged, Logger& log);
   ~NotificationClient() override;
 
   void Notify(const Message& message) override;
-  void Forget(std::uint64_t number) { waiting_.erase(number); }
-  bool idle() const { return waiting_.empty(); }
-  // What was not heard yet is told at another address.
-  void ChangeAddress(const Address& to);
-  void Shutdown();  // another process tells what is waiting
+  // Drops the notification of a message, if it is pending.
+  void Forget(std::uint64_t number) { pending_.erase(number); }
+  // Everything was acknowledged.
+  bool idle() const { return pending_.empty(); }
+  // What was not acknowledged yet goes to another address.
+  void ChangeAddress(const Address& address);
+  // Drops what is pending: another process sends it.
+  void Shutdown();
 
  private:
-  void Post();
-  void Failed(const char* how);
-  static void Done(evhttp_request* request, void* self);
+  void PostBatch();
+  std::string TakeBatch();
+  void OnBatchFailed(const char* reason);
+  static void OnResponse(evhttp_request* request, void* self);
+  void OnStatus(int status);
 
   EventLoop& loop_;
-  Address to_;
-  const Encoding form_;
-  std::function<void(std::uint64_t)> heard_;
+  Address address_;
+  const Encoding encoding_;
+  std::function<void(std::uint64_t)> on_acknowledged_;
   Logger& log_;
-  std::map<std::uint64_t, std::string> waiting_;  // as posted
-  std::vector<std::uint64_t> out_;                // in the post that is out
-  bool failing_ = false;
+  std::map<std::uint64_t, std::string> pending_;  // by number of the message, encoded
+  std::vector<std::uint64_t> in_flight_;          // numbers in the batch that is being posted
+  bool is_failing_ = false;                       // the last batch failed
   ConnectionPtr connection_;
-  Timer post_, unheard_;
+  Timer post_timer_;
+  Timer response_timer_;
 };
 
 }  // namespace sagetally
--- a/src/net/wakeup_descriptor.h
+++ b/src/net/wakeup_descriptor.h
@@ -1,4 +1,4 @@
-// Rung by any thread, heard on the loop.
+// Wakes the event loop from another thread.
 #ifndef SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
 #define SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
 
@@ -14,29 +14,33 @@
 
 namespace sagetally {
 
+// An eventfd that any thread may notify, and that calls back on the loop's thread. Notifications that come
+// before the loop wakes give one callback together. Constructed and destroyed on the loop's thread.
 class WakeupDescriptor {
  public:
-  WakeupDescriptor(EventLoop& loop, std::function<void()> rung)
-      : rung_(std::move(rung)),
-        fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
-        event_(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Heard, this)) {
-    event_add(event_.get(), nullptr);
-  }
+  WakeupDescriptor(EventLoop& loop, std::function<void()> on_notified)
+      : on_notified_(std::move(on_notified)),
+        descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
+        event_(StartReadEvent(loop, descriptor_.get(), OnReadable, this)) {}
   WakeupDescriptor(const WakeupDescriptor&) = delete;
   WakeupDescriptor& operator=(const WakeupDescriptor&) = delete;
+
+  // From any thread. Does not block.
   void Notify() const {
-    const std::uint64_t one = 1;
-    [[maybe_unused]] const auto written = ::write(fd_.get(), &one, sizeof one);
+    const std::uint64_t increment = 1;
+    // Fails only where the counter is full, and then the loop is due to wake anyway.
+    [[maybe_unused]] const auto written = ::write(descriptor_.get(), &increment, sizeof increment);
   }
 
  private:
-  static void Heard(evutil_socket_t fd, short, void* self) {
-    std::uint64_t times = 0;
-    [[maybe_unused]] const auto got = ::read(fd, &times, sizeof times);
-    static_cast<WakeupDescriptor*>(self)->rung_();
+  static void OnReadable(evutil_socket_t descriptor, short, void* self) {
+    std::uint64_t notification_count = 0;
+    [[maybe_unused]] const auto size = ::read(descriptor, &notification_count, sizeof notification_count);
+    static_cast<WakeupDescriptor*>(self)->on_notified_();
   }
-  std::function<void()> rung_;
-  FileDescriptor fd_;
+
+  std::function<void()> on_notified_;
+  FileDescriptor descriptor_;
   EventPtr event_;
 };
 
