--- /dev/null
+++ b/src/net/endpoint_connection.cpp
@@ -0,0 +1,220 @@
+#include "net/endpoint_connection.h"
+
+#include <event2/buffer.h>
+#include <event2/bufferevent.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <utility>
+
+#include "net/endpoint_call_codec.h"
+
+namespace sagetally {
+namespace {
+
+// The longest time for which a response to an abandoned call is still read; kCloseSettleTime is the shortest.
+constexpr Duration kMaxListenTime = std::chrono::milliseconds(100);
+// Idle connections are closed this much before the endpoint's machine may close them.
+constexpr Duration kIdleMargin = std::chrono::milliseconds(1000);
+
+bool WouldBlock(int error_number) { return error_number == EAGAIN || error_number == EWOULDBLOCK; }
+
+}  // namespace
+
+EndpointConnection::EndpointConnection(EventLoop& loop, Timeouts timeouts, PooledEndpoint& endpoint,
+                                       Owner& owner)
+    : owner_(owner),
+      endpoint_(endpoint),
+      timeouts_(timeouts),
+      address_text_(endpoint.address_text),
+      buffers_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)),
+      connect_timer_(loop, [this] { FinishWithoutResponse(Outcome::kConnectFailed); }),
+      call_timer_(loop, [this] { AbandonCall(Outcome::kTimeout); }),
+      listen_timer_(loop, [this] { FinishWithoutResponse(*abandoned_as_); }),
+      idle_timer_(loop, [this] { owner_.OnUnusable(*this); }),
+      write_timer_(loop, [this] { OnWriteDeadline(); }),
+      reader_(loop, [this] { OnInvalidResponse(); }) {
+  bufferevent_setcb(buffers_.get(), OnReadable, OnOutputDrained, OnEvent, this);
+  bufferevent_setwatermark(buffers_.get(), EV_READ, 0, ResponseReader::kMaxUnparsedBytes);
+  bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
+  opened_at_ = std::chrono::steady_clock::now();
+  connect_timer_.Schedule(timeouts_.connect);
+  const sockaddr_in& address = endpoint.address;
+  if (bufferevent_socket_connect(buffers_.get(), reinterpret_cast<const sockaddr*>(&address),
+                                 sizeof address) != 0) {
+    connect_timer_.Schedule(Duration(0));
+  }
+}
+
+bool EndpointConnection::IsUsable() const {
+  return address_text_ == endpoint_.address_text && !endpoint_.is_removed && NothingReceived();
+}
+
+bool EndpointConnection::IsWritten() const {
+  return is_connected_ && unsent_call_.empty() && evbuffer_get_length(output()) == 0;
+}
+
+// No byte that was not read, no end, no reset.
+bool EndpointConnection::NothingReceived() const {
+  char byte = 0;
+  return evbuffer_get_length(input()) == 0 && ::recv(socket(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
+         WouldBlock(errno);
+}
+
+void EndpointConnection::StartCall(const CallRequest& call) {
+  message_number_ = call.number;
+  has_call_ = true;
+  is_write_reported_ = false;
+  responded_early_ = false;
+  reader_.ExpectResponse();
+  idle_timer_.Stop();
+  unsent_call_ = EncodeCall(call, address_text_);
+  call_timer_.Schedule(call.timeout);
+  write_deadline_ = std::chrono::steady_clock::time_point::max();
+  if (call.write_within) {
+    write_deadline_ = std::chrono::steady_clock::now() + *call.write_within;
+    write_timer_.Schedule(*call.write_within);
+  }
+  if (is_connected_) WriteCall();
+}
+
+void EndpointConnection::BecomeIdle() {
+  idle_since_ = std::chrono::steady_clock::now();
+  idle_timer_.Schedule(std::max<Duration>(timeouts_.idle - kIdleMargin, timeouts_.idle / 2));
+}
+
+void EndpointConnection::AbandonCall(Outcome outcome) {
+  if (abandoned_as_) return;
+  if (!IsWritten()) return FinishWithoutResponse(Outcome::kConnectFailed);
+  if (reader_.has_ok_status()) return FinishWithoutResponse(outcome);
+  abandoned_as_ = outcome;
+  call_timer_.Stop();
+  ::shutdown(socket(), SHUT_WR);
+  listen_timer_.Schedule(std::clamp(round_trip_time_, kCloseSettleTime, kMaxListenTime));
+}
+
+void EndpointConnection::FinishWithoutResponse(Outcome outcome) {
+  CallResult result;
+  // A status line with 200 is true, whatever became of the rest.
+  result.outcome = reader_.has_ok_status() ? Outcome::kOk : outcome;
+  FinishCall(result, {.is_reusable = false, .needs_settling = !abandoned_as_});
+}
+
+void EndpointConnection::Close() {
+  has_call_ = false;
+  bufferevent_disable(buffers_.get(), EV_READ | EV_WRITE);  // libevent may be in one of its callbacks
+  buffers_.reset();
+  reader_.Stop();
+  for (Timer* timer : {&connect_timer_, &call_timer_, &listen_timer_, &idle_timer_, &write_timer_}) {
+    timer->Stop();
+  }
+}
+
+// Writes at once and not in the loop's next round: what was decided for this moment, and about this
+// connection, need not hold later.
+void EndpointConnection::WriteCall() {
+  if (std::chrono::steady_clock::now() >= write_deadline_) return FinishWithoutResponse(Outcome::kNotSent);
+  const std::string text = std::exchange(unsent_call_, {});
+  const ssize_t sent = ::send(socket(), text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+  if (sent < 0 && !WouldBlock(errno) && errno != EINTR) {
+    unsent_call_ = text;
+    return FinishWithoutResponse(Outcome::kConnectFailed);
+  }
+  const auto sent_bytes = static_cast<std::size_t>(std::max<ssize_t>(sent, 0));
+  if (sent_bytes < text.size()) {
+    bufferevent_write(buffers_.get(), text.data() + sent_bytes, text.size() - sent_bytes);
+  }
+  ReportWritten();
+}
+
+void EndpointConnection::ReportWritten() {
+  if (!has_call_ || is_write_reported_ || !IsWritten()) return;
+  is_write_reported_ = true;
+  owner_.OnCallWritten();
+}
+
+void EndpointConnection::OnWriteDeadline() {
+  if (!IsWritten()) FinishWithoutResponse(Outcome::kNotSent);
+}
+
+void EndpointConnection::FinishCall(CallResult result, CallEnd end) {
+  ReportWritten();  // the response may be read before libevent reports the write
+  has_call_ = false;
+  reader_.Stop();
+  for (Timer* timer : {&connect_timer_, &call_timer_, &listen_timer_, &write_timer_}) timer->Stop();
+  if (responded_early_ && result.outcome != Outcome::kRejected) result.outcome = Outcome::kConnectFailed;
+  // The endpoint may have given the call up as well, so a response to an abandoned call may count for nothing
+  // there. Only its time to wait is passed on.
+  if (abandoned_as_) result.outcome = *abandoned_as_;
+  result.number = message_number_;
+  owner_.OnCallFinished(*this, result, end);
+}
+
+// The call has run. The connection is of no further use.
+void EndpointConnection::OnInvalidResponse() { FinishWithoutResponse(Outcome::kError); }
+
+void EndpointConnection::Read() {
+  if (!has_call_) return owner_.OnUnusable(*this);  // no call has asked for it
+  if (!is_connected_) return;                       // read once libevent has reported the connection
+  if (!IsWritten()) {
+    responded_early_ = true;
+    bufferevent_disable(buffers_.get(), EV_WRITE);
+  }
+  switch (reader_.Read(input())) {
+    case ResponseReader::State::kIncomplete:
+      return;
+    case ResponseReader::State::kComplete:
+      return FinishWithResponse();
+    case ResponseReader::State::kInvalid:
+      return OnInvalidResponse();
+  }
+}
+
+void EndpointConnection::FinishWithResponse() {
+  const EndpointResponse& response = reader_.response();
+  const CallResult result = DecodeCallResult(response);
+  constexpr unsigned kServiceUnavailable = 503;
+  is_accepted_by_endpoint_ = is_accepted_by_endpoint_ || response.result_int() != kServiceUnavailable;
+  const bool is_reusable =
+      reader_.keep_alive() && is_accepted_by_endpoint_ && !responded_early_ && !abandoned_as_;
+  FinishCall(result, {.is_reusable = is_reusable, .needs_settling = false});
+}
+
+void EndpointConnection::OnReadable(bufferevent*, void* self) {
+  static_cast<EndpointConnection*>(self)->Read();
+}
+
+void EndpointConnection::OnOutputDrained(bufferevent*, void* self) {
+  static_cast<EndpointConnection*>(self)->ReportWritten();
+}
+
+void EndpointConnection::OnEvent(bufferevent*, short events, void* self) {
+  auto* connection = static_cast<EndpointConnection*>(self);
+  if ((events & BEV_EVENT_CONNECTED) != 0) return connection->OnConnected();
+  connection->OnClosedByPeer(events);
+}
+
+void EndpointConnection::OnConnected() {
+  is_connected_ = true;
+  connect_timer_.Stop();
+  round_trip_time_ = std::chrono::ceil<Duration>(std::chrono::steady_clock::now() - opened_at_);
+  const int enabled = 1;
+  ::setsockopt(socket(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  if (!has_call_) return;
+  responded_early_ = !NothingReceived();
+  if (!responded_early_) {
+    WriteCall();
+  } else if (evbuffer_get_length(input()) > 0) {
+    Read();
+  }
+}
+
+void EndpointConnection::OnClosedByPeer(short events) {
+  if (!has_call_) return owner_.OnUnusable(*this);
+  if ((events & BEV_EVENT_EOF) != 0 && reader_.ReadEndOfStream()) return FinishWithResponse();
+  FinishWithoutResponse(IsWritten() ? Outcome::kReset : Outcome::kConnectFailed);
+}
+
+}  // namespace sagetally
--- a/src/net/endpoint_pool.h
+++ b/src/net/endpoint_pool.h
@@ -1,85 +1,99 @@
-// Calls to endpoints over kept connections: one call at a time on each, none sent twice. evhttp 2.1 can't
-// serve here: it tells nothing of an answer whose first line says 200 and whose rest is spoilt, takes any 1xx
-// but 100 for the answer, and reads what stands behind one answer as the next.
+// Calls to endpoints over persistent connections: one call at a time on each, none sent twice.
+//
+// evhttp of libevent 2.1 can't serve here: it reports nothing of a response whose status line says 200 and
+// whose rest is malformed, takes any 1xx but 100 for the response, and reads what follows one response as the
+// next.
 #ifndef SAGETALLY_SRC_NET_ENDPOINT_POOL_H_
 #define SAGETALLY_SRC_NET_ENDPOINT_POOL_H_
 
+#include <chrono>
 #include <deque>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
-#include <string_view>
 #include <vector>
 
-#include "config/config.h"
 #include "core/ports.h"
+#include "net/deferred_deleter.h"
+#include "net/endpoint_call_codec.h"
+#include "net/endpoint_connection.h"
 #include "net/event_loop.h"
 
 namespace sagetally {
 
-class EndpointPool : public EndpointClient {
+// All on the event loop's thread. Results are reported from the loop, never from within a member function.
+class EndpointPool : public EndpointClient, private EndpointConnection::Owner {
  public:
   struct Limits {
     Duration connect_timeout{0};
-    Duration idle{0};              // the endpoint's machine closes idle connections after this
-    int most_connections = 1;      // to one endpoint
-    std::size_t most_in_all = 64;  // descriptors are few
+    Duration idle_timeout{0};  // the endpoint's machine closes idle connections after this
+    int max_connections_per_endpoint = 1;
+    std::size_t max_connections = 64;  // each takes a descriptor
   };
-  EndpointPool(EventLoop& loop, Limits limits, std::function<void(const CallResult&)> back);
+
+  // `on_result` is called once for each StartCall().
+  EndpointPool(EventLoop& loop, Limits limits, std::function<void(const CallResult&)> on_result);
   ~EndpointPool() override;
 
-  void StartCall(const CallRequest& order) override;
+  // The result is kConnectFailed if the endpoint is unknown, the message already has a call in flight, or all
+  // connections are busy.
+  void StartCall(const CallRequest& call) override;
+  // Gives a call up as kCancelled, or kConnectFailed if it was not written.
   void CancelCall(std::uint64_t number) override;
+  // Ends a call whose last byte was not written as kNotSent; leaves others alone.
   void CancelCallIfUnsent(std::uint64_t number) override;
   void CloseIdleConnections(const std::string& endpoint) override;
-  void UpdateEndpoint(const EndpointUpdate& news) override;
+  // Adds or changes an endpoint. Throws std::runtime_error if its address is malformed. Calls in flight stay
+  // where they are when it moves; unsent ones end as kNotSent unless it is up.
+  void UpdateEndpoint(const EndpointUpdate& update) override;
   void RemoveEndpoint(const std::string& endpoint) override;
-  std::function<void()> on_written;  // a call's last byte was written; may be empty
+  // The last byte of a call was written; may be empty.
+  std::function<void()> on_written;
   // No calls come any more: connections close as soon as they are idle.
   void Shutdown();
-  bool idle() const { return calls_.empty() && now_.empty() && later_.empty(); }  // no result is owed
+  // No result is owed.
+  bool idle() const {
+    return connections_by_message_.empty() && immediate_results_.empty() && settling_results_.empty();
+  }
   std::size_t endpoints() const { return endpoints_.size(); }
 
  private:
-  class Connection;
-  struct Endpoint {
-    std::string text;
-    Address address;
-    std::vector<Connection*> idle;  // the longest idle first
-    int open = 0;
-    bool gone = false;  // no list names it any more
+  struct SettlingResult {
+    std::chrono::steady_clock::time_point report_at;
+    CallResult result;
   };
 
-  Connection* Open(Endpoint& endpoint);
-  void RecallFrom(const Endpoint& endpoint);
-  bool MakeRoom();
-  Connection* TakeIdle(Endpoint& endpoint);
-  // `settle`: the endpoint may not know yet that the call is over.
-  void Finish(Connection& connection, CallResult result, bool reusable, bool settle);
-  void Report(CallResult result, bool settle);
-  void ReportNow();
-  void ReportLater();
-  void Drop(Connection& connection);  // closed now or once libevent is out of it
+  void OnCallWritten() override;
+  void OnCallFinished(EndpointConnection& connection, const CallResult& result,
+                      EndpointConnection::CallEnd end) override;
+  void OnUnusable(EndpointConnection& connection) override { CloseConnection(connection); }
+
+  EndpointConnection* OpenConnection(PooledEndpoint& endpoint);
+  EndpointConnection* TakeIdleConnection(PooledEndpoint& endpoint);
+  bool HasCapacity(const PooledEndpoint& endpoint);
+  bool MakeCapacity();
+  void CancelUnsentCallsTo(const PooledEndpoint& endpoint);
+  void ReportSoon(const CallResult& result);
+  void ReportSettled(const CallResult& result);
+  void ReportImmediateResults();
+  void ReportSettledResults();
+  void CloseConnection(EndpointConnection& connection);
 
   EventLoop& loop_;
   const Limits limits_;
-  std::function<void(const CallResult&)> back_;
-  std::map<std::string, Endpoint> endpoints_;
-  std::map<Connection*, std::unique_ptr<Connection>> connections_;
-  std::map<std::uint64_t, Connection*> calls_;  // by number of the message
-  std::vector<std::unique_ptr<Connection>> dropped_;
-  std::vector<CallResult> now_;
-  std::deque<std::pair<std::chrono::steady_clock::time_point, CallResult>> later_;
-  bool leaving_ = false;
-  Timer report_now_, report_later_, sweep_;
+  std::function<void(const CallResult&)> on_result_;
+  std::map<std::string, PooledEndpoint> endpoints_;
+  std::map<EndpointConnection*, std::unique_ptr<EndpointConnection>> connections_;
+  std::map<std::uint64_t, EndpointConnection*> connections_by_message_;  // by number, of calls in flight
+  std::vector<CallResult> immediate_results_;
+  std::deque<SettlingResult> settling_results_;  // the earliest first
+  bool is_shutting_down_ = false;
+  Timer immediate_timer_;
+  Timer settling_timer_;
+  DeferredDeleter<EndpointConnection> closed_connections_;
 };
 
-// What an X-Load header tells; nothing of it if any part can't be read.
-LoadReport ReadLoad(std::string_view text);
-// The duration that X-Deadline holds.
-std::string DeadlineText(Duration d);
-
 }  // namespace sagetally
 
 #endif  // SAGETALLY_SRC_NET_ENDPOINT_POOL_H_
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,116 +1,101 @@
-// An HTTP listener: hands each request to the handler, and keeps watch over every connection from its accept
-// on: how many there are, how long a request may take to come, and how long one may stand idle.
+// An HTTP/1.1 server: hands each request to a handler, and limits every connection from its accept on: how
+// many there are, how long a request may take, and how long a connection may be idle.
 #ifndef SAGETALLY_SRC_NET_HTTP_SERVER_H_
 #define SAGETALLY_SRC_NET_HTTP_SERVER_H_
 
 #include <event2/listener.h>
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "base/file_descriptor.h"
 #include "config/config.h"
+#include "net/deferred_deleter.h"
 #include "net/event_loop.h"
+#include "net/http_exchange.h"
 
 namespace sagetally {
 
-class ServerConnection;
-
-// One request of a client, until it is answered.
-class Exchange {
- public:
-  using Headers = std::vector<std::pair<std::string, std::string>>;
-  Exchange(ServerConnection* client, std::string method, std::string path, Headers headers, std::string body)
-      : client_(client),
-        method_(std::move(method)),
-        path_(std::move(path)),
-        headers_(std::move(headers)),
-        body_(std::move(body)) {}
-  const std::string& method() const { return method_; }
-  const std::string& path() const { return path_; }
-  // Empty if absent.
-  std::string Header(const char* name) const;
-  const Headers& headers() const { return headers_; }
-  const std::string& body() const { return body_; }
-  // Answered, or its connection has broken; nothing can be answered any more.
-  bool client_gone() const { return client_ == nullptr; }
-  // At most once. False if the client has gone.
-  bool Respond(int code, const std::string& body = "", const Headers& headers = {});
-
- private:
-  friend class ServerConnection;
-  ServerConnection* client_;
-  std::string method_, path_;
-  Headers headers_;
-  std::string body_;
-};
-
+// All on the event loop's thread, the handler too.
 class HttpServer {
  public:
+  // Answers the exchange now or later.
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
+
   struct HttpServerLimits {
-    std::size_t body = 64 * 1024;  // of one request
-    std::size_t connections = 64;  // at once
-    std::size_t head = 16 * 1024;  // of one request
+    std::size_t max_body_bytes = 64 * 1024;  // of one request
+    std::size_t max_connections = 64;        // at once
+    std::size_t max_head_bytes = 16 * 1024;  // of one request
   };
-  // A connection that goes to another process: between requests, or amid one of which these bytes have come.
+
+  // A connection that goes to another process: between requests, or within one of which `bytes` have come.
   struct ClientToTransfer {
     int fd = -1;  // still this process's
     bool has_sent_requests = false;
     Duration age{0};  // since it was accepted, or last answered
     std::string bytes = {};
   };
+  // The same as the other process receives it.
   struct TransferredClient {
     FileDescriptor fd = FileDescriptor();
     bool has_sent_requests = false;
     Duration age{0};
     std::string bytes = {};
   };
+
   // `inherited`: a listening socket of another process, used if it listens at that address. Throws
-  // std::runtime_error if it can't listen.
-  HttpServer(EventLoop& loop, const Address& at, HttpServerLimits limits, Handler handler,
+  // ListenError.
+  HttpServer(EventLoop& loop, const Address& address, HttpServerLimits limits, Handler handler,
              FileDescriptor inherited = FileDescriptor());
   ~HttpServer();
 
   std::uint16_t port() const { return port_; }
   std::size_t connections() const { return clients_.size(); }
-  // Every answer from now on ends its connection, and idle connections are closed; `mute_too`: also those
-  // that have never asked.
-  void CloseBetweenRequests(bool mute_too = false);
-  // Every answer from now on ends its connection, or no longer does.
-  void SetClosing(bool closing) { closing_ = closing; }
+  // Every response from now on ends its connection, and idle connections are closed;
+  // `include_unused`: also those that have sent nothing.
+  void CloseBetweenRequests(bool include_unused = false);
+  // Every response from now on ends its connection, or no longer does.
+  void SetClosing(bool closing) { is_closing_ = closing; }
+  // Accepts what has connected already, then closes the listener.
   void StopListening();
   std::function<void()> on_closed;  // after each connection; may be empty
+  // Descriptor of the listener, -1 without one; stays the server's.
   int listener() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
-  // No answer is owed to a client, or still to be written.
+  // No response is owed to a client, or still to be written.
   bool IsSettled() const;
-  // All that can be passed on: no answer is owed there, and none is still to be written.
+  // The connections that another process can go on with.
   std::vector<ClientToTransfer> ClientsToTransfer() const;
-  // They have been passed on, and the listener too: closes this process's own descriptors of them.
+  // ClientsToTransfer() and the listener have been passed on: closes this process's descriptors of them.
   void ReleaseAll();
+  // Goes on with a connection of another process.
   void Adopt(TransferredClient client);
 
  private:
   friend class ServerConnection;
-  static void Accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
-  static void NotAccepted(evconnlistener*, void* self);
-  bool MakeRoom();
-  enum class Ending { kClosed, kPassed };  // passed: another process reads and writes there now
+
+  // kTransferred: another process reads and writes there now.
+  enum class Ending { kClosed, kTransferred };
+
+  static void OnAccepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
+  static void OnAcceptFailed(evconnlistener*, void* self);
+  EventListenerPtr OpenListener(const Address& address, FileDescriptor inherited);
+  void AddClient(std::unique_ptr<ServerConnection> client);
+  bool MakeCapacity();
   void Close(ServerConnection& client, Ending ending = Ending::kClosed);
 
   EventLoop& loop_;
   const HttpServerLimits limits_;
   Handler handler_;
-  std::unique_ptr<evconnlistener, Free<evconnlistener_free>> listener_;
+  EventListenerPtr listener_;
   std::uint16_t port_ = 0;
-  bool closing_ = false;
+  bool is_closing_ = false;
   std::map<ServerConnection*, std::unique_ptr<ServerConnection>> clients_;
-  std::vector<std::unique_ptr<ServerConnection>> closed_;  // freed once libevent is out of them
-  Timer listen_again_, sweep_;
+  Timer accept_again_timer_;
+  DeferredDeleter<ServerConnection> closed_clients_;
 };
 
 }  // namespace sagetally
--- /dev/null
+++ b/src/net/response_reader.cpp
@@ -0,0 +1,113 @@
+#include "net/response_reader.h"
+
+#include <chrono>
+#include <cstdint>
+#include <string_view>
+#include <utility>
+
+#include "net/http_parsing.h"
+
+namespace sagetally {
+namespace {
+
+// From the first byte of a response to its last.
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(1000);
+// Once the status line says 200, only the connection depends on the rest, while the call holds its place: the
+// rest may take about as long as a new connection does.
+constexpr Duration kOkResponseTimeout = std::chrono::milliseconds(100);
+constexpr std::uint32_t kMaxHeadBytes = 16 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = 64 * 1024;
+constexpr int kMaxInterimResponses = 16;  // before one final response
+constexpr unsigned kFirstFinalStatus = 200;
+
+constexpr std::string_view kProtocol = "HTTP/1.";
+// What is looked at before the parser: "HTTP/1.1 200 ".
+constexpr std::size_t kStatusPrefixBytes = 13;
+constexpr std::size_t kStatusOffset = 8;
+constexpr std::string_view kOkStatus = " 200";
+
+static_assert(ResponseReader::kMaxUnparsedBytes == 2 * kMaxHeadBytes);
+
+// Whether fewer than kStatusPrefixBytes may be the beginning of a status line.
+bool MayBecomeStatusLine(evbuffer* input) {
+  char bytes[kStatusPrefixBytes] = {};
+  const auto size = static_cast<std::size_t>(evbuffer_copyout(input, bytes, sizeof bytes));
+  return std::string_view(bytes, size).substr(0, kProtocol.size()) == kProtocol.substr(0, size);
+}
+
+}  // namespace
+
+ResponseReader::ResponseReader(EventLoop& loop, std::function<void()> on_timed_out)
+    : response_timer_(loop, std::move(on_timed_out)) {}
+
+void ResponseReader::ExpectResponse() {
+  has_ok_status_ = false;
+  interim_response_count_ = 0;
+}
+
+void ResponseReader::Stop() {
+  parser_.reset();
+  response_timer_.Stop();
+}
+
+ResponseReader::State ResponseReader::Read(evbuffer* input) {
+  while (evbuffer_get_length(input) > 0) {
+    if (!response_timer_.pending()) response_timer_.Schedule(kResponseTimeout);
+    if (!parser_) {
+      if (evbuffer_get_length(input) < kStatusPrefixBytes) {
+        return MayBecomeStatusLine(input) ? State::kIncomplete : State::kInvalid;
+      }
+      StartResponse(input);
+    }
+    const ParseProgress progress = FeedParser(*parser_, input);
+    if (progress.error) return State::kInvalid;
+    evbuffer_drain(input, progress.consumed_bytes);
+    if (!AcceptHead()) return State::kInvalid;
+    if (parser_->is_done()) {
+      if (parser_->get().result_int() >= kFirstFinalStatus) return State::kComplete;
+      if (!SkipInterimResponse()) return State::kInvalid;
+    } else if (progress.consumed_bytes == 0) {
+      // A line that is too long never gets whole.
+      return progress.available_bytes >= kMaxUnparsedBytes ? State::kInvalid : State::kIncomplete;
+    }
+  }
+  return State::kIncomplete;
+}
+
+bool ResponseReader::ReadEndOfStream() {
+  if (!parser_) return false;
+  boost::system::error_code error;
+  parser_->put_eof(error);
+  return !error && parser_->is_done() && parser_->get().result_int() >= kFirstFinalStatus;
+}
+
+void ResponseReader::StartResponse(evbuffer* input) {
+  char bytes[kStatusPrefixBytes] = {};
+  evbuffer_copyout(input, bytes, sizeof bytes);
+  const std::string_view line(bytes, sizeof bytes);
+  has_ok_status_ = line.starts_with(kProtocol) && line.substr(kStatusOffset, kOkStatus.size()) == kOkStatus &&
+                   line.back() <= ' ';
+  if (has_ok_status_) response_timer_.Schedule(kOkResponseTimeout);
+  parser_.emplace();
+  parser_->header_limit(kMaxHeadBytes);
+  parser_->body_limit(kMaxBodyBytes);
+}
+
+// Lets the parser go on to the body. False if the body claims to be too long: the parser would make room for
+// all of it before it looks at its limit.
+bool ResponseReader::AcceptHead() {
+  if (!parser_->is_header_done() || parser_->eager()) return true;
+  if (parser_->content_length().value_or(0) > kMaxBodyBytes) return false;
+  parser_->eager(true);
+  return true;
+}
+
+// The final response is still to come. False after too many.
+bool ResponseReader::SkipInterimResponse() {
+  parser_.reset();
+  response_timer_.Stop();
+  ++interim_response_count_;
+  return interim_response_count_ <= kMaxInterimResponses;
+}
+
+}  // namespace sagetally
