--- a/src/core/message_table.cpp
+++ b/src/core/message_table.cpp
@@ -1,97 +1,109 @@
 #include "core/message_table.h"
 
-#include <algorithm>
 #include <utility>
 
 namespace sagetally {
+namespace {
+
+// The two protocols have id spaces of their own.
+std::string DeduplicationKey(const Request& request) {
+  return (request.protocol == IngressProtocol::kCloudEvents ? "e" : "p") + request.id;
+}
+
+// A rejected event is not retained: submitted again, it is a new message.
+bool IsRetainedAfterEnd(const Message& message) {
+  return message.request.protocol == IngressProtocol::kCloudEvents &&
+         message.final_status != FinalStatus::kRejected;
+}
+
+bool IsPending(const Message& message) { return message.final_status == FinalStatus::kPending; }
+
+}  // namespace
 
 Message& MessageTable::Add(Message message) {
   if (message.number == 0) message.number = next_number_;
   next_number_ = std::max(next_number_, message.number + 1);
   const std::uint64_t number = message.number;
-  by_id_[Identity(message.request)] = number;
-  pending_count_ += message.final_status == FinalStatus::kPending ? 1 : 0;
+  numbers_by_key_[DeduplicationKey(message.request)] = number;
+  if (IsPending(message)) ++pending_count_;
   Message& added = messages_.insert_or_assign(number, std::move(message)).first->second;
-  if (added.final_status != FinalStatus::kPending && !added.dead_letter_pending)
-    remembered_.emplace_back(added.ended_at, number);
+  // Rejected events come here only from a journal; they age like the others.
+  if (!IsPending(added) && !added.dead_letter_pending) Retain(added);
   return added;
 }
 
 Message* MessageTable::Find(std::uint64_t number) {
-  const auto at = messages_.find(number);
-  return at == messages_.end() ? nullptr : &at->second;
-}
-
-std::string MessageTable::Identity(const Request& request) {
-  return (request.protocol == IngressProtocol::kCloudEvents ? "e" : "p") + request.id;
+  const auto found = messages_.find(number);
+  return found == messages_.end() ? nullptr : &found->second;
 }
 
 Message* MessageTable::FindDuplicate(const Request& request) {
-  const auto at = by_id_.find(Identity(request));
-  return at == by_id_.end() ? nullptr : Find(at->second);
-}
-
-// A refused one is forgotten: the same event again is a new message.
-bool MessageTable::IsRemembered(const Message& m) {
-  return m.request.protocol == IngressProtocol::kCloudEvents && m.final_status != FinalStatus::kRejected;
+  const auto found = numbers_by_key_.find(DeduplicationKey(request));
+  return found == numbers_by_key_.end() ? nullptr : Find(found->second);
 }
 
-void MessageTable::Complete(Message& message, enum FinalStatus end, Duration again, Time now) {
-  if (message.final_status != FinalStatus::kPending) return;
-  message.final_status = end;
-  message.retry_after = again;
+void MessageTable::Complete(Message& message, FinalStatus final_status, Duration retry_after, Time now) {
+  if (!IsPending(message)) return;
+  message.final_status = final_status;
+  message.retry_after = retry_after;
   message.ended_at = now;
-  // A resend has no client that waits: its message ended once, before.
+  // No client waits for a redrive: it was notified when the message ended for the first time.
+  const bool has_waiting_client = message.redrive_number == 0;
   message.notification_pending =
-      (end == FinalStatus::kFailed || end == FinalStatus::kRejected) && message.redrive_number == 0;
+      has_waiting_client && (final_status == FinalStatus::kFailed || final_status == FinalStatus::kRejected);
   --pending_count_;
-  if (IsRemembered(message) && !message.dead_letter_pending) remembered_.emplace_back(now, message.number);
+  if (IsRetainedAfterEnd(message) && !message.dead_letter_pending) Retain(message);
 }
 
 void MessageTable::MarkDeadLettered(Message& message) {
   if (!message.dead_letter_pending) return;
   message.dead_letter_pending = false;
-  if (IsRemembered(message)) remembered_.emplace_back(message.ended_at, message.number);
+  if (IsRetainedAfterEnd(message)) Retain(message);
   RemoveIfFinished(message);
 }
 
 void MessageTable::RemoveIfFinished(Message& message) {
-  if (message.final_status == FinalStatus::kPending || message.is_in_flight || !message.client_answered ||
-      message.dead_letter_pending)
+  if (IsPending(message) || message.is_in_flight || !message.client_answered || message.dead_letter_pending) {
     return;
-  if (IsRemembered(message)) {
-    message.request.body = std::string();  // only its answer is wanted any more
+  }
+  if (IsRetainedAfterEnd(message)) {
+    message.request.body = std::string();  // releases its memory, which clear() does not
     return;
   }
   if (!message.notification_pending) Remove(message.number);
 }
 
 void MessageTable::Remove(std::uint64_t number) {
-  const auto at = messages_.find(number);
-  if (at == messages_.end()) return;
-  if (on_message_removed) on_message_removed(at->second);
-  const auto named = by_id_.find(Identity(at->second.request));
-  if (named != by_id_.end() && named->second == number) by_id_.erase(named);
-  if (at->second.final_status == FinalStatus::kPending) --pending_count_;
-  messages_.erase(at);
+  const auto found = messages_.find(number);
+  if (found == messages_.end()) return;
+  const Message& message = found->second;
+  if (on_message_removed) on_message_removed(message);
+  const auto key = numbers_by_key_.find(DeduplicationKey(message.request));
+  if (key != numbers_by_key_.end() && key->second == number) numbers_by_key_.erase(key);
+  if (IsPending(message)) --pending_count_;
+  messages_.erase(found);
 }
 
-void MessageTable::ExpireRemembered(Time now) {
-  while (!remembered_.empty() &&
-         (remembered_.front().first + kDeduplicationTime < now || remembered_.size() > kMaxRemembered)) {
-    if (!ForgetOldest()) return;
+void MessageTable::ExpireRetained(Time now) {
+  while (!retained_.empty() &&
+         (retained_.front().ended_at + kDeduplicationWindow < now || retained_.size() > kMaxRetained)) {
+    if (!RemoveOldestRetained()) return;
   }
 }
 
-bool MessageTable::ForgetOldest() {
-  if (remembered_.empty()) return false;
-  const std::uint64_t number = remembered_.front().second;
-  const Message* m = Find(number);
-  if (m != nullptr && (m->notification_pending || m->is_in_flight || !m->client_answered))
-    return false;  // still to be told
-  remembered_.pop_front();
-  if (m != nullptr) Remove(number);
+bool MessageTable::RemoveOldestRetained() {
+  if (retained_.empty()) return false;
+  const std::uint64_t number = retained_.front().number;
+  const Message* message = Find(number);
+  if (message != nullptr &&
+      (message->notification_pending || message->is_in_flight || !message->client_answered)) {
+    return false;
+  }
+  retained_.pop_front();
+  if (message != nullptr) Remove(number);
   return true;
 }
 
+void MessageTable::Retain(const Message& message) { retained_.push_back({message.ended_at, message.number}); }
+
 }  // namespace sagetally
--- a/src/handover/handover_state.cpp
+++ b/src/handover/handover_state.cpp
@@ -1,155 +1,186 @@
 #include "handover/handover_state.h"
 
-#include <utility>
-
 #include "base/byte_codec.h"
 
 namespace sagetally {
 namespace {
 
-void Put(ByteWriter& w, const LoadReport& load) {
-  w.AppendNumber(load.quota_left).AppendNumber(load.rate_limit);
+template <typename Value, typename AppendValue>
+void AppendList(ByteWriter& writer, const std::vector<Value>& values, AppendValue append_value) {
+  writer.AppendNumber(static_cast<std::uint32_t>(values.size()));
+  for (const Value& value : values) append_value(writer, value);
 }
-LoadReport ReadLoadReport(ByteReader& r) {
-  LoadReport load;
-  load.quota_left = r.ReadNumber<double>();
-  load.rate_limit = r.ReadNumber<double>();
-  return load;
+
+template <typename Value, typename ReadValue>
+void ReadList(ByteReader& reader, std::vector<Value>& values, ReadValue read_value) {
+  const auto count = reader.ReadNumber<std::uint32_t>();
+  // The count may be wrong: it ends with the bytes, and reserves nothing.
+  for (std::uint32_t i = 0; i < count && reader.ok(); ++i) values.push_back(read_value(reader));
 }
 
-Outcome ReadOutcome(ByteReader& r) {
-  const auto value = r.ReadNumber<std::uint8_t>();
-  if (value > static_cast<std::uint8_t>(Outcome::kNotSent)) r.MarkMalformed();
-  return static_cast<Outcome>(value);
+// Reads an enumerator stored as one byte; `last` is the highest known.
+template <typename Enum>
+Enum ReadEnum(ByteReader& reader, Enum last) {
+  const auto value = reader.ReadNumber<std::uint8_t>();
+  if (value > static_cast<std::uint8_t>(last)) reader.MarkMalformed();
+  return static_cast<Enum>(value);
 }
 
-template <typename T, typename F>
-void PutAll(ByteWriter& w, const std::vector<T>& all, F put) {
-  w.AppendNumber(static_cast<std::uint32_t>(all.size()));
-  for (const T& one : all) put(one);
+Outcome ReadOutcome(ByteReader& reader) { return ReadEnum(reader, Outcome::kNotSent); }
+
+void AppendTimestamp(ByteWriter& writer, const Timestamp& timestamp) {
+  writer.AppendTime(timestamp.wall_time);
+  writer.AppendTime(timestamp.steady_time);
+  writer.AppendNumber(timestamp.boot_id);
 }
-template <typename F>
-void ReadAllOf(ByteReader& r, F read) {
-  const auto count = r.ReadNumber<std::uint32_t>();
-  for (std::uint32_t i = 0; i < count && r.ok(); ++i) read();
+
+Timestamp ReadTimestamp(ByteReader& reader) {
+  Timestamp timestamp;
+  timestamp.wall_time = reader.ReadTime();
+  timestamp.steady_time = reader.ReadTime();
+  timestamp.boot_id = reader.ReadNumber<std::uint64_t>();
+  return timestamp;
 }
 
+void AppendLoadReport(ByteWriter& writer, const LoadReport& report) {
+  writer.AppendNumber(report.quota_left);
+  writer.AppendNumber(report.rate_limit);
+}
+
+LoadReport ReadLoadReport(ByteReader& reader) {
+  LoadReport report;
+  report.quota_left = reader.ReadNumber<double>();
+  report.rate_limit = reader.ReadNumber<double>();
+  return report;
+}
+
+void AppendClass(ByteWriter& writer, const std::string& name) { writer.AppendString(name); }
+
+std::string ReadClass(ByteReader& reader) { return reader.ReadString(); }
+
+void AppendEndpoint(ByteWriter& writer, const EndpointUpdate& update) {
+  const EndpointRecord& record = update.record;
+  writer.AppendString(record.endpoint);
+  writer.AppendString(update.address);
+  writer.AppendNumber(record.destination);
+  writer.AppendNumber(record.zone);
+  writer.AppendNumber(record.kind);
+  writer.AppendNumber(record.rate);
+  writer.AppendNumber(static_cast<std::uint8_t>(record.state));
+}
+
+EndpointUpdate ReadEndpoint(ByteReader& reader) {
+  EndpointUpdate update;
+  EndpointRecord& record = update.record;
+  record.endpoint = reader.ReadString();
+  update.address = reader.ReadString();
+  record.destination = reader.ReadNumber<int>();
+  record.zone = reader.ReadNumber<int>();
+  record.kind = reader.ReadNumber<int>();
+  record.rate = reader.ReadNumber<double>();
+  record.state = ReadEnum(reader, EndpointRecord::State::kRemoved);
+  return update;
+}
+
+void AppendCompletedAttempt(ByteWriter& writer, const CompletedAttempt& attempt) {
+  writer.AppendTime(attempt.sent_at);
+  writer.AppendTime(attempt.completed_at);
+  writer.AppendTime(attempt.deadline);
+  writer.AppendNumber(attempt.destination);
+  writer.AppendNumber(attempt.message_class);
+  writer.AppendNumber(attempt.attempts);
+  writer.AppendString(attempt.endpoint);
+  writer.AppendNumber(static_cast<std::uint8_t>(attempt.outcome));
+  writer.AppendTime(attempt.retry_after);
+  AppendLoadReport(writer, attempt.load_report);
+}
+
+CompletedAttempt ReadCompletedAttempt(ByteReader& reader) {
+  CompletedAttempt attempt;
+  attempt.sent_at = reader.ReadTime();
+  attempt.completed_at = reader.ReadTime();
+  attempt.deadline = reader.ReadTime();
+  attempt.destination = reader.ReadNumber<int>();
+  attempt.message_class = reader.ReadNumber<int>();
+  attempt.attempts = reader.ReadNumber<int>();
+  attempt.endpoint = reader.ReadString();
+  attempt.outcome = ReadOutcome(reader);
+  attempt.retry_after = reader.ReadTime();
+  attempt.load_report = ReadLoadReport(reader);
+  return attempt;
+}
+
+void AppendInFlightCall(ByteWriter& writer, const InFlightCall& call) {
+  writer.AppendNumber(call.number);
+  writer.AppendString(call.endpoint);
+  writer.AppendTime(call.sent_at);
+  writer.AppendNumber(call.first_uncertain_attempt.has_value());
+  writer.AppendTime(call.first_uncertain_attempt.value_or(Time(0)));
+  writer.AppendString(call.first_uncertain_endpoint);
+}
+
+InFlightCall ReadInFlightCall(ByteReader& reader) {
+  InFlightCall call;
+  call.number = reader.ReadNumber<std::uint64_t>();
+  call.endpoint = reader.ReadString();
+  call.sent_at = reader.ReadTime();
+  const bool has_uncertain_attempt = reader.ReadBool();
+  const Time uncertain_attempt = reader.ReadTime();
+  if (has_uncertain_attempt) call.first_uncertain_attempt = uncertain_attempt;
+  call.first_uncertain_endpoint = reader.ReadString();
+  return call;
+}
+
+bool IsCompletelyRead(const ByteReader& reader) { return reader.ok() && reader.empty(); }
+
 }  // namespace
 
-std::string EncodeHandoverState(const HandoverState& s) {
-  ByteWriter w;
-  w.AppendNumber(kHandoverVersion)
-      .AppendTime(s.now.wall_time)
-      .AppendTime(s.now.steady_time)
-      .AppendNumber(s.now.boot_id)
-      .AppendNumber(s.revision);
-  PutAll(w, s.classes, [&](const std::string& name) { w.AppendString(name); });
-  PutAll(w, s.endpoints, [&](const EndpointUpdate& n) {
-    const EndpointRecord& e = n.record;
-    w.AppendString(e.endpoint)
-        .AppendString(n.address)
-        .AppendNumber(e.destination)
-        .AppendNumber(e.zone)
-        .AppendNumber(e.kind)
-        .AppendNumber(e.rate);
-    w.AppendNumber(static_cast<std::uint8_t>(e.state));
-  });
-  PutAll(w, s.recent_attempts, [&](const CompletedAttempt& a) {
-    w.AppendTime(a.sent_at)
-        .AppendTime(a.completed_at)
-        .AppendTime(a.deadline)
-        .AppendNumber(a.destination)
-        .AppendNumber(a.message_class)
-        .AppendNumber(a.attempts);
-    w.AppendString(a.endpoint).AppendNumber(static_cast<std::uint8_t>(a.outcome)).AppendTime(a.retry_after);
-    Put(w, a.load_report);
-  });
-  PutAll(w, s.in_flight_calls, [&](const InFlightCall& c) {
-    w.AppendNumber(c.number).AppendString(c.endpoint).AppendTime(c.sent_at);
-    w.AppendNumber(c.first_uncertain_attempt.has_value())
-        .AppendTime(c.first_uncertain_attempt.value_or(Time(0)))
-        .AppendString(c.first_uncertain_endpoint);
-  });
-  return w.bytes();
+std::string EncodeHandoverState(const HandoverState& state) {
+  ByteWriter writer;
+  writer.AppendNumber(kHandoverVersion);
+  AppendTimestamp(writer, state.now);
+  writer.AppendNumber(state.revision);
+  AppendList(writer, state.classes, AppendClass);
+  AppendList(writer, state.endpoints, AppendEndpoint);
+  AppendList(writer, state.recent_attempts, AppendCompletedAttempt);
+  AppendList(writer, state.in_flight_calls, AppendInFlightCall);
+  return writer.bytes();
 }
 
 std::optional<HandoverState> DecodeHandoverState(std::string_view bytes) {
-  ByteReader r(bytes);
-  if (r.ReadNumber<std::uint32_t>() != kHandoverVersion) return {};
-  HandoverState s;
-  s.now.wall_time = r.ReadTime();
-  s.now.steady_time = r.ReadTime();
-  s.now.boot_id = r.ReadNumber<std::uint64_t>();
-  s.revision = r.ReadNumber<std::int64_t>();
-  ReadAllOf(r, [&] { s.classes.push_back(r.ReadString()); });
-  ReadAllOf(r, [&] {
-    EndpointUpdate& n = s.endpoints.emplace_back();
-    EndpointRecord& e = n.record;
-    e.endpoint = r.ReadString();
-    n.address = r.ReadString();
-    e.destination = r.ReadNumber<int>();
-    e.zone = r.ReadNumber<int>();
-    e.kind = r.ReadNumber<int>();
-    e.rate = r.ReadNumber<double>();
-    const auto state = r.ReadNumber<std::uint8_t>();
-    if (state > static_cast<std::uint8_t>(EndpointRecord::State::kRemoved)) r.MarkMalformed();
-    e.state = static_cast<EndpointRecord::State>(state);
-  });
-  ReadAllOf(r, [&] {
-    CompletedAttempt& a = s.recent_attempts.emplace_back();
-    a.sent_at = r.ReadTime();
-    a.completed_at = r.ReadTime();
-    a.deadline = r.ReadTime();
-    a.destination = r.ReadNumber<int>();
-    a.message_class = r.ReadNumber<int>();
-    a.attempts = r.ReadNumber<int>();
-    a.endpoint = r.ReadString();
-    a.outcome = ReadOutcome(r);
-    a.retry_after = r.ReadTime();
-    a.load_report = ReadLoadReport(r);
-  });
-  ReadAllOf(r, [&] {
-    InFlightCall& c = s.in_flight_calls.emplace_back();
-    c.number = r.ReadNumber<std::uint64_t>();
-    c.endpoint = r.ReadString();
-    c.sent_at = r.ReadTime();
-    const bool may = r.ReadBool();
-    const Time may_at = r.ReadTime();
-    if (may) c.first_uncertain_attempt = may_at;
-    c.first_uncertain_endpoint = r.ReadString();
-  });
-  if (!r.ok() || !r.empty()) return {};
-  return s;
+  ByteReader reader(bytes);
+  if (reader.ReadNumber<std::uint32_t>() != kHandoverVersion) return std::nullopt;
+  HandoverState state;
+  state.now = ReadTimestamp(reader);
+  state.revision = reader.ReadNumber<std::int64_t>();
+  ReadList(reader, state.classes, ReadClass);
+  ReadList(reader, state.endpoints, ReadEndpoint);
+  ReadList(reader, state.recent_attempts, ReadCompletedAttempt);
+  ReadList(reader, state.in_flight_calls, ReadInFlightCall);
+  if (!IsCompletelyRead(reader)) return std::nullopt;
+  return state;
 }
 
 std::string EncodeCallResult(const CallResult& result) {
-  ByteWriter w;
-  w.AppendNumber(result.number)
-      .AppendNumber(static_cast<std::uint8_t>(result.outcome))
-      .AppendNumber(result.completed);
-  w.AppendTime(result.retry_after);
-  Put(w, result.load_report);
-  return w.bytes();
+  ByteWriter writer;
+  writer.AppendNumber(result.number);
+  writer.AppendNumber(static_cast<std::uint8_t>(result.outcome));
+  writer.AppendNumber(result.completed);
+  writer.AppendTime(result.retry_after);
+  AppendLoadReport(writer, result.load_report);
+  return writer.bytes();
 }
 
 std::optional<CallResult> DecodeCallResult(std::string_view bytes) {
-  ByteReader r(bytes);
+  ByteReader reader(bytes);
   CallResult result;
-  result.number = r.ReadNumber<std::uint64_t>();
-  result.outcome = ReadOutcome(r);
-  result.completed = r.ReadBool();
-  result.retry_after = r.ReadTime();
-  result.load_report = ReadLoadReport(r);
-  if (!r.ok() || !r.empty()) return {};
+  result.number = reader.ReadNumber<std::uint64_t>();
+  result.outcome = ReadOutcome(reader);
+  result.completed = reader.ReadBool();
+  result.retry_after = reader.ReadTime();
+  result.load_report = ReadLoadReport(reader);
+  if (!IsCompletelyRead(reader)) return std::nullopt;
   return result;
 }
 
-void AttemptHistory::Add(CompletedAttempt attempt) {
-  while (!recent_.empty() && (recent_.size() >= kMaxAttempts ||
-                              recent_.front().completed_at + kRetention < attempt.completed_at)) {
-    recent_.pop_front();
-  }
-  recent_.push_back(std::move(attempt));
-}
-
 }  // namespace sagetally
--- a/src/handover/state_replay.cpp
+++ b/src/handover/state_replay.cpp
@@ -1,83 +1,122 @@
 #include "handover/state_replay.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <map>
-#include <set>
+#include <optional>
 #include <utility>
 
-#include "pipeline/router.h"
+#include "core/policy_message_id.h"
 
 namespace sagetally {
 namespace {
 
-MessageAccepted WithCallOut(std::string id, const Request& request, Time deadline, Time sent, int attempts,
-                            const std::string& endpoint) {
-  MessageAccepted e;
-  e.id = std::move(id);
-  e.destination = request.destination;
-  e.message_class = request.message_class;
-  e.time_left = deadline - sent;
-  e.attempts = attempts;
-  e.in_flight_endpoint = endpoint;
-  return e;
+// Collects the events of a replay with their times, and the endpoints that they refer to.
+class ReplayBuilder {
+ public:
+  void AddCompletedAttempt(const CompletedAttempt& attempt, int message_class);
+  void AddInFlightMessage(const Message& message);
+  // The endpoint list of `state`. Endpoints of the events that it no longer names are added as removed ones,
+  // since calls to them still count.
+  EndpointListUpdated EndpointList(const HandoverState& state, std::size_t kind_count) const;
+  // By time; those of one time in the order they were added.
+  const std::multimap<Time, Event>& events() const { return events_; }
+
+ private:
+  std::multimap<Time, Event> events_;
+  std::map<std::string, int> destinations_;  // by endpoint
+  std::uint64_t completed_count_ = 0;
+};
+
+void ReplayBuilder::AddCompletedAttempt(const CompletedAttempt& attempt, int message_class) {
+  destinations_.emplace(attempt.endpoint, attempt.destination);
+  // An id that is none of a message: its number may be in use by now.
+  const std::string id = "past-" + std::to_string(++completed_count_);
+
+  MessageAccepted accepted;
+  accepted.id = id;
+  accepted.destination = attempt.destination;
+  accepted.message_class = message_class;
+  accepted.time_left = attempt.deadline - attempt.sent_at;
+  accepted.attempts = attempt.attempts;
+  accepted.in_flight_endpoint = attempt.endpoint;
+  events_.emplace(attempt.sent_at, std::move(accepted));
+
+  AttemptCompleted completed;
+  completed.id = id;
+  completed.attempt = attempt.attempts - 1;
+  completed.outcome = attempt.outcome;
+  completed.message_ended = true;
+  completed.latency = attempt.completed_at - attempt.sent_at;
+  completed.retry_after = attempt.retry_after;
+  completed.load_report = attempt.load_report;
+  events_.emplace(std::max(attempt.completed_at, attempt.sent_at), std::move(completed));
 }
 
-}  // namespace
+void ReplayBuilder::AddInFlightMessage(const Message& message) {
+  destinations_.emplace(message.in_flight_endpoint, message.request.destination);
+  MessageAccepted accepted;
+  accepted.id = PolicyMessageId(message.number);
+  accepted.destination = message.request.destination;
+  accepted.message_class = message.request.message_class;
+  accepted.time_left = message.deadline - message.in_flight_since;
+  accepted.attempts = message.attempts;
+  accepted.in_flight_endpoint = message.in_flight_endpoint;
+  accepted.first_uncertain_attempt = message.first_uncertain_attempt;
+  accepted.first_uncertain_endpoint = message.first_uncertain_endpoint;
+  events_.emplace(message.in_flight_since, std::move(accepted));
+}
 
-void ReplayHandoverState(const HandoverState& state, const std::vector<std::string>& classes,
-                         std::size_t kinds, const MessageTable& ledger,
-                         const std::function<void(Time, const std::vector<Event>&)>& step) {
-  std::multimap<Time, Event> events;  // those of one time in the order added
-  std::map<std::string, int> named;   // endpoints of calls, with their destinations
-  std::uint64_t nth = 0;
-  for (const CompletedAttempt& a : state.recent_attempts) {
-    const auto was = static_cast<std::size_t>(a.message_class);
-    const auto at = was < state.classes.size() ? std::find(classes.begin(), classes.end(), state.classes[was])
-                                               : classes.end();
-    if (at == classes.end()) continue;
-    Request request;
-    request.destination = a.destination;
-    request.message_class = static_cast<int>(at - classes.begin());
-    named.emplace(a.endpoint, a.destination);
-    const std::string id = "past-" + std::to_string(++nth);  // no number of a message
-    events.emplace(a.sent_at, WithCallOut(id, request, a.deadline, a.sent_at, a.attempts, a.endpoint));
-    AttemptCompleted e;
-    e.id = id;
-    e.attempt = a.attempts - 1;
-    e.outcome = a.outcome;
-    e.message_ended = true;
-    e.latency = a.completed_at - a.sent_at;
-    e.retry_after = a.retry_after;
-    e.load_report = a.load_report;
-    events.emplace(std::max(a.completed_at, a.sent_at), std::move(e));
-  }
-  for (const auto& [number, m] : ledger.messages()) {
-    if (!m.is_in_flight || m.final_status != FinalStatus::kPending) continue;
-    named.emplace(m.in_flight_endpoint, m.request.destination);
-    MessageAccepted e = WithCallOut(PolicyMessageId(number), m.request, m.deadline, m.in_flight_since,
-                                    m.attempts, m.in_flight_endpoint);
-    e.first_uncertain_attempt = m.first_uncertain_attempt;
-    e.first_uncertain_endpoint = m.first_uncertain_endpoint;
-    events.emplace(m.in_flight_since, std::move(e));
-  }
+EndpointListUpdated ReplayBuilder::EndpointList(const HandoverState& state, std::size_t kind_count) const {
   EndpointListUpdated list;
   list.kind = EndpointListUpdated::Kind::kFullSnapshot;
-  for (const EndpointUpdate& news : state.endpoints) {
-    list.endpoints.push_back(news.record);
-    if (static_cast<std::size_t>(news.record.kind) >= kinds) list.endpoints.back().kind = 0;
-    named.erase(news.record.endpoint);
+  std::map<std::string, int> unlisted = destinations_;
+  for (const EndpointUpdate& update : state.endpoints) {
+    EndpointRecord record = update.record;
+    if (static_cast<std::size_t>(record.kind) >= kind_count) record.kind = 0;
+    unlisted.erase(record.endpoint);
+    list.endpoints.push_back(std::move(record));
   }
-  for (const auto& [endpoint, destination] : named) {  // gone since, but calls there still count
-    EndpointRecord gone;
-    gone.endpoint = endpoint;
-    gone.destination = destination;
-    gone.state = EndpointRecord::State::kRemoved;
-    list.endpoints.push_back(std::move(gone));
+  for (const auto& [endpoint, destination] : unlisted) {
+    EndpointRecord removed;
+    removed.endpoint = endpoint;
+    removed.destination = destination;
+    removed.state = EndpointRecord::State::kRemoved;
+    list.endpoints.push_back(std::move(removed));
   }
-  const Time begin =
-      events.empty() ? state.now.wall_time : std::min(state.now.wall_time, events.begin()->first);
-  step(begin, {std::move(list)});
-  for (auto& [at, event] : events) step(std::min(at, state.now.wall_time), {std::move(event)});
+  return list;
+}
+
+// The number, among `classes`, of the class that had number `previous_class` in the process before.
+std::optional<int> FindClass(const HandoverState& state, int previous_class,
+                             const std::vector<std::string>& classes) {
+  const auto index = static_cast<std::size_t>(previous_class);
+  if (index >= state.classes.size()) return std::nullopt;
+  const auto found = std::find(classes.begin(), classes.end(), state.classes[index]);
+  if (found == classes.end()) return std::nullopt;
+  return static_cast<int>(found - classes.begin());
+}
+
+}  // namespace
+
+void ReplayHandoverState(const HandoverState& state, const std::vector<std::string>& classes,
+                         std::size_t kind_count, const MessageTable& messages, const ReplayStep& step) {
+  ReplayBuilder replay;
+  for (const CompletedAttempt& attempt : state.recent_attempts) {
+    if (const std::optional<int> message_class = FindClass(state, attempt.message_class, classes)) {
+      replay.AddCompletedAttempt(attempt, *message_class);
+    }
+  }
+  for (const auto& [number, message] : messages.messages()) {
+    if (message.is_in_flight && message.final_status == FinalStatus::kPending) {
+      replay.AddInFlightMessage(message);
+    }
+  }
+
+  const Time end = state.now.wall_time;
+  const Time begin = replay.events().empty() ? end : std::min(end, replay.events().begin()->first);
+  step(begin, {replay.EndpointList(state, kind_count)});
+  for (const auto& [time, event] : replay.events()) step(std::min(time, end), {event});
 }
 
 }  // namespace sagetally
--- a/src/handover/state_replay.h
+++ b/src/handover/state_replay.h
@@ -1,7 +1,9 @@
-// Tells a new decision module what the attempts of late have taught the one of the process before. No I/O.
+// Teaches the dispatch policy of a new process what that of the process before learnt from its latest
+// attempts. Called once, after the journal's replay and before the policy's first run. No I/O.
 #ifndef SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
 #define SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
 
+#include <cstddef>
 #include <functional>
 #include <string>
 #include <vector>
@@ -12,13 +14,19 @@
 
 namespace sagetally {
 
-// Calls `step` with events in the order of their times, none later than state.now: the list, each attempt of
-// late, and each message of the ledger whose call is out (Message::out), as taken with that call out.
-// Attempts of classes that are not in `classes`, and kinds from `kinds` on, are passed over or taken for the
-// first. The module's actions of these steps mean nothing but the time to wake it.
+// Lets the policy process events as of the time `now`; see Router::ReplayEvents().
+using ReplayStep = std::function<void(Time now, const std::vector<Event>& events)>;
+
+// Replays `state` by calling `step` with events in the order of their times, none of them later than
+// `state.now`: the endpoint list, each completed attempt, and each pending message of `messages` whose call
+// is in flight.
+//
+// `classes` are this process's message classes by number, `kind_count` the number of its destination kinds.
+// Attempts of a class that it does not have are left out; endpoints of a kind that it does not have count as
+// of the first kind. The actions that the policy answers with have no meaning, apart from the timer it asks
+// for.
 void ReplayHandoverState(const HandoverState& state, const std::vector<std::string>& classes,
-                         std::size_t kinds, const MessageTable& ledger,
-                         const std::function<void(Time at, const std::vector<Event>& events)>& step);
+                         std::size_t kind_count, const MessageTable& messages, const ReplayStep& step);
 
 }  // namespace sagetally
 
--- a/src/pipeline/admission_controller.cpp
+++ b/src/pipeline/admission_controller.cpp
@@ -1,68 +1,90 @@
 #include "pipeline/admission_controller.h"
 
 #include <algorithm>
+#include <chrono>
 #include <utility>
 
 namespace sagetally {
 namespace {
 
-// While the journal has no room, for which it looks all the time, and to a client of a node that drains or
-// ends.
-constexpr Duration kComeAgain = std::chrono::seconds(1);
+// Stated to clients that are rejected because the disk is full, which is tried again all the time, or because
+// this process is draining or shutting down.
+constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 }  // namespace
 
-void AdmissionController::Accept(std::vector<Request> requests, AdmissionCallback reply) {
-  if (is_accepting && !is_accepting())
-    return Reject(requests, reply, {AdmissionStatus::kShuttingDown, kComeAgain, "draining"});
-  if (messages_.pending_count() + static_cast<int>(requests.size()) > max_pending_messages_) {
-    return Reject(requests, reply, {AdmissionStatus::kRejected, Duration(0), "all places are taken"});
+void AdmissionController::Accept(std::vector<Request> requests, AdmissionCallback respond) {
+  if (!IsAccepting()) {
+    Reject(requests, respond, {AdmissionStatus::kShuttingDown, kRetryAfter, "draining"});
+    return;
+  }
+  if (!HasCapacityFor(requests.size())) {
+    Reject(requests, respond, {AdmissionStatus::kRejected, Duration(0), "all places are taken"});
+    return;
+  }
+  const std::vector<const Message*> messages = AddMessages(std::move(requests));
+  if (!AppendToJournal(messages)) {
+    RejectUnrecorded(messages, respond);
+    return;
   }
+  WaitingClient client;
+  for (const Message* message : messages) {
+    if (dead_letters_ != nullptr) dead_letters_->OnAccepted(*message);
+    router_.OnAccepted(*message);
+    client.message_numbers.push_back(message->number);
+  }
+  client.respond = std::move(respond);
+  waiting_clients_.push_back(std::move(client));
+}
+
+bool AdmissionController::HasCapacityFor(std::size_t message_count) const {
+  return messages_.pending_count() + static_cast<int>(message_count) <= max_pending_messages_;
+}
+
+std::vector<const Message*> AdmissionController::AddMessages(std::vector<Request> requests) {
   const Time now = clock_.Now();
-  std::vector<const Message*> taken;
-  WaitingClient waiting;
+  std::vector<const Message*> messages;
   for (Request& request : requests) {
     Message message;
     message.deadline = now + request.time_left;
     message.request = std::move(request);
     message.client_answered = false;
     if (dead_letters_ != nullptr) message.accepted_at = now;
-    const Message& added = messages_.Add(std::move(message));
-    taken.push_back(&added);
-    waiting.message_numbers.push_back(added.number);
-  }
-  // What is owed goes before what is remembered for repeats' sake.
-  bool on_record = journal_.AppendAccepted(taken);
-  while (!on_record && messages_.ForgetOldest()) on_record = journal_.AppendAccepted(taken);
-  if (!on_record) {
-    for (const Message* message : taken) {
-      if (metrics_ != nullptr) metrics_->RecordRejection(message->request.message_class);
-    }
-    for (const std::uint64_t number : waiting.message_numbers) messages_.Remove(number);
-    reply({AdmissionStatus::kRejected, kComeAgain, "no room on disk"});
-    return;
+    messages.push_back(&messages_.Add(std::move(message)));
   }
-  for (const Message* message : taken) {
-    if (dead_letters_ != nullptr) dead_letters_->OnAccepted(*message);
-    router_.OnAccepted(*message);
+  return messages;
+}
+
+// New messages go before ended ones that are retained for deduplication only: these are removed, oldest
+// first, until the record fits on the disk.
+bool AdmissionController::AppendToJournal(const std::vector<const Message*>& messages) {
+  bool is_recorded = journal_.AppendAccepted(messages);
+  while (!is_recorded && messages_.RemoveOldestRetained()) is_recorded = journal_.AppendAccepted(messages);
+  return is_recorded;
+}
+
+void AdmissionController::RejectUnrecorded(const std::vector<const Message*>& messages,
+                                           const AdmissionCallback& respond) {
+  for (const Message* message : messages) {
+    if (metrics_ != nullptr) metrics_->RecordRejection(message->request.message_class);
   }
-  waiting.reply = std::move(reply);
-  waiting_clients_.push_back(std::move(waiting));
+  for (const Message* message : messages) messages_.Remove(message->number);
+  respond({AdmissionStatus::kRejected, kRetryAfter, "no room on disk"});
 }
 
-void AdmissionController::Reject(const std::vector<Request>& requests, const AdmissionCallback& reply,
-                                 const AdmissionResult& answer) {
+void AdmissionController::Reject(const std::vector<Request>& requests, const AdmissionCallback& respond,
+                                 const AdmissionResult& result) {
   for (const Request& request : requests) {
     if (metrics_ != nullptr) metrics_->RecordRejection(request.message_class);
   }
-  reply(answer);
+  respond(result);
 }
 
 bool AdmissionController::AcceptRedrive(Message message) {
-  if ((is_accepting && !is_accepting()) || messages_.pending_count() >= max_pending_messages_) return false;
+  if (!IsAccepting() || !HasCapacityFor(1)) return false;
   const Message& added = messages_.Add(std::move(message));
-  const Message* one[] = {&added};
-  if (!journal_.AppendAccepted(one)) {
+  const Message* const messages[] = {&added};
+  if (!journal_.AppendAccepted(messages)) {
     messages_.Remove(added.number);
     return false;
   }
@@ -71,42 +93,65 @@
 }
 
 void AdmissionController::AnswerWaitingClients() {
-  for (WaitingClient& waiting : std::exchange(waiting_clients_, {})) {
-    // Not yet safely on record: asked again when the journal has moved on.
-    const bool safe = std::all_of(waiting.message_numbers.begin(), waiting.message_numbers.end(),
-                                  [&](std::uint64_t number) {
-                                    const Message* m = messages_.Find(number);
-                                    return m == nullptr || journal_.IsDurable(*m);
-                                  });
-    if (!safe) {
-      waiting_clients_.push_back(std::move(waiting));
-      continue;
-    }
-    Message* only =
-        waiting.message_numbers.size() == 1 ? messages_.Find(waiting.message_numbers.front()) : nullptr;
-    // Given up in the same step: the answer itself is the end, and no notice is owed.
-    const bool refused =
-        only != nullptr && only->final_status == FinalStatus::kRejected && only->attempts == 0;
-    const bool heard =
-        waiting.reply(refused ? AdmissionResult{AdmissionStatus::kRejected, only->retry_after, "no room"}
-                              : AdmissionResult());
-    for (const std::uint64_t number : waiting.message_numbers) {
-      Message* m = messages_.Find(number);
-      if (m == nullptr) continue;
-      m->client_answered = true;
-      if (!heard && m->final_status == FinalStatus::kPending) {
-        // The client closed before it was answered and hands the message in anew: this copy is withdrawn.
-        router_.OnWithdrawn(*m);
-        completion_handler_.Complete(*m, FinalStatus::kExpired);
-      } else if (m->notification_pending && (refused || !heard)) {
-        completion_handler_.OnDeadLettered(
-            number);  // the client knows its end, or hands it in anew: nothing to keep
-        completion_handler_.OnNotificationAcknowledged(number);
-      } else {
-        completion_handler_.NotifyClient(*m);
-      }
+  for (WaitingClient& client : std::exchange(waiting_clients_, {})) {
+    if (IsDurable(client)) {
+      Answer(client);
+    } else {
+      waiting_clients_.push_back(std::move(client));
     }
   }
 }
 
+bool AdmissionController::IsDurable(const WaitingClient& client) {
+  return std::all_of(client.message_numbers.begin(), client.message_numbers.end(),
+                     [this](std::uint64_t number) {
+                       const Message* message = messages_.Find(number);
+                       return message == nullptr || journal_.IsDurable(*message);
+                     });
+}
+
+// The single message of the submission if the policy rejected it before any attempt: the response states
+// that, and no notification is due. A submission of several messages has one response, so each of them is
+// notified.
+const Message* AdmissionController::FindShedMessage(const WaitingClient& client) {
+  if (client.message_numbers.size() != 1) return nullptr;
+  const Message* message = messages_.Find(client.message_numbers.front());
+  if (message == nullptr || message->final_status != FinalStatus::kRejected || message->attempts != 0) {
+    return nullptr;
+  }
+  return message;
+}
+
+void AdmissionController::Answer(const WaitingClient& client) {
+  AdmissionResult result;
+  ClientKnowledge knowledge = ClientKnowledge::kAccepted;
+  if (const Message* shed = FindShedMessage(client)) {
+    result = {AdmissionStatus::kRejected, shed->retry_after, "no room"};
+    knowledge = ClientKnowledge::kRejected;
+  }
+  if (!client.respond(result)) knowledge = ClientKnowledge::kDisconnected;
+  for (const std::uint64_t number : client.message_numbers) {
+    if (Message* message = messages_.Find(number)) OnAnswered(*message, knowledge);
+  }
+}
+
+void AdmissionController::OnAnswered(Message& message, ClientKnowledge knowledge) {
+  message.client_answered = true;
+  if (knowledge == ClientKnowledge::kDisconnected && message.final_status == FinalStatus::kPending) {
+    // Without a response the client submits the message again: this copy is withdrawn.
+    router_.OnWithdrawn(message);
+    completion_handler_.Complete(message, FinalStatus::kExpired);
+    return;
+  }
+  if (knowledge != ClientKnowledge::kAccepted && message.notification_pending) {
+    // The client knows the end, or submits the message again: neither a dead letter nor a notification is
+    // due.
+    const std::uint64_t number = message.number;
+    completion_handler_.OnDeadLettered(number);
+    completion_handler_.OnNotificationAcknowledged(number);
+    return;
+  }
+  completion_handler_.NotifyClient(message);
+}
+
 }  // namespace sagetally
--- a/src/pipeline/admission_controller.h
+++ b/src/pipeline/admission_controller.h
@@ -1,53 +1,79 @@
-// Admit: takes requests on, all of a submission or none, once they are on record; refuses at once what cannot
-// be held.
+// Admits validated requests, all of a submission or none: adds them to the message table and the journal, and
+// answers the client once the records are durable. Rejects at once what exceeds the capacity.
+//
+// Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_ADMISSION_CONTROLLER_H_
 #define SAGETALLY_SRC_PIPELINE_ADMISSION_CONTROLLER_H_
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <vector>
 
+#include "core/dead_letter_sink.h"
+#include "core/journal.h"
 #include "core/message_table.h"
-#include "core/ports.h"
+#include "core/metrics_recorder.h"
 #include "pipeline/completion_handler.h"
 #include "pipeline/router.h"
 #include "time/clock.h"
 
 namespace sagetally {
 
-// Answers the client; false if it has gone without one.
+// Sends the response to the client of a submission. Returns false if the client has disconnected.
 using AdmissionCallback = std::function<bool(const AdmissionResult&)>;
 
 class AdmissionController {
  public:
-  AdmissionController(MessageTable& ledger, Journal& journal, Router& route, CompletionHandler& book,
-                      const Clock& clock, int most_held, DeadLetterSink* keep, MetricsRecorder* tally)
-      : messages_(ledger),
+  // `dead_letters` and `metrics` may be null. All references outlive this object.
+  AdmissionController(MessageTable& messages, Journal& journal, Router& router,
+                      CompletionHandler& completion_handler, const Clock& clock, int max_pending_messages,
+                      DeadLetterSink* dead_letters, MetricsRecorder* metrics)
+      : messages_(messages),
         journal_(journal),
-        router_(route),
-        completion_handler_(book),
+        router_(router),
+        completion_handler_(completion_handler),
         clock_(clock),
-        max_pending_messages_(most_held),
-        dead_letters_(keep),
-        metrics_(tally) {}
+        max_pending_messages_(max_pending_messages),
+        dead_letters_(dead_letters),
+        metrics_(metrics) {}
 
-  void Accept(std::vector<Request> requests, AdmissionCallback reply);
-  // A kept message that is sent again, with its history and no client; false if there is no room for it.
+  // Accepts all requests, or rejects them. `respond` is called exactly once: within this call if they are
+  // rejected, else by AnswerWaitingClients().
+  void Accept(std::vector<Request> requests, AdmissionCallback respond);
+  // Rejects all requests of a submission with `result`.
+  void Reject(const std::vector<Request>& requests, const AdmissionCallback& respond,
+              const AdmissionResult& result);
+  // Accepts a dead letter that is redriven: a message with its history and without a client. Returns false if
+  // this process accepts no messages now or has no capacity for it.
   bool AcceptRedrive(Message message);
-  // After each step: answers what was taken in before it.
+  // Answers the clients whose messages are durable. Called after each run of the policy, which may have shed
+  // a message that was just accepted.
   void AnswerWaitingClients();
-  bool is_settled() const { return waiting_clients_.empty(); }  // nobody waits for an answer
-  // Whether messages are taken on at present; absent: they are.
-  std::function<bool()> is_accepting;
+  bool has_waiting_clients() const { return !waiting_clients_.empty(); }
 
-  // All of them, for one reason.
-  void Reject(const std::vector<Request>& requests, const AdmissionCallback& reply,
-              const AdmissionResult& answer);
+  // Whether messages are accepted at present. Empty: always.
+  std::function<bool()> is_accepting;
 
  private:
+  // A client whose messages were accepted, and that has no response yet.
   struct WaitingClient {
     std::vector<std::uint64_t> message_numbers;
-    AdmissionCallback reply;
+    AdmissionCallback respond;
   };
+  // What the client knows after the response.
+  enum class ClientKnowledge { kAccepted, kRejected, kDisconnected };
+
+  bool IsAccepting() const { return !is_accepting || is_accepting(); }
+  bool HasCapacityFor(std::size_t message_count) const;
+  std::vector<const Message*> AddMessages(std::vector<Request> requests);
+  bool AppendToJournal(const std::vector<const Message*>& messages);
+  void RejectUnrecorded(const std::vector<const Message*>& messages, const AdmissionCallback& respond);
+
+  bool IsDurable(const WaitingClient& client);
+  const Message* FindShedMessage(const WaitingClient& client);
+  void Answer(const WaitingClient& client);
+  void OnAnswered(Message& message, ClientKnowledge knowledge);
 
   MessageTable& messages_;
   Journal& journal_;
@@ -55,9 +81,9 @@
   CompletionHandler& completion_handler_;
   const Clock& clock_;
   const int max_pending_messages_;
-  DeadLetterSink* dead_letters_;  // may be null
-  MetricsRecorder* metrics_;      // may be null
-  std::vector<WaitingClient> waiting_clients_;
+  DeadLetterSink* dead_letters_;
+  MetricsRecorder* metrics_;
+  std::vector<WaitingClient> waiting_clients_;  // in the order of their requests
 };
 
 }  // namespace sagetally
--- a/src/pipeline/attempt_sender.h
+++ b/src/pipeline/attempt_sender.h
@@ -1,52 +1,68 @@
-// Send: puts an attempt on record, then lets the call go; one that is not safely on record waits, and is
-// given back unsent if that takes too long.
+// Starts the attempts that the dispatch policy decides on: records each in the journal, and makes the call
+// once the record is durable. An attempt that had to wait for too long is reported as not sent instead, so
+// that the policy decides anew.
+//
+// Used on the event loop's thread only, by Router and MessagePipeline.
 #ifndef SAGETALLY_SRC_PIPELINE_ATTEMPT_SENDER_H_
 #define SAGETALLY_SRC_PIPELINE_ATTEMPT_SENDER_H_
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "core/endpoint_client.h"
+#include "core/journal.h"
 #include "core/message_table.h"
-#include "core/ports.h"
 #include "time/clock.h"
 
 namespace sagetally {
 
 class AttemptSender {
  public:
-  // `classes`: of messages, by number; outlives it.
-  // `histories`: attempts are noted in the message, for those who may look into it later.
-  // `back` takes the results of calls that never left.
-  AttemptSender(const std::vector<ClassSettings>& classes, MessageTable& ledger, Journal& journal,
-                EndpointClient& caller, const Clock& clock, bool histories,
-                std::function<void(const CallResult&)> back)
+  // `classes` are the message classes by number. With `records_history` each attempt is added to its
+  // message's history. `on_not_sent` receives a result for each attempt whose call was never made. All
+  // references outlive this object.
+  AttemptSender(const std::vector<ClassSettings>& classes, MessageTable& messages, Journal& journal,
+                EndpointClient& endpoint_client, const Clock& clock, bool records_history,
+                std::function<void(const CallResult&)> on_not_sent)
       : classes_(classes),
-        messages_(ledger),
+        messages_(messages),
         journal_(journal),
-        endpoint_client_(caller),
+        endpoint_client_(endpoint_client),
         clock_(clock),
-        records_history_(histories),
-        on_not_sent_(std::move(back)) {}
+        records_history_(records_history),
+        on_not_sent_(std::move(on_not_sent)) {}
 
-  void StartAttempt(std::uint64_t number, const std::string& endpoint, Duration time_out);
-  // The module calls it off; true if it had not left yet.
-  bool CancelIfWaiting(std::uint64_t number) {
-    return waiting_attempts_.erase(number) > 0 && (cancelled_unsent_.push_back(number), true);
-  }
-  void OnJournalProgress();  // the journal has moved on, or a cancelled one is to be given back
-  bool has_nothing_to_return() const { return cancelled_unsent_.empty(); }
-  bool is_settled() const { return waiting_attempts_.empty() && cancelled_unsent_.empty(); }
+  // Starts an attempt to send message `number` to `endpoint`. Does nothing if the message is unknown, has
+  // ended or has a call in flight.
+  void StartAttempt(std::uint64_t number, const std::string& endpoint, Duration timeout);
+
+  // Cancels the attempt of message `number` if it still waits for the journal, and returns whether it did.
+  // The next OnJournalProgress() reports it as not sent.
+  bool CancelIfWaiting(std::uint64_t number);
+
+  // Makes the calls whose records have become durable, and reports the attempts that were cancelled or have
+  // waited for too long.
+  void OnJournalProgress();
+
+  // Whether OnJournalProgress() has cancelled attempts to report.
+  bool has_cancelled_attempts() const { return !cancelled_attempts_.empty(); }
+  // Whether any attempt was recorded whose call has not been made, nor reported as not sent.
+  bool has_waiting_attempts() const { return !waiting_attempts_.empty() || has_cancelled_attempts(); }
 
  private:
+  // A recorded attempt that waits until its record is durable.
   struct WaitingAttempt {
     std::string endpoint;
     Duration timeout{0};
-    Time since{0};
+    Time decided_at{0};
   };
-  void StartCall(const Message& message, const std::string& endpoint, Duration time_out);
+
+  void StartCall(const Message& message, const std::string& endpoint, Duration timeout);
+  void ReportNotSent(std::uint64_t number);
 
   const std::vector<ClassSettings>& classes_;
   MessageTable& messages_;
@@ -55,8 +71,8 @@
   const Clock& clock_;
   const bool records_history_;
   const std::function<void(const CallResult&)> on_not_sent_;
-  std::map<std::uint64_t, WaitingAttempt> waiting_attempts_;  // by message
-  std::vector<std::uint64_t> cancelled_unsent_;               // called off before they left
+  std::map<std::uint64_t, WaitingAttempt> waiting_attempts_;  // by message number
+  std::vector<std::uint64_t> cancelled_attempts_;             // message numbers, in the order of cancelling
 };
 
 }  // namespace sagetally
--- a/src/pipeline/completion_handler.cpp
+++ b/src/pipeline/completion_handler.cpp
@@ -5,14 +5,16 @@
 
 namespace sagetally {
 
-void CompletionHandler::Complete(Message& message, enum FinalStatus end, Duration again) {
+void CompletionHandler::Complete(Message& message, FinalStatus final_status, Duration retry_after) {
   if (message.final_status != FinalStatus::kPending) return;
   if (dead_letters_ != nullptr) {
-    dead_letters_->BeforeCompletion(message, end);
+    dead_letters_->BeforeCompletion(message, final_status);
   } else if (message.redrive_number != 0) {
-    message.dead_letter_pending = true;  // guards against a second resend: the store still calls it claimed
+    // The dead-letter store, which is switched off now, still has the redrive as claimed. It must learn its
+    // end when it is back, or it would redrive the message again.
+    message.dead_letter_pending = true;
   }
-  messages_.Complete(message, end, again, clock_.Now());
+  messages_.Complete(message, final_status, retry_after, clock_.Now());
   journal_.AppendCompletion(message);
   if (metrics_ != nullptr) metrics_->RecordCompletion(message);
   if (message.client_answered) NotifyClient(message);
@@ -28,11 +30,10 @@
 }
 
 void CompletionHandler::PassToDeadLetters(Message& message) {
-  // Where messages are kept no more, what is owed to the store waits in the journal until they are again.
-  if (dead_letters_ != nullptr && message.dead_letter_pending &&
-      message.final_status != FinalStatus::kPending && message.client_answered && !message.is_in_flight) {
-    dead_letters_->TakeOver(message);
-  }
+  const bool is_due = message.dead_letter_pending && message.final_status != FinalStatus::kPending &&
+                      message.client_answered && !message.is_in_flight;
+  // Without a store the message waits in the journal until dead letters are switched on again.
+  if (is_due && dead_letters_ != nullptr) dead_letters_->TakeOver(message);
   messages_.RemoveIfFinished(message);
 }
 
@@ -62,13 +63,12 @@
 }
 
 void CompletionHandler::ResumeNotifications() {
-  std::vector<std::uint64_t> owed;
+  // By number, since NotifyClient() may remove messages from the table.
+  std::vector<std::uint64_t> numbers;
   for (const auto& [number, message] : messages_.messages()) {
-    if (message.notification_pending || message.dead_letter_pending) owed.push_back(number);
-  }
-  for (const std::uint64_t number : owed) {
-    NotifyClient(*messages_.Find(number));
+    if (message.notification_pending || message.dead_letter_pending) numbers.push_back(number);
   }
+  for (const std::uint64_t number : numbers) NotifyClient(*messages_.Find(number));
 }
 
 }  // namespace sagetally
--- a/src/pipeline/completion_handler.h
+++ b/src/pipeline/completion_handler.h
@@ -1,45 +1,63 @@
-// Book: the last stage. Each message's one end, on record before it is told.
+// Ends messages: sets the final status once, records it, and then notifies the client and hands the message
+// to the dead-letter store, each only when the record is durable.
+//
+// Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_COMPLETION_HANDLER_H_
 #define SAGETALLY_SRC_PIPELINE_COMPLETION_HANDLER_H_
 
+#include <cstdint>
 #include <set>
 
+#include "core/dead_letter_sink.h"
+#include "core/journal.h"
 #include "core/message_table.h"
-#include "core/ports.h"
+#include "core/metrics_recorder.h"
+#include "core/notifier.h"
 #include "time/clock.h"
 
 namespace sagetally {
 
 class CompletionHandler {
  public:
-  CompletionHandler(MessageTable& ledger, Journal& journal, Notifier& teller, const Clock& clock,
-                    DeadLetterSink* keep, MetricsRecorder* tally)
-      : messages_(ledger),
+  // `dead_letters` and `metrics` may be null. All of them outlive this object.
+  CompletionHandler(MessageTable& messages, Journal& journal, Notifier& notifier, const Clock& clock,
+                    DeadLetterSink* dead_letters, MetricsRecorder* metrics)
+      : messages_(messages),
         journal_(journal),
-        notifier_(teller),
+        notifier_(notifier),
         clock_(clock),
-        dead_letters_(keep),
-        metrics_(tally) {}
+        dead_letters_(dead_letters),
+        metrics_(metrics) {}
 
-  void Complete(Message& message, enum FinalStatus end, Duration again = Duration(0));
-  void NotifyClient(Message& message);                    // its end, if a notice is owed; then lets it go
-  void OnNotificationAcknowledged(std::uint64_t number);  // a notice arrived
-  void OnNoRecipient(std::uint64_t number);               // from within Tell: its end has no hearer
-  void PassToDeadLetters(Message& message);   // to the store of kept messages, if it is; else lets it go
-  void OnDeadLettered(std::uint64_t number);  // the store has it, or never will
-  void ResumeNotifications();                 // after a restart: all that is owed
-  void OnJournalProgress();                   // tells what waited for the journal
+  // Ends a pending message; does nothing to one that has ended. May remove it from the table.
+  void Complete(Message& message, FinalStatus final_status, Duration retry_after = Duration(0));
+  // Notifies the client of an ended message if a notification is pending, then passes the message on as
+  // PassToDeadLetters() does. Waits with both until the message's records are durable.
+  void NotifyClient(Message& message);
+  // The client of message `number` acknowledged its notification.
+  void OnNotificationAcknowledged(std::uint64_t number);
+  // Message `number` has nobody to notify. Called from within Notifier::Notify().
+  void OnNoRecipient(std::uint64_t number);
+  // Hands the message to the dead-letter store if it is due there, and removes it if nothing is owed for it.
+  void PassToDeadLetters(Message& message);
+  // The dead-letter store holds message `number`, or never will.
+  void OnDeadLettered(std::uint64_t number);
+  // After a restart: takes up all notifications and transfers to the dead-letter store that are pending.
+  void ResumeNotifications();
+  // Notifies the clients that waited for durable records.
+  void OnJournalProgress();
 
-  bool is_settled() const { return awaiting_durability_.empty(); }
+  // Whether ended messages wait until their records are durable.
+  bool has_waiting_completions() const { return !awaiting_durability_.empty(); }
 
  private:
   MessageTable& messages_;
   Journal& journal_;
   Notifier& notifier_;
   const Clock& clock_;
-  DeadLetterSink* dead_letters_;                 // may be null
-  MetricsRecorder* metrics_;                     // may be null
-  std::set<std::uint64_t> awaiting_durability_;  // ended and answered, and not yet safe on record
+  DeadLetterSink* dead_letters_;
+  MetricsRecorder* metrics_;
+  std::set<std::uint64_t> awaiting_durability_;  // message numbers
 };
 
 }  // namespace sagetally
--- /dev/null
+++ b/src/pipeline/message_pipeline.cpp
@@ -0,0 +1,61 @@
+#include "pipeline/message_pipeline.h"
+
+#include <vector>
+
+namespace sagetally {
+
+MessagePipeline::MessagePipeline(const SiteSettings& site, std::uint64_t seed, MessageTable& messages,
+                                 Journal& journal, EndpointClient& endpoint_client, Notifier& notifier,
+                                 Scheduler& scheduler, const Clock& clock, DeadLetterSink* dead_letters,
+                                 MetricsRecorder* metrics)
+    : completion_handler(messages, journal, notifier, clock, dead_letters, metrics),
+      attempt_sender(site.policy.classes, messages, journal, endpoint_client, clock, dead_letters != nullptr,
+                     [this](const CallResult& result) { outcome_handler.OnCallResult(result); }),
+      router(DispatchPolicy(site.policy, seed), messages, attempt_sender, completion_handler, endpoint_client,
+             scheduler, clock),
+      outcome_handler(messages, journal, router, completion_handler, clock, dead_letters, attempt_history),
+      admission(messages, journal, router, completion_handler, clock, site.policy.max_pending_messages,
+                dead_letters, metrics),
+      validator(site, messages, router, admission, dead_letters),
+      messages_(messages),
+      dead_letters_(dead_letters) {}
+
+void MessagePipeline::ResumeAfterRestart() {
+  std::vector<std::uint64_t> forbidden;
+  for (const auto& [number, message] : messages_.messages()) {
+    // A call in flight after a handover is with the process before; its result comes as any other.
+    if (message.final_status != FinalStatus::kPending || message.is_in_flight) continue;
+    if (MayContinueAfterRestart(message)) {
+      router.OnAccepted(message);
+    } else {
+      forbidden.push_back(number);
+    }
+  }
+  for (const std::uint64_t number : forbidden) {
+    completion_handler.Complete(*messages_.Find(number), FinalStatus::kFailed);
+  }
+  completion_handler.ResumeNotifications();
+}
+
+bool MessagePipeline::MayContinueAfterRestart(const Message& message) const {
+  if (message.request.message_class == kNoClass) return false;
+  return dead_letters_ == nullptr || dead_letters_->MayContinueAfterRestart(message);
+}
+
+void MessagePipeline::OnJournalProgress() {
+  attempt_sender.OnJournalProgress();
+  completion_handler.OnJournalProgress();
+  admission.AnswerWaitingClients();
+}
+
+void MessagePipeline::RunPolicy() {
+  router.RunPolicy();
+  admission.AnswerWaitingClients();
+}
+
+bool MessagePipeline::IsSettled() const {
+  return !admission.has_waiting_clients() && !attempt_sender.has_waiting_attempts() &&
+         !completion_handler.has_waiting_completions();
+}
+
+}  // namespace sagetally
--- a/src/pipeline/message_pipeline.h
+++ b/src/pipeline/message_pipeline.h
@@ -1,71 +1,56 @@
-// The chain of stages as one: take in, admit, route, send, relay, book.
+// The way of a message through the service, wired: a request is validated, admitted, routed by the dispatch
+// policy and sent; its calls' results are handled, and the message is completed.
+//
+//   RequestValidator -> AdmissionController -> Router -> AttemptSender -> (endpoint client)
+//                                                 ^                              |
+//                                                 +------- OutcomeHandler <------+
+//                                                              |
+//                                                       CompletionHandler -> (notifier, dead letters)
+//
+// The pipeline does no I/O: it reaches the outside by the interfaces of core/ports.h. It depends on core,
+// config and the policy only; the handover reads its attempt history from outside. Used on the event loop's
+// thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
 #define SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
 
+#include <cstdint>
+
+#include "config/settings.h"
+#include "core/attempt_history.h"
+#include "core/message_table.h"
+#include "core/ports.h"
 #include "pipeline/admission_controller.h"
 #include "pipeline/attempt_sender.h"
 #include "pipeline/completion_handler.h"
 #include "pipeline/outcome_handler.h"
 #include "pipeline/request_validator.h"
 #include "pipeline/router.h"
+#include "time/clock.h"
 
 namespace sagetally {
 
-struct MessagePipeline {
-  MessagePipeline(const SiteSettings& site, std::uint64_t seed, MessageTable& ledger, Journal& journal,
-                  EndpointClient& caller, Notifier& teller, Scheduler& host, const Clock& clock,
-                  DeadLetterSink* keep = nullptr, MetricsRecorder* tally = nullptr)
-      : messages(ledger),
-        dead_letters(keep),
-        completion_handler(ledger, journal, teller, clock, keep, tally),
-        attempt_sender(site.policy.classes, ledger, journal, caller, clock, keep != nullptr,
-                       [this](const CallResult& result) { outcome_handler.OnCallResult(result); }),
-        router(DispatchPolicy(site.policy, seed), ledger, attempt_sender, completion_handler, caller, host,
-               clock),
-        outcome_handler(ledger, journal, router, completion_handler, clock, keep, attempt_history),
-        admission(ledger, journal, router, completion_handler, clock, site.policy.max_pending_messages, keep,
-                  tally),
-        validator(site, ledger, router, admission, keep) {}
-
-  // After a restart: every message still owed goes to the module with its history, and every end not yet
-  // heard is told again. The list of endpoints must be known by then.
-  void ResumeAfterRestart() {
-    std::vector<std::uint64_t> forbidden;
-    for (const auto& [number, message] : messages.messages()) {
-      if (message.final_status != FinalStatus::kPending || message.is_in_flight)
-        continue;  // out: with an earlier process
-      if (message.request.message_class == kNoClass ||
-          (dead_letters != nullptr && !dead_letters->MayContinueAfterRestart(message))) {
-        forbidden.push_back(number);
-      } else {
-        router.OnAccepted(message);
-      }
-    }
-    for (const std::uint64_t number : forbidden) {
-      completion_handler.Complete(*messages.Find(number), FinalStatus::kFailed);
-    }
-    completion_handler.ResumeNotifications();
-  }
-
-  // What waited for the journal may go on.
-  void OnJournalProgress() {
-    attempt_sender.OnJournalProgress();
-    completion_handler.OnJournalProgress();
-    admission.AnswerWaitingClients();
-  }
+class MessagePipeline {
+ public:
+  // `seed` makes the policy's random choices repeatable. `dead_letters` and `metrics` may be null. All
+  // references outlive the pipeline.
+  MessagePipeline(const SiteSettings& site, std::uint64_t seed, MessageTable& messages, Journal& journal,
+                  EndpointClient& endpoint_client, Notifier& notifier, Scheduler& scheduler,
+                  const Clock& clock, DeadLetterSink* dead_letters = nullptr,
+                  MetricsRecorder* metrics = nullptr);
+  // The parts refer to one another.
+  MessagePipeline(const MessagePipeline&) = delete;
+  MessagePipeline& operator=(const MessagePipeline&) = delete;
 
-  // Nothing waits for the journal: what was said has been acted upon.
-  bool IsSettled() const {
-    return admission.is_settled() && attempt_sender.is_settled() && completion_handler.is_settled();
-  }
+  // After a restart: gives every pending message to the policy, with what is known of its attempts, and takes
+  // up pending notifications. Messages that must not be sent again fail. The endpoint list must be known.
+  void ResumeAfterRestart();
+  // The journal has made more records durable: continues what waited for them.
+  void OnJournalProgress();
+  // Processes all queued events and carries out the policy's decisions.
+  void RunPolicy();
+  // Whether nothing waits for durable records.
+  bool IsSettled() const;
 
-  void RunPolicy() {
-    router.RunPolicy();
-    admission.AnswerWaitingClients();
-  }
-
-  MessageTable& messages;
-  DeadLetterSink* dead_letters;  // may be null
   AttemptHistory attempt_history;
   CompletionHandler completion_handler;
   AttemptSender attempt_sender;
@@ -73,6 +58,12 @@
   OutcomeHandler outcome_handler;
   AdmissionController admission;
   RequestValidator validator;
+
+ private:
+  bool MayContinueAfterRestart(const Message& message) const;
+
+  MessageTable& messages_;
+  DeadLetterSink* dead_letters_;
 };
 
 }  // namespace sagetally
--- a/src/pipeline/outcome_handler.cpp
+++ b/src/pipeline/outcome_handler.cpp
@@ -1,46 +1,67 @@
 #include "pipeline/outcome_handler.h"
 
-#include <utility>
+#include "core/policy_message_id.h"
 
 namespace sagetally {
 
 void OutcomeHandler::OnCallResult(const CallResult& result) {
   Message* message = messages_.Find(result.number);
   if (message == nullptr || !message->is_in_flight) return;
-  Message& m = *message;
-  m.is_in_flight = false;
-  if (MayHaveRun(result.outcome) && !m.first_uncertain_attempt) {
-    m.first_uncertain_attempt = m.in_flight_since;
-    m.first_uncertain_endpoint = m.in_flight_endpoint;
-  }
-  if (!m.history.empty()) {
-    m.history.back().outcome = result.outcome;
-    m.history.back().retry_after = result.retry_after;
+  UpdateMessage(*message, result);
+  if (dead_letters_ != nullptr) dead_letters_->OnCallCompleted(*message, result);
+  attempt_history_.Add(ToCompletedAttempt(*message, result));
+
+  AttemptCompleted event = ToPolicyEvent(*message, result);
+  const bool had_ended = message->final_status != FinalStatus::kPending;
+  const bool ends_now = !had_ended && (result.outcome == Outcome::kOk || result.completed);
+  event.message_ended = had_ended || ends_now;
+  if (!event.message_ended) journal_.AppendOutcome(*message, result.outcome);
+  router_.QueueEvent(std::move(event));
+
+  if (had_ended) {
+    completion_handler_.PassToDeadLetters(*message);
+  } else if (ends_now) {
+    const bool is_delivered = result.outcome == Outcome::kOk;
+    completion_handler_.Complete(*message, is_delivered ? FinalStatus::kDelivered : FinalStatus::kExpired);
   }
-  if (dead_letters_ != nullptr) dead_letters_->OnCallCompleted(m, result);
-  attempt_history_.Add({m.in_flight_since, clock_.Now(), m.deadline, m.request.destination,
-                        m.request.message_class, m.attempts, m.in_flight_endpoint, result.outcome,
-                        result.retry_after, result.load_report});
-  AttemptCompleted e;
-  e.id = PolicyMessageId(m.number);
-  e.attempt = m.attempts - 1;
-  e.outcome = result.outcome;
-  e.latency = clock_.Now() - m.in_flight_since;
-  e.retry_after = result.retry_after;
-  e.load_report = result.load_report;
-  if (m.final_status != FinalStatus::kPending) {  // ended while the call was out
-    e.message_ended = true;
-    router_.QueueEvent(std::move(e));
-    return completion_handler_.PassToDeadLetters(m);
+}
+
+void OutcomeHandler::UpdateMessage(Message& message, const CallResult& result) const {
+  message.is_in_flight = false;
+  if (MayHaveRun(result.outcome) && !message.first_uncertain_attempt) {
+    message.first_uncertain_attempt = message.in_flight_since;
+    message.first_uncertain_endpoint = message.in_flight_endpoint;
   }
-  if (result.outcome == Outcome::kOk || result.completed) {
-    e.message_ended = true;
-    router_.QueueEvent(std::move(e));
-    return completion_handler_.Complete(
-        m, result.outcome == Outcome::kOk ? FinalStatus::kDelivered : FinalStatus::kExpired);
+  if (!message.history.empty()) {
+    message.history.back().outcome = result.outcome;
+    message.history.back().retry_after = result.retry_after;
   }
-  journal_.AppendOutcome(m, result.outcome);
-  router_.QueueEvent(std::move(e));
+}
+
+CompletedAttempt OutcomeHandler::ToCompletedAttempt(const Message& message, const CallResult& result) const {
+  CompletedAttempt attempt;
+  attempt.sent_at = message.in_flight_since;
+  attempt.completed_at = clock_.Now();
+  attempt.deadline = message.deadline;
+  attempt.destination = message.request.destination;
+  attempt.message_class = message.request.message_class;
+  attempt.attempts = message.attempts;
+  attempt.endpoint = message.in_flight_endpoint;
+  attempt.outcome = result.outcome;
+  attempt.retry_after = result.retry_after;
+  attempt.load_report = result.load_report;
+  return attempt;
+}
+
+AttemptCompleted OutcomeHandler::ToPolicyEvent(const Message& message, const CallResult& result) const {
+  AttemptCompleted event;
+  event.id = PolicyMessageId(message.number);
+  event.attempt = message.attempts - 1;
+  event.outcome = result.outcome;
+  event.latency = clock_.Now() - message.in_flight_since;
+  event.retry_after = result.retry_after;
+  event.load_report = result.load_report;
+  return event;
 }
 
 }  // namespace sagetally
--- a/src/pipeline/outcome_handler.h
+++ b/src/pipeline/outcome_handler.h
@@ -1,10 +1,15 @@
-// Relay: takes what came back from a call, puts it on record and passes it on.
+// Takes the results of calls: updates the message, records the outcome, and reports it to the dispatch
+// policy.
+//
+// Used on the event loop's thread only. Results come from the endpoint client, from AttemptSender (calls that
+// were never made) and, after a handover, from the process before.
 #ifndef SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
 #define SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
 
+#include "core/attempt_history.h"
+#include "core/dead_letter_sink.h"
+#include "core/journal.h"
 #include "core/message_table.h"
-#include "core/ports.h"
-#include "handover/handover_state.h"
 #include "pipeline/completion_handler.h"
 #include "pipeline/router.h"
 #include "time/clock.h"
@@ -13,25 +18,32 @@
 
 class OutcomeHandler {
  public:
-  OutcomeHandler(MessageTable& ledger, Journal& journal, Router& route, CompletionHandler& book,
-                 const Clock& clock, DeadLetterSink* keep, AttemptHistory& memory)
-      : messages_(ledger),
+  // `dead_letters` may be null. All of them outlive this object.
+  OutcomeHandler(MessageTable& messages, Journal& journal, Router& router,
+                 CompletionHandler& completion_handler, const Clock& clock, DeadLetterSink* dead_letters,
+                 AttemptHistory& attempt_history)
+      : messages_(messages),
         journal_(journal),
-        router_(route),
-        completion_handler_(book),
+        router_(router),
+        completion_handler_(completion_handler),
         clock_(clock),
-        dead_letters_(keep),
-        attempt_history_(memory) {}
+        dead_letters_(dead_letters),
+        attempt_history_(attempt_history) {}
 
+  // Ignores a result for a message that is unknown or has no call in flight.
   void OnCallResult(const CallResult& result);
 
  private:
+  void UpdateMessage(Message& message, const CallResult& result) const;
+  CompletedAttempt ToCompletedAttempt(const Message& message, const CallResult& result) const;
+  AttemptCompleted ToPolicyEvent(const Message& message, const CallResult& result) const;
+
   MessageTable& messages_;
   Journal& journal_;
   Router& router_;
   CompletionHandler& completion_handler_;
   const Clock& clock_;
-  DeadLetterSink* dead_letters_;  // may be null
+  DeadLetterSink* dead_letters_;
   AttemptHistory& attempt_history_;
 };
 
--- a/src/pipeline/request_validator.cpp
+++ b/src/pipeline/request_validator.cpp
@@ -1,54 +1,93 @@
 #include "pipeline/request_validator.h"
 
+#include <chrono>
 #include <set>
+#include <string>
 #include <utility>
 
 namespace sagetally {
+namespace {
 
-std::string RequestValidator::FindProblem(const Request& r) const {
-  if (r.id.empty() || r.id.size() > kMaxNameBytes) return "the id must have 1 to 512 bytes";
-  if (r.message_class < 0 || r.message_class >= static_cast<int>(site_.classes.size())) {
-    return "unknown class";
+// Stated to the client of a message whose dead letter is being redriven.
+constexpr Duration kRetryAfterRedrive = std::chrono::seconds(1);
+
+}  // namespace
+
+std::string_view DescribeRequestError(RequestError error) {
+  switch (error) {
+    case RequestError::kIdLength:
+      return "the id must have 1 to 512 bytes";
+    case RequestError::kUnknownClass:
+      return "unknown class";
+    case RequestError::kDestinationRange:
+      return "destination out of range";
+    case RequestError::kDeadline:
+      return "the deadline must be positive";
+    case RequestError::kBodyLength:
+      return "the body is longer than 64 KiB";
+    case RequestError::kIdempotencyKeyLength:
+      return "the idempotency key is longer than 512 bytes";
   }
-  if (r.destination < 0 || r.destination > kMaxDestination) return "destination out of range";
-  if (r.time_left <= Duration(0)) return "the deadline must be positive";
-  if (r.body.size() > kMaxBodyBytes) return "the body is longer than 64 KiB";
-  if (r.idempotency_key.size() > kMaxNameBytes) return "the idempotency key is longer than 512 bytes";
-  return "";
+  return "invalid request";
 }
 
-void RequestValidator::Submit(std::vector<Request> requests, AdmissionCallback reply) {
+void RequestValidator::Submit(std::vector<Request> requests, AdmissionCallback respond) {
   for (const Request& request : requests) {
-    if (std::string problem = FindProblem(request); !problem.empty()) {
-      reply({AdmissionStatus::kInvalid, Duration(0), std::move(problem)});
+    if (const std::optional<RequestError> error = FindError(request)) {
+      respond({AdmissionStatus::kInvalid, Duration(0), std::string(DescribeRequestError(*error))});
       return;
     }
-    // Guards the held places against what can go nowhere. The list may be late, so it may come again.
-    if (!router_.KnowsDestination(request.destination)) {
-      return admission_.Reject(
-          requests, reply,
-          {AdmissionStatus::kRejected, Duration(0), "no endpoint of this destination is known"});
-    }
-    // Guards against a second copy beside the one that is being sent again.
-    if (dead_letters_ != nullptr && dead_letters_->IsBeingRedriven(request)) {
-      return admission_.Reject(
-          requests, reply,
-          {AdmissionStatus::kRejected, std::chrono::seconds(1), "a kept copy of it is being sent again"});
+    if (const std::optional<AdmissionResult> rejection = FindRejection(request)) {
+      admission_.Reject(requests, respond, *rejection);
+      return;
     }
   }
-  std::vector<Request> fresh;
+  std::vector<Request> new_requests = WithoutDuplicates(std::move(requests));
+  if (new_requests.empty()) {
+    respond({});
+    return;
+  }
+  admission_.Accept(std::move(new_requests), std::move(respond));
+}
+
+std::optional<RequestError> RequestValidator::FindError(const Request& request) const {
+  const int class_count = static_cast<int>(site_.classes.size());
+  if (request.id.empty() || request.id.size() > kMaxNameBytes) return RequestError::kIdLength;
+  if (request.message_class < 0 || request.message_class >= class_count) return RequestError::kUnknownClass;
+  if (request.destination < 0 || request.destination > kMaxDestination) {
+    return RequestError::kDestinationRange;
+  }
+  if (request.time_left <= Duration(0)) return RequestError::kDeadline;
+  if (request.body.size() > kMaxBodyBytes) return RequestError::kBodyLength;
+  if (request.idempotency_key.size() > kMaxNameBytes) return RequestError::kIdempotencyKeyLength;
+  return std::nullopt;
+}
+
+std::optional<AdmissionResult> RequestValidator::FindRejection(const Request& request) const {
+  // Messages that can't be sent would use up the capacity. The endpoint list may only be late, so the client
+  // may submit the message again.
+  if (!router_.KnowsDestination(request.destination)) {
+    return AdmissionResult{AdmissionStatus::kRejected, Duration(0),
+                           "no endpoint of this destination is known"};
+  }
+  // A second copy beside the one that is redriven could take effect twice.
+  if (dead_letters_ != nullptr && dead_letters_->IsBeingRedriven(request)) {
+    return AdmissionResult{AdmissionStatus::kRejected, kRetryAfterRedrive,
+                           "a kept copy of it is being sent again"};
+  }
+  return std::nullopt;
+}
+
+// A message that was rejected before is new.
+std::vector<Request> RequestValidator::WithoutDuplicates(std::vector<Request> requests) const {
+  std::vector<Request> new_requests;
   std::set<std::string> ids;
   for (Request& request : requests) {
-    // Held, or ended in remembered time: the same answer and no second message. After a refusal it is new.
     const Message* known = messages_.FindDuplicate(request);
     if (known != nullptr && known->final_status != FinalStatus::kRejected) continue;
-    if (ids.insert(request.id).second) fresh.push_back(std::move(request));
-  }
-  if (fresh.empty()) {
-    reply({});
-    return;
+    if (ids.insert(request.id).second) new_requests.push_back(std::move(request));
   }
-  admission_.Accept(std::move(fresh), std::move(reply));
+  return new_requests;
 }
 
 }  // namespace sagetally
