--- /dev/null
+++ b/src/app/client_servers.cpp
@@ -0,0 +1,103 @@
+#include "app/client_servers.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace sagetally {
+
+ClientServers::ClientServers(EventLoop& loop, Logger& log, const Config& config, const NodeFile& deploy,
+                             RequestValidator& validator, const Readiness& readiness)
+    : loop_(loop),
+      log_(log),
+      config_(config),
+      deploy_(deploy),
+      platform_frontend_(config.site, validator, readiness),
+      cloudevents_frontend_(config.site, validator, readiness) {}
+
+void ClientServers::Start(ReceivedHandover* received) {
+  const bool has_platform_server = deploy_.role != Role::kPlanner;
+  const DescriptorShares shares =
+      ShareDescriptors(config_, deploy_.cloudevents.has_value(), has_platform_server);
+  if (has_platform_server) {
+    platform_server_ = std::make_unique<HttpServer>(
+        loop_, config_.listen, HttpServer::HttpServerLimits{RequestValidator::kMaxBodyBytes, shares.plain},
+        [this](const std::shared_ptr<Exchange>& exchange) { platform_frontend_.Handle(exchange); },
+        received != nullptr ? std::move(received->platform_listener) : FileDescriptor());
+  }
+  if (deploy_.cloudevents) {
+    cloudevents_server_ = std::make_unique<HttpServer>(
+        loop_, deploy_.cloudevents->listen,
+        HttpServer::HttpServerLimits{shares.event_body, shares.events, CloudEventsFrontend::kMaxHeadBytes},
+        [this](const std::shared_ptr<Exchange>& exchange) { cloudevents_frontend_.Handle(exchange); },
+        received != nullptr ? std::move(received->cloudevents_listener) : FileDescriptor());
+    log_.Info("cloudevents.ready",
+              {{"host", deploy_.cloudevents->listen.host}, {"port", cloudevents_server_->port()}});
+  }
+}
+
+void ClientServers::AdoptClients(ReceivedHandover& received) {
+  for (HttpServer::TransferredClient& client : std::exchange(received.platform_clients, {})) {
+    if (platform_server_) platform_server_->Adopt(std::move(client));
+  }
+  for (HttpServer::TransferredClient& client : std::exchange(received.cloudevents_clients, {})) {
+    if (cloudevents_server_) cloudevents_server_->Adopt(std::move(client));
+  }
+}
+
+std::vector<HttpServer*> ClientServers::Servers() const {
+  std::vector<HttpServer*> servers;
+  for (HttpServer* server : {platform_server_.get(), cloudevents_server_.get()}) {
+    if (server != nullptr) servers.push_back(server);
+  }
+  return servers;
+}
+
+std::size_t ClientServers::connections() const {
+  std::size_t count = 0;
+  for (const HttpServer* server : Servers()) count += server->connections();
+  return count;
+}
+
+bool ClientServers::IsSettled() const {
+  return std::ranges::all_of(Servers(), [](const HttpServer* server) { return server->IsSettled(); });
+}
+
+void ClientServers::SetClosing(bool closing) {
+  for (HttpServer* server : Servers()) server->SetClosing(closing);
+}
+
+void ClientServers::CloseIdleConnections() {
+  for (HttpServer* server : Servers()) server->CloseBetweenRequests();
+}
+
+void ClientServers::CloseUnusedConnections() {
+  for (HttpServer* server : Servers()) server->CloseBetweenRequests(true);
+}
+
+void ClientServers::StopListening() {
+  for (HttpServer* server : Servers()) {
+    server->StopListening();
+    server->CloseBetweenRequests();
+  }
+}
+
+void ClientServers::SetOnClosed(const std::function<void()>& on_closed) {
+  for (HttpServer* server : Servers()) server->on_closed = on_closed;
+}
+
+void ClientServers::AddToOffer(HandoverOffer& offer) const {
+  if (platform_server_) {
+    offer.platform_listener = platform_server_->listener();
+    offer.platform_clients = platform_server_->ClientsToTransfer();
+  }
+  if (cloudevents_server_) {
+    offer.cloudevents_listener = cloudevents_server_->listener();
+    offer.cloudevents_clients = cloudevents_server_->ClientsToTransfer();
+  }
+}
+
+void ClientServers::ReleaseAll() {
+  for (HttpServer* server : Servers()) server->ReleaseAll();
+}
+
+}  // namespace sagetally
--- /dev/null
+++ b/src/app/dispatcher_handover.cpp
@@ -0,0 +1,93 @@
+// The dispatcher's part in a handover, in both directions.
+#include <utility>
+
+#include "app/dispatcher.h"
+#include "app/handover_transfer.h"
+
+namespace sagetally {
+
+FileDescriptor Dispatcher::TakeJournalLock() {
+  return predecessor_ ? std::move(received()->journal_lock) : FileDescriptor();
+}
+
+void Dispatcher::TakeOver() {
+  const ReceivedHandover& offer = *received();
+  predecessor_->FollowCalls(loop_, RestoreHandoverState(offer.state, config_.site, pipeline_),
+                            [this](const CallResult& result) { OnCallResult(result); });
+  log_.Info("handover.received", {{"pending", messages_.pending_count()},
+                                  {"calls_in_flight", offer.state.in_flight_calls.size()},
+                                  {"clients", offer.platform_clients.size()},
+                                  {"attempts", offer.state.recent_attempts.size()}});
+}
+
+void Dispatcher::CancelCall(std::uint64_t number) {
+  if (predecessor_ && predecessor_->CancelCall(number)) return;
+  endpoint_pool_.CancelCall(number);
+}
+
+void Dispatcher::CancelCallIfUnsent(std::uint64_t number) {
+  if (predecessor_ && predecessor_->CancelCallIfUnsent(number)) return;
+  endpoint_pool_.CancelCallIfUnsent(number);
+}
+
+void Dispatcher::OfferHandover() {
+  Successor::Callbacks callbacks;
+  callbacks.is_settled = [this] { return IsSettledForHandover(); };
+  callbacks.rejection_reason = [this] { return HandoverRejectionReason(); };
+  callbacks.make_offer = [this] { return MakeHandoverOffer(); };
+  callbacks.reclaim_journal = [this] { return journal_.journal().Reclaim(); };
+  callbacks.on_handed_over = [this] { OnHandedOver(); };
+  callbacks.on_journal_lost = [this] { Fail("the process that was taking over has died with the journal"); };
+  callbacks.cancel_call = [this](std::uint64_t number) { endpoint_pool_.CancelCall(number); };
+  callbacks.cancel_call_if_unsent = [this](std::uint64_t number) {
+    endpoint_pool_.CancelCallIfUnsent(number);
+  };
+  successor_ = std::make_unique<Successor>(loop_, log_, config_, std::move(callbacks));
+}
+
+bool Dispatcher::IsSettledForHandover() {
+  pipeline_.RunPolicy();
+  bool is_settled = pipeline_.IsSettled() && client_servers_.IsSettled();
+  // A call that nobody waits for any more ends here: the next process knows nothing of its message, and would
+  // use its slot.
+  for (const auto& [number, message] : messages_.messages()) {
+    if (!message.is_in_flight || message.final_status == FinalStatus::kPending) continue;
+    CancelCall(number);
+    is_settled = false;
+  }
+  return is_settled;
+}
+
+std::optional<std::string> Dispatcher::HandoverRejectionReason() {
+  const SegmentJournal& journal = journal_.journal();
+  if (journal.is_writable() && !journal.has_unwritten_records()) return std::nullopt;
+  return "its journal can't be written";
+}
+
+HandoverOffer Dispatcher::MakeHandoverOffer() {
+  HandoverOffer offer;
+  const std::int64_t revision =
+      endpoint_list_source_->revision().value_or(config_.cached_endpoint_list.revision);
+  offer.state = CaptureHandoverState(pipeline_, config_.site, revision, clock_.CurrentTimestamp());
+  offer.journal_lock = journal_.journal().lock_descriptor();
+  offer.gossip_socket = gossip_->descriptor();
+  client_servers_.AddToOffer(offer);
+  return offer;
+}
+
+void Dispatcher::OnHandedOver() {
+  readiness_.HandOver();
+  journal_.journal().Retire();
+  policy_run_timer_.Stop();
+  policy_timer_.Stop();
+  admin_.CancelDrain();
+  client_servers_.ReleaseAll();
+  platform_notifications_.Shutdown();
+  if (result_events_) result_events_->Shutdown();
+  endpoint_list_source_.reset();
+  gossip_.reset();
+  endpoint_pool_.Shutdown();
+  shutdown_.BeginAfterHandover();
+}
+
+}  // namespace sagetally
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -1,17 +1,20 @@
-// A forwarder: takes messages from clients and passes each on to the planner of its destination, as
-// CloudEvents; the planner's answer is the client's. It holds no message and decides nothing.
+// A forwarder: accepts submissions from clients and passes each on, as CloudEvents, to the planner of its
+// destination; the planner's answer is the client's. It stores no message. All on the loop's thread.
 #ifndef SAGETALLY_SRC_APP_FORWARDER_H_
 #define SAGETALLY_SRC_APP_FORWARDER_H_
 
-#include <functional>
+#include <cstdint>
 #include <memory>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "app/forwarding_policy.h"
 #include "config/config.h"
 #include "config/node_file.h"
 #include "frontend/cloudevents/cloud_event.h"
+#include "logging/logger.h"
+#include "net/event_loop.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "service_registry/eureka_client.h"
@@ -20,40 +23,52 @@
 
 class Forwarder {
  public:
-  // `config.listen`: the plain front; a port of 0 takes any.
+  // `deploy` must have `eureka` and `cloudevents`. The references must outlive this object.
   Forwarder(EventLoop& loop, Logger& log, const Config& config, const NodeFile& deploy);
   ~Forwarder();
 
-  void Reload(const Config&) {}  // nothing here may change under way
-  void Shutdown();               // takes nothing new, lets what is out end, then breaks the loop
-  std::uint16_t port() const { return plain_->port(); }
-  std::uint16_t events_port() const { return events_->port(); }
-  // How many planners are UP in the last list.
+  // Listens for clients. A port of 0 takes any. Throws std::runtime_error if it can't listen.
+  void Start();
+  // Nothing that can be changed under way concerns a forwarder.
+  void Reload(const Config&) {}
+  // Accepts nothing new, lets what is in flight end, then breaks the loop.
+  void Shutdown();
+
+  std::uint16_t port() const { return platform_server_->port(); }
+  std::uint16_t events_port() const { return cloudevents_server_->port(); }
+  // How many planners are UP in the registry's last list.
   std::size_t planners_up() const;
 
  private:
-  struct ForwardedSubmission;  // one submission on its way
-  void Plain(const std::shared_ptr<Exchange>& exchange);
-  void Events(const std::shared_ptr<Exchange>& exchange);
-  void Pass(std::vector<CloudEvent> events, const std::vector<int>& destinations,
-            const std::shared_ptr<Exchange>& exchange);
-  void Send(const std::shared_ptr<ForwardedSubmission>& passing);
-  void Back(const std::shared_ptr<ForwardedSubmission>& passing, const HttpResult& result);
-  void End(const std::shared_ptr<ForwardedSubmission>& passing, int code, const std::string& body,
-           const Headers& headers);
-  void EndIfDone();
+  struct ForwardedSubmission;
+  using SubmissionPtr = std::shared_ptr<ForwardedSubmission>;
+
+  void OnPlatformRequest(const std::shared_ptr<Exchange>& exchange);
+  void OnCloudEventsRequest(const std::shared_ptr<Exchange>& exchange);
+  void Forward(const std::vector<CloudEvent>& events, const std::vector<int>& destinations,
+               const std::shared_ptr<Exchange>& exchange);
+  void StartForwarding(const std::vector<CloudEvent>& events, const Address& planner,
+                       const std::shared_ptr<Exchange>& exchange);
+  void SendAttempt(const SubmissionPtr& submission);
+  void OnAttemptResult(const SubmissionPtr& submission, const HttpResult& result);
+  void Retry(const ForwardedSubmission* submission);
+  void Complete(const SubmissionPtr& submission, int status_code, const std::string& body,
+                const Headers& headers = {});
+  void ExitIfDone();
 
   EventLoop& loop_;
   Logger& log_;
-  const SiteSettings& site_;
-  const std::string planners_app_;
-  std::unique_ptr<EurekaClient> eureka_;
-  HttpClient calls_;
-  std::unique_ptr<HttpServer> plain_, events_;
-  Timer end_;
-  std::set<std::shared_ptr<ForwardedSubmission>> waiting_;  // to be tried again
-  std::size_t out_ = 0;
-  bool stopping_ = false;
+  const Config& config_;
+  const Address cloudevents_address_;
+  const std::string planners_application_;
+  EurekaClient eureka_;
+  HttpClient http_client_;
+  std::unique_ptr<HttpServer> platform_server_;
+  std::unique_ptr<HttpServer> cloudevents_server_;
+  Timer exit_timer_;
+  std::set<SubmissionPtr> waiting_for_retry_;
+  std::size_t in_flight_ = 0;
+  bool is_stopping_ = false;
 };
 
 }  // namespace sagetally
--- /dev/null
+++ b/src/app/handover_predecessor.cpp
@@ -0,0 +1,139 @@
+#include "app/handover_predecessor.h"
+
+#include <cerrno>
+#include <thread>
+#include <utility>
+
+#include "app/handover_timing.h"
+#include "journal/file_system/posix_file_system.h"
+
+namespace sagetally {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr Duration kSearchTimeout = milliseconds(4000);
+constexpr Duration kSearchInterval = milliseconds(50);
+// An endpoint must have seen the end of a call that the old process abandoned before the slot is used again.
+constexpr Duration kAbandonedCallDelay = milliseconds(10);
+
+bool IsJournalHeldByAnotherProcess(const std::string& state_folder) {
+  PosixFileSystem files;
+  int error = 0;
+  const auto lock = files.Lock(state_folder + "/journal/lock", error);
+  return error == EWOULDBLOCK;
+}
+
+}  // namespace
+
+std::unique_ptr<Predecessor> Predecessor::Find(const Config& config) {
+  const auto give_up_at = std::chrono::steady_clock::now() + kSearchTimeout;
+  while (true) {
+    auto predecessor = std::make_unique<Predecessor>();
+    HandoverChannel& channel = predecessor->channel_;
+    channel = HandoverChannel::Connect(config.state_folder, kHandoverSocketName);
+    if (channel.is_open()) {
+      if (SendPacket(channel, HandoverPacketKind::kHello, EncodeHello(config.name)) &&
+          predecessor->ReceiveOffer()) {
+        return predecessor;
+      }
+    } else if (!IsJournalHeldByAnotherProcess(config.state_folder)) {
+      return nullptr;
+    }
+    // The journal fails to open then, and names the process that holds it.
+    if (std::chrono::steady_clock::now() >= give_up_at) return nullptr;
+    std::this_thread::sleep_for(kSearchInterval);
+  }
+}
+
+bool Predecessor::ReceiveOffer() {
+  while (std::optional<Packet> packet = channel_.Receive(kHandoverAnswerTimeout)) {
+    if (KindOf(*packet) == HandoverPacketKind::kOfferComplete) return received_.journal_lock.get() >= 0;
+    Store(std::move(*packet));
+  }
+  return false;
+}
+
+void Predecessor::Store(Packet packet) {
+  switch (KindOf(packet)) {
+    case HandoverPacketKind::kRejection:
+      throw HandoverRejected(packet.bytes);
+    case HandoverPacketKind::kState: {
+      std::optional<HandoverState> state = DecodeHandoverState(packet.bytes);
+      if (!state) {
+        throw HandoverFormatError("the process that serves hands over in a form that can't be read");
+      }
+      received_.state = std::move(*state);
+      break;
+    }
+    case HandoverPacketKind::kJournalLock:
+      received_.journal_lock = std::move(packet.fd);
+      break;
+    case HandoverPacketKind::kPlatformListener:
+      received_.platform_listener = std::move(packet.fd);
+      break;
+    case HandoverPacketKind::kCloudEventsListener:
+      received_.cloudevents_listener = std::move(packet.fd);
+      break;
+    case HandoverPacketKind::kGossipSocket:
+      received_.gossip_socket = std::move(packet.fd);
+      break;
+    case HandoverPacketKind::kPlatformClient:
+      received_.platform_clients.push_back(DecodeClient(packet));
+      break;
+    case HandoverPacketKind::kCloudEventsClient:
+      received_.cloudevents_clients.push_back(DecodeClient(packet));
+      break;
+    default:
+      break;  // of a later version
+  }
+}
+
+void Predecessor::ConfirmReady() {
+  SendPacket(channel_, HandoverPacketKind::kReady);
+  const std::optional<Packet> answer = channel_.Receive(kHandoverReadyTimeout);
+  if (!answer || KindOf(*answer) != HandoverPacketKind::kBegin) {
+    throw HandoverAborted("the process that serves gave the handover up");
+  }
+}
+
+void Predecessor::FollowCalls(EventLoop& loop, std::set<std::uint64_t> calls,
+                              std::function<void(const CallResult&)> on_result) {
+  calls_in_flight_ = std::move(calls);
+  on_result_ = std::move(on_result);
+  channel_closed_timer_ = std::make_unique<Timer>(loop, [this] { FailRemainingCalls(); });
+  channel_.OnReadable(
+      loop, [this](const Packet& packet) { OnPacket(packet); },
+      [this] { channel_closed_timer_->Schedule(kAbandonedCallDelay); });
+}
+
+void Predecessor::OnPacket(const Packet& packet) {
+  if (KindOf(packet) != HandoverPacketKind::kCallResult) return;
+  const std::optional<CallResult> result = DecodeCallResult(packet.bytes);
+  if (result && calls_in_flight_.erase(result->number) > 0) on_result_(*result);
+}
+
+void Predecessor::FailRemainingCalls() {
+  for (const std::uint64_t number : std::exchange(calls_in_flight_, {})) {
+    CallResult result;
+    result.number = number;
+    result.outcome = Outcome::kReset;
+    on_result_(result);
+  }
+}
+
+bool Predecessor::CancelCall(std::uint64_t number) {
+  return SendForCall(HandoverPacketKind::kCancelCall, number);
+}
+
+bool Predecessor::CancelCallIfUnsent(std::uint64_t number) {
+  return SendForCall(HandoverPacketKind::kCancelCallIfUnsent, number);
+}
+
+bool Predecessor::SendForCall(HandoverPacketKind kind, std::uint64_t number) {
+  if (!calls_in_flight_.contains(number)) return false;
+  SendPacket(channel_, kind, EncodeCallNumber(number));
+  return true;
+}
+
+}  // namespace sagetally
--- a/src/app/journal_service.h
+++ b/src/app/journal_service.h
@@ -1,54 +1,63 @@
-// The journal within a dispatcher: its timer, its thread for syncing, and the wall clock carried on over a
-// restart.
+// The journal within a dispatcher: opens it, runs its timers and its thread for syncs on the event loop, and
+// makes the dispatcher's clock continue from the last moment on record. All on the loop's thread.
 #ifndef SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
 #define SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
 
 #include <functional>
 #include <memory>
-#include <string>
 
+#include "app/journal_settings.h"
+#include "app/sync_thread.h"
 #include "config/config.h"
 #include "config/node_file.h"
+#include "core/message_table.h"
 #include "journal/file_system/posix_file_system.h"
 #include "journal/segment_journal.h"
+#include "logging/logger.h"
 #include "net/event_loop.h"
 #include "net/wakeup_descriptor.h"
 #include "time/clock.h"
 
 namespace sagetally {
 
-// Throws std::runtime_error naming the key at fault.
-JournalSettings MakeJournalSettings(const Config& config, const JournalFileSettings& file);
-
 class JournalService : public JournalHost {
  public:
   struct Callbacks {
-    std::function<void()> progress;     // what waited for the journal may go on
-    std::function<void()> fenced;       // another process has the journal
-    std::function<void()> begins = {};  // as JournalHost::Begins; may be empty
+    std::function<void()> on_progress;  // records that were not durable may be so now
+    std::function<void()> on_fenced;    // another process has taken over the journal
+    // As JournalHost::BeforeFirstWrite, from within the constructor; may throw, or be empty.
+    std::function<void()> before_first_write = {};
   };
+  // Reads the journal into `messages` and moves `clock` on to it. `lock`: the journal's lock as another
+  // process handed it over; if it is empty, it is acquired. Throws std::runtime_error naming a setting,
+  // folder or file at fault.
   JournalService(EventLoop& loop, Logger& log, const Config& config, const JournalFileSettings& file,
-                 MessageTable& ledger, SystemClock& clock, Callbacks heard,
+                 MessageTable& messages, SystemClock& clock, Callbacks callbacks,
                  FileDescriptor lock = FileDescriptor());
   ~JournalService() override;
 
   SegmentJournal& journal() { return *journal_; }
 
-  void ScheduleTurn(Duration d) override { turn_.Schedule(d); }
-  void OnProgress() override { progress_.Schedule(Duration(0)); }
-  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override;
+  // JournalHost, called by the journal.
+  void ScheduleTurn(Duration delay) override { work_timer_.Schedule(delay); }
+  void OnProgress() override { progress_timer_.Schedule(Duration(0)); }
+  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> on_done) override;
   void BeforeFirstWrite() override {
-    if (begins_) begins_();
+    if (before_first_write_) before_first_write_();
   }
-  void OnFenced() override { fenced_.Schedule(Duration(0)); }
+  void OnFenced() override { fenced_timer_.Schedule(Duration(0)); }
 
  private:
-  class SyncThread;
+  void LogReplay(Logger& log) const;
+  void ContinueClock(SystemClock& clock, MessageTable& messages, Logger& log) const;
+
   PosixFileSystem files_;
-  std::function<void()> begins_;
-  Timer turn_, progress_, fenced_;
-  WakeupDescriptor bell_;
-  std::unique_ptr<SyncThread> syncs_;  // begun with the first sync
+  std::function<void()> before_first_write_;
+  Timer work_timer_;
+  Timer progress_timer_;
+  Timer fenced_timer_;
+  WakeupDescriptor sync_wakeup_;
+  std::unique_ptr<SyncThread> sync_thread_;  // started with the first sync
   std::unique_ptr<SegmentJournal> journal_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// The program: reads the command line, wires one role to its loop and runs it until it is told to stop.
+// The program: reads the command line, wires one role to its event loop and runs it until it is asked to shut
+// down.
 #include <csignal>
 #include <exception>
 #include <iostream>
@@ -7,6 +8,7 @@
 
 #include "app/dispatcher.h"
 #include "app/forwarder.h"
+#include "app/journal_settings.h"
 #include "cli/admin_commands.h"
 #include "cli/dead_letter_commands.h"
 #include "cli/journal_commands.h"
@@ -16,39 +18,50 @@
 namespace sagetally {
 namespace {
 
-ConfigRequirements NeedsOf(const NodeFile& deploy) {
+constexpr int kExitFailure = 1;
+constexpr int kMaxHandoverAttempts = 3;
+
+ConfigRequirements RequirementsOf(const NodeFile& deploy) {
   return {.discovery = deploy.role == Role::kBoth, .state = deploy.role != Role::kForwarder};
 }
 
-constexpr int kHandoverTries = 3;
-
-// Signals are heard from before the node says that it is ready.
+// Constructs and starts a node; again if the process that it takes over from has aborted the handover.
 template <typename Node>
-void Run(const Options& options, const Config& config, const NodeFile& deploy, ConfigRequirements needs) {
-  Logger log(options.log);
-  EventLoop loop;
-  Node* running = nullptr;
-  const auto stop = [&] { running->Shutdown(); };  // the loop runs only once there is a node
-  const Signal term(loop, SIGTERM, stop);
-  const Signal interrupt(loop, SIGINT, stop);
-  needs.again = true;
-  const Signal hang_up(loop, SIGHUP, [&] {
-    try {  // guards against a file that can't be used: one log line, and the old configuration stays
-      running->Reload(options.ReadConfiguration(needs));
-    } catch (const std::exception& error) {
-      log.Error("reload.refused", {{"why", error.what()}});
-    }
-  });
-  std::unique_ptr<Node> node;
-  for (int tries_left = kHandoverTries; !node;) {
+std::unique_ptr<Node> StartNode(EventLoop& loop, Logger& log, const Config& config, const NodeFile& deploy) {
+  for (int attempt = 1;; ++attempt) {
     try {
-      node = std::make_unique<Node>(loop, log, config, deploy);
+      auto node = std::make_unique<Node>(loop, log, config, deploy);
+      node->Start();
+      return node;
     } catch (const HandoverAborted& error) {
-      if (--tries_left == 0) throw;
-      log.Warn("handover.again", {{"why", error.what()}});
+      if (attempt == kMaxHandoverAttempts) throw;
+      log.Warn("handover.retrying", {{"why", error.what()}});
     }
   }
-  running = node.get();
+}
+
+// A configuration that can't be used is one line in the log, and the old one stays.
+template <typename Node>
+void ReloadConfiguration(Node& node, Logger& log, const Options& options, ConfigRequirements requirements) {
+  requirements.again = true;
+  try {
+    node.Reload(options.ReadConfiguration(requirements));
+  } catch (const std::exception& error) {
+    log.Error("reload.refused", {{"why", error.what()}});
+  }
+}
+
+// Signals are handled from before the node logs that it is ready.
+template <typename Node>
+void Run(const Options& options, const Config& config, const NodeFile& deploy,
+         const ConfigRequirements& requirements) {
+  Logger log(options.log);
+  EventLoop loop;
+  std::unique_ptr<Node> node;  // the signals' callbacks run in the loop, which runs only once there is a node
+  const Signal terminate(loop, SIGTERM, [&] { node->Shutdown(); });
+  const Signal interrupt(loop, SIGINT, [&] { node->Shutdown(); });
+  const Signal hang_up(loop, SIGHUP, [&] { ReloadConfiguration(*node, log, options, requirements); });
+  node = StartNode<Node>(loop, log, config, deploy);
   loop.Run();
   if constexpr (requires { node->failure(); }) {
     if (!node->failure().empty()) throw std::runtime_error(node->failure());
@@ -57,52 +70,56 @@
 
 void Serve(const Options& options) {
   const NodeFile deploy = options.ReadNode();
-  const ConfigRequirements needs = NeedsOf(deploy);
-  const Config config = options.ReadConfiguration(needs);
+  const ConfigRequirements requirements = RequirementsOf(deploy);
+  const Config config = options.ReadConfiguration(requirements);
   if (deploy.role == Role::kForwarder) {
     if (config.admin) throw std::runtime_error("admin: expected none, a forwarder has no door");
-    Run<Forwarder>(options, config, deploy, needs);
+    Run<Forwarder>(options, config, deploy, requirements);
   } else {
-    Run<Dispatcher>(options, config, deploy, needs);
+    Run<Dispatcher>(options, config, deploy, requirements);
   }
 }
 
 void CheckConfig(const Options& options) {
   const NodeFile deploy = options.ReadNode();
-  const Config config = options.ReadConfiguration(NeedsOf(deploy));
+  const Config config = options.ReadConfiguration(RequirementsOf(deploy));
   MakeJournalSettings(config, deploy.journal);
-  if (deploy.dead_letters && !deploy.dead_letters->rules_path.empty())
+  if (deploy.dead_letters && !deploy.dead_letters->rules_path.empty()) {
     dead_letter::ReadRules(deploy.dead_letters->rules_path, config.site.classes);
+  }
   std::cout << "configuration can be used: node " << config.name << "\n";
 }
 
+int RunCommand(const CommandLine& line) {
+  switch (line.command) {
+    case CommandLine::Command::kNone:
+      return line.exit_code;
+    case CommandLine::Command::kCheckConfig:
+      CheckConfig(line.options);
+      return 0;
+    case CommandLine::Command::kDeadLetter:
+      return RunDeadLetterCommand(line.dead_letter, line.options, std::cout, std::cerr);
+    case CommandLine::Command::kJournal:
+      return RunJournalCommand(line.journal, std::cout);
+    case CommandLine::Command::kAdmin:
+      return RunAdminCommand(line.admin, line.options.admin, std::cout, std::cerr);
+    case CommandLine::Command::kServe:
+      Serve(line.options);
+      return 0;
+  }
+  return kExitFailure;
+}
+
 }  // namespace
 }  // namespace sagetally
 
 int main(int argc, char** argv) {
-  using namespace sagetally;
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until there is something to read again
+  std::signal(SIGHUP, SIG_IGN);  // until there is a configuration that can be read again
   try {
-    const CommandLine line = ParseCommandLine(argc, argv);
-    switch (line.command) {
-      case CommandLine::Command::kNone:
-        return line.exit_code;
-      case CommandLine::Command::kCheckConfig:
-        CheckConfig(line.options);
-        return 0;
-      case CommandLine::Command::kDeadLetter:
-        return RunDeadLetterCommand(line.dead_letter, line.options, std::cout, std::cerr);
-      case CommandLine::Command::kJournal:
-        return RunJournalCommand(line.journal, std::cout);
-      case CommandLine::Command::kAdmin:
-        return RunAdminCommand(line.admin, line.options.admin, std::cout, std::cerr);
-      case CommandLine::Command::kServe:
-        Serve(line.options);
-        return 0;
-    }
+    return sagetally::RunCommand(sagetally::ParseCommandLine(argc, argv));
   } catch (const std::exception& error) {
     std::cerr << "sagetally: " << error.what() << "\n";
-    return 1;
+    return sagetally::kExitFailure;
   }
 }
--- a/tests/app/fleet_test.cpp
+++ b/tests/app/fleet_test.cpp
@@ -71,6 +71,7 @@
     text.replace(text.find(w.folder.path), w.folder.path.size(), folders.back()->path);
     nodes.push_back(std::make_unique<Dispatcher>(
         w.loop, w.log, ParseConfig(text, [](const char*) { return nullptr; }), NodeFile{}));
+    nodes.back()->Start();
   }
   const char* const classes[] = {"aviso", "pedido", "pagamento"};
   int handed_in = 0;
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -37,9 +37,11 @@
     folders.push_back(std::make_unique<Folder>());
     config.state_folder = folders.back()->path;
     this->planners.push_back(std::make_unique<Dispatcher>(w.loop, w.log, config, Deploy(Role::kPlanner)));
+    this->planners.back()->Start();
   }
   void StartForwarder(std::size_t planners_up) {
     forwarder = std::make_unique<Forwarder>(w.loop, w.log, config, Deploy(Role::kForwarder));
+    forwarder->Start();
     Until(w.loop, [&] { return forwarder->planners_up() == planners_up; });
   }
   Ask& Plain(const std::string& id, int destination) {
--- a/tests/app/sites_test.cpp
+++ b/tests/app/sites_test.cpp
@@ -92,6 +92,7 @@
   }
   assert(read.site.policy.endpoint_list_on_request == (settings["discovery"] == "subscribe"));
   w.dispatcher = std::make_unique<Dispatcher>(w.loop, w.log, read, NodeFile{});
+  w.dispatcher->Start();
   std::size_t sent = 0;
   for (const std::string& cls : read.site.classes) {
     assert(w.Code(w.Post(cls, "of-" + cls, "x", "2000m")) == 202);
--- a/tests/app/world.h
+++ b/tests/app/world.h
@@ -240,7 +240,9 @@
     if (sink) deploy.cloudevents->sink = Address{"127.0.0.1", sink->port()};
     deploy.dead_letters = kept;
     deploy.journal = journal;
-    dispatcher = std::make_unique<Dispatcher>(loop, log, config, deploy);
+    auto started = std::make_unique<Dispatcher>(loop, log, config, deploy);
+    started->Start();
+    dispatcher = std::move(started);
   }
   // As SIGKILL leaves it: nothing is said or written any more.
   void Kill() { dispatcher.reset(); }
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -6,8 +6,8 @@
 #include "../app/process.h"
 #include "../dead_letter/partner.h"
 #include "../journal/format1_log.h"
-#include "app/handover_session.h"
-#include "app/journal_service.h"
+#include "app/handover_predecessor.h"
+#include "app/journal_settings.h"
 
 namespace sagetally {
 namespace {
@@ -52,7 +52,7 @@
   // One call at the door that a process has named in its log.
   std::string Ask(Process& process, const std::string& line) {
     const std::string log = ReadFile(process.child.log());
-    const std::size_t at = log.find(" door.open ");
+    const std::size_t at = log.find(" admin.ready ");
     assert(at != log.npos);
     const int port = std::atoi(log.c_str() + log.find("port=", at) + 5);
     RawClient client(loop, static_cast<std::uint16_t>(port), line);
@@ -63,7 +63,7 @@
     auto next = Start();
     Until(loop, [&] { return next->Port() != 0 || !next->child.Running(); });
     assert(next->Port() == serving->Port());
-    assert(ReadFile(next->child.log()).find(" handover.taken ") != std::string::npos);
+    assert(ReadFile(next->child.log()).find(" handover.received ") != std::string::npos);
     auto old = std::exchange(serving, std::move(next));
     if (signal != 0) old->child.Signal(signal);
     leaving.push_back(std::move(old));
@@ -192,10 +192,10 @@
   for (int ms = 0; ms < 40; ms += 4) {
     auto next = w.Start();
     RunFor(w.loop, std::chrono::milliseconds(ms));
-    const bool took = ReadFile(next->child.log()).find(" handover.taken ") != std::string::npos;
+    const bool took = ReadFile(next->child.log()).find(" handover.received ") != std::string::npos;
     next->End(SIGKILL);
     RunFor(w.loop, 20ms);
-    if (!took && ReadFile(w.serving->child.log()).find(" handover.done ") == std::string::npos) {
+    if (!took && ReadFile(w.serving->child.log()).find(" handover.completed ") == std::string::npos) {
       assert(w.serving->child.Running());
       continue;
     }
@@ -216,7 +216,7 @@
     void ScheduleTurn(Duration) override {}
     void OnProgress() override {}
     void SyncInBackground(std::shared_ptr<File>, std::function<void(int)>) override {}
-    void BeforeFirstWrite() override { old.Ready(); }
+    void BeforeFirstWrite() override { old.ConfirmReady(); }
     void OnFenced() override {}
     Predecessor& old;
   };
@@ -227,7 +227,7 @@
       const auto old = Predecessor::Find(config);
       assert(old != nullptr);
       PosixFileSystem files;
-      files.Adopt(std::move(old->lock));
+      files.Adopt(std::move(old->received().journal_lock));
       MessageTable ledger;
       const SystemClock clock;
       Logger log{LogOptions{LogFormat::kText, static_cast<LogLevel>(9)}};
@@ -296,7 +296,7 @@
       "", w.folder.path + "/full");
   Until(w.loop, [&] { return !next.Running(); });
   assert(next.Wait() == 1 && w.serving->child.Running());
-  assert(ReadFile(w.serving->child.log()).find(" handover.given_up ") != std::string::npos);
+  assert(ReadFile(w.serving->child.log()).find(" handover.aborted ") != std::string::npos);
   assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
   const std::size_t before = w.partner.delivered.size();
   Until(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
@@ -347,7 +347,7 @@
   auto one = w.Start();
   auto two = w.Start();
   const auto handed = [](Process& p) {
-    return ReadFile(p.child.log()).find(" handover.done ") != std::string::npos;
+    return ReadFile(p.child.log()).find(" handover.completed ") != std::string::npos;
   };
   Until(w.loop, [&] { return one->Port() != 0 && two->Port() != 0; });
   Until(w.loop, [&] { return handed(*one) != handed(*two); });
