--- a/src/cli/dead_letter_commands.h
+++ b/src/cli/dead_letter_commands.h
@@ -1,4 +1,5 @@
-// `sagetally kept ...`: asks the running node by its control socket, or reads the file of a stopped one.
+// `sagetally kept ...`: inspects the dead letters of a node, running or stopped, and acts on those of a
+// running one.
 #ifndef SAGETALLY_SRC_CLI_DEAD_LETTER_COMMANDS_H_
 #define SAGETALLY_SRC_CLI_DEAD_LETTER_COMMANDS_H_
 
@@ -8,8 +9,9 @@
 
 namespace sagetally {
 
-// Returns the exit code. Throws std::runtime_error saying what failed.
-int RunDeadLetterCommand(const DeadLetterOptions& kept, const Options& options, std::ostream& out,
+// `command` must have a command. Prints to `out`, and a progress bar to `progress`. Returns the exit code.
+// Throws std::runtime_error saying what failed.
+int RunDeadLetterCommand(const DeadLetterOptions& command, const Options& options, std::ostream& out,
                          std::ostream& progress);
 
 }  // namespace sagetally
--- a/src/cli/flags.h
+++ b/src/cli/flags.h
@@ -1,4 +1,4 @@
-// Settings of a JSON file as flags and environment variables, for every program's command line.
+// Settings of a JSON file as flags and environment variables, for the command line of every program.
 #ifndef SAGETALLY_SRC_CLI_FLAGS_H_
 #define SAGETALLY_SRC_CLI_FLAGS_H_
 
@@ -11,23 +11,23 @@
 
 namespace sagetally {
 
-// "cloudevents.listen" with "SAGETALLY_": SAGETALLY_CLOUDEVENTS_LISTEN.
+// The environment variable of a setting: "cloudevents.listen" with "SAGETALLY_" is
+// SAGETALLY_CLOUDEVENTS_LISTEN.
 inline std::string VariableFor(const std::string& prefix, std::string path) {
-  for (char& c : path) {
-    c = c == '.' || c == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
+  for (char& character : path) {
+    const bool is_separator = character == '.' || character == '-';
+    character = is_separator ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
   }
   return prefix + path;
 }
 
-// Each of `names` is a flag and a variable; what is given lands in `settings`, which must outlive the
-// parsing.
+// Makes each of `names` a flag, in the help's group `group`, and a variable. The values given are put into
+// `settings`, which must outlive the parsing.
 inline void AddSettings(CLI::App& app, const std::vector<SettingName>& names, const std::string& prefix,
                         Overrides& settings, const std::string& group) {
   for (const SettingName& setting : names) {
-    app.add_option_function<std::string>(
-           "--" + setting.path,
-           [&settings, path = setting.path](const std::string& value) { settings[path] = value; },
-           setting.description)
+    const auto store = [&settings, path = setting.path](const std::string& value) { settings[path] = value; };
+    app.add_option_function<std::string>("--" + setting.path, store, setting.description)
         ->envname(VariableFor(prefix, setting.path))
         ->group(group);
   }
--- a/src/cli/journal_commands.cpp
+++ b/src/cli/journal_commands.cpp
@@ -1,9 +1,8 @@
 #include "cli/journal_commands.h"
 
-#include <fmt/format.h>
-
 #include <nlohmann/json.hpp>
 #include <stdexcept>
+#include <string>
 
 #include "cli/table.h"
 #include "journal/file_system/posix_file_system.h"
@@ -14,18 +13,22 @@
 
 using Json = nlohmann::ordered_json;
 
-std::string FolderOf(const std::string& given) {
+constexpr int kExitDamaged = 1;
+
+// Of a state folder, a journal or a snapshot of one.
+std::string FindJournalFolder(const std::string& path) {
   PosixFileSystem files;
-  for (const std::string& folder : {given + "/journal", given}) {
+  for (const std::string& folder : {path + "/journal", path}) {
     int error = 0;
     files.Open(folder + "/" + kManifestName, FileSystem::Mode::kRead, error);
     if (error == 0 || !ListSegments(files, folder).empty()) return folder;
   }
-  throw std::runtime_error(given + ": expected a state folder, a journal or a snapshot of one");
+  throw std::runtime_error(path + ": expected a state folder, a journal or a snapshot of one");
 }
 
-const char* EndName(const Message& m) {
-  switch (m.final_status) {
+// The names and fields of the output are those that operators' scripts read.
+const char* FinalStatusName(const Message& message) {
+  switch (message.final_status) {
     case FinalStatus::kPending:
       return "held";
     case FinalStatus::kDelivered:
@@ -40,40 +43,46 @@
   return "?";
 }
 
+// The number of a class that the manifest doesn't have.
 std::string ClassName(const Manifest& manifest, int number) {
-  const auto at = static_cast<std::size_t>(number);
-  return at < manifest.classes.size() ? manifest.classes[at] : std::to_string(number);
+  const auto index = static_cast<std::size_t>(number);
+  return index < manifest.classes.size() ? manifest.classes[index] : std::to_string(number);
 }
 
-Json StatsOf(const ReplayReport& r, const MessageTable& ledger) {
-  std::uint64_t missing = 0;
-  for (const MissingRecords& m : r.missing) missing += m.to - m.from;
-  std::uint64_t owed = 0, live = 0;
-  for (const auto& [number, m] : ledger.messages()) {
-    owed += m.notification_pending ? 1 : 0;
-    live += MaxLiveBytes(m);
+std::uint64_t CountMissingRecords(const ReplayReport& report) {
+  std::uint64_t count = 0;
+  for (const MissingRecords& missing : report.missing) count += missing.to - missing.from;
+  return count;
+}
+
+Json MakeStats(const ReplayReport& report, const MessageTable& messages) {
+  std::uint64_t pending_notifications = 0;
+  std::uint64_t live_bytes = 0;
+  for (const auto& [number, message] : messages.messages()) {
+    pending_notifications += message.notification_pending ? 1 : 0;
+    live_bytes += MaxLiveBytes(message);
   }
-  return {{"node", r.manifest.node},
+  return {{"node", report.manifest.node},
           {"format", kJournalFormat},
-          {"epoch", r.manifest.epoch},
-          {"segments", r.segments.size()},
-          {"bytes", r.bytes},
-          {"records", r.records},
-          {"next_sequence", r.next_sequence},
-          {"held", ledger.pending_count()},
-          {"notices_owed", owed},
-          {"remembered", ledger.size() - static_cast<std::size_t>(ledger.pending_count())},
-          {"live_bytes", live},
-          {"unreadable_bytes", r.unreadable_bytes},
-          {"missing_records", missing},
-          {"rejected_records", r.invalid_records},
-          {"messages_lost", r.lost_messages},
-          {"manifest_lost", r.manifest_lost},
-          {"may_have_run", r.incomplete_histories.size()},
-          {"damaged", r.is_damaged()}};
-}
-
-void PrintObject(const Json& object, std::ostream& out) {
+          {"epoch", report.manifest.epoch},
+          {"segments", report.segments.size()},
+          {"bytes", report.bytes},
+          {"records", report.records},
+          {"next_sequence", report.next_sequence},
+          {"held", messages.pending_count()},
+          {"notices_owed", pending_notifications},
+          {"remembered", messages.size() - static_cast<std::size_t>(messages.pending_count())},
+          {"live_bytes", live_bytes},
+          {"unreadable_bytes", report.unreadable_bytes},
+          {"missing_records", CountMissingRecords(report)},
+          {"rejected_records", report.invalid_records},
+          {"messages_lost", report.lost_messages},
+          {"manifest_lost", report.manifest_lost},
+          {"may_have_run", report.incomplete_histories.size()},
+          {"damaged", report.is_damaged()}};
+}
+
+void PrintAsTable(const Json& object, std::ostream& out) {
   Table table({"what", "value"});
   for (const auto& [key, value] : object.items()) {
     table.Add({key, value.is_string() ? value.get<std::string>() : value.dump()});
@@ -81,116 +90,166 @@
   table.Print(out);
 }
 
-int Verify(const JournalOptions& o, const ReplayReport& r, const MessageTable& ledger, std::ostream& out) {
-  if (o.as_json) {
-    out << StatsOf(r, ledger).dump() << "\n";
-    return r.is_damaged() ? 1 : 0;
+void Stats(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
+           std::ostream& out) {
+  const Json stats = MakeStats(report, messages);
+  if (options.as_json) {
+    out << stats.dump() << "\n";
+  } else {
+    PrintAsTable(stats, out);
   }
-  for (const SegmentReport& s : r.segments) {
-    const std::string name = SegmentName(s.number);
-    if (s.missing) out << name << ": missing\n";
-    if (s.header_missing && !s.missing) out << name << ": its header can't be read\n";
-    for (const UnreadableRange& u : s.unreadable) {
-      out << name << ": " << u.bytes << " bytes at " << u.offset << " can't be read\n";
-    }
+}
+
+void PrintSegmentProblems(const SegmentReport& segment, std::ostream& out) {
+  const std::string name = SegmentName(segment.number);
+  if (segment.missing) out << name << ": missing\n";
+  if (segment.header_missing && !segment.missing) out << name << ": its header can't be read\n";
+  for (const UnreadableRange& range : segment.unreadable) {
+    out << name << ": " << range.bytes << " bytes at " << range.offset << " can't be read\n";
+  }
+}
+
+void PrintProblems(const ReplayReport& report, std::ostream& out) {
+  for (const SegmentReport& segment : report.segments) PrintSegmentProblems(segment, out);
+  for (const MissingRecords& missing : report.missing) {
+    out << "records " << missing.from << " to " << missing.to - 1 << " are missing\n";
+  }
+  if (report.manifest_lost) out << kManifestName << ": can't be read; the segments' headers were used\n";
+  if (report.invalid_records > 0) out << report.invalid_records << " records can't be read\n";
+  if (report.lost_messages > 0) out << report.lost_messages << " messages are lost\n";
+}
+
+int Verify(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
+           std::ostream& out) {
+  const int exit_code = report.is_damaged() ? kExitDamaged : 0;
+  if (options.as_json) {
+    out << MakeStats(report, messages).dump() << "\n";
+    return exit_code;
   }
-  for (const MissingRecords& m : r.missing) {
-    out << "records " << m.from << " to " << m.to - 1 << " are missing\n";
+  PrintProblems(report, out);
+  out << (report.is_damaged() ? "damaged" : "sound") << ": " << report.segments.size() << " segments, "
+      << report.records << " records, " << messages.pending_count() << " messages held";
+  if (!report.is_damaged() && report.unreadable_bytes > 0) {
+    out << ", " << report.unreadable_bytes << " torn bytes";
   }
-  if (r.manifest_lost) out << kManifestName << ": can't be read; the segments' headers were used\n";
-  if (r.invalid_records > 0) out << r.invalid_records << " records can't be read\n";
-  if (r.lost_messages > 0) out << r.lost_messages << " messages are lost\n";
-  out << (r.is_damaged() ? "damaged" : "sound") << ": " << r.segments.size() << " segments, " << r.records
-      << " records, " << ledger.pending_count() << " messages held";
-  if (!r.is_damaged() && r.unreadable_bytes > 0) out << ", " << r.unreadable_bytes << " torn bytes";
   out << "\n";
-  return r.is_damaged() ? 1 : 0;
+  return exit_code;
+}
+
+std::string MessageAsJson(std::uint64_t number, const Message& message, const std::string& class_name) {
+  const Json json = {{"number", number},
+                     {"id", message.request.id},
+                     {"class", class_name},
+                     {"destination", message.request.destination},
+                     {"state", FinalStatusName(message)},
+                     {"notice_owed", message.notification_pending},
+                     {"attempts", message.attempts},
+                     {"may_have_run", message.first_uncertain_attempt.has_value()},
+                     {"deadline_us", message.deadline.count()},
+                     {"body_bytes", message.request.body.size()}};
+  return json.dump(-1, ' ', false, Json::error_handler_t::replace);
+}
+
+void AddRow(Table& table, std::uint64_t number, const Message& message, const std::string& class_name) {
+  table.Add({std::to_string(number), message.request.id, class_name,
+             std::to_string(message.request.destination), FinalStatusName(message),
+             std::to_string(message.attempts), message.first_uncertain_attempt ? "yes" : "no",
+             FormatTime(message.deadline.count())});
+}
+
+bool IsShown(const JournalOptions& options, const Message& message) {
+  return options.all || message.final_status == FinalStatus::kPending || message.notification_pending;
 }
 
-void Show(const JournalOptions& o, const ReplayReport& r, const MessageTable& ledger, std::ostream& out) {
+void Show(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
+          std::ostream& out) {
   Table table({"number", "id", "class", "to", "state", "attempts", "may have run", "deadline"});
-  int shown = 0, left = 0;
-  for (const auto& [number, m] : ledger.messages()) {
-    if (!o.all && m.final_status != FinalStatus::kPending && !m.notification_pending) continue;
-    if (shown == o.limit) {
-      ++left;
+  int shown = 0;
+  int left_out = 0;
+  for (const auto& [number, message] : messages.messages()) {
+    if (!IsShown(options, message)) continue;
+    if (shown == options.limit) {
+      ++left_out;
       continue;
     }
     ++shown;
-    const std::string cls = ClassName(r.manifest, m.request.message_class);
-    if (o.as_json) {
-      out << Json{{"number", number},
-                  {"id", m.request.id},
-                  {"class", cls},
-                  {"destination", m.request.destination},
-                  {"state", EndName(m)},
-                  {"notice_owed", m.notification_pending},
-                  {"attempts", m.attempts},
-                  {"may_have_run", m.first_uncertain_attempt.has_value()},
-                  {"deadline_us", m.deadline.count()},
-                  {"body_bytes", m.request.body.size()}}
-                 .dump(-1, ' ', false, Json::error_handler_t::replace)
-          << "\n";
-      continue;
+    const std::string class_name = ClassName(report.manifest, message.request.message_class);
+    if (options.as_json) {
+      out << MessageAsJson(number, message, class_name) << "\n";
+    } else {
+      AddRow(table, number, message, class_name);
     }
-    table.Add({std::to_string(number), m.request.id, cls, std::to_string(m.request.destination), EndName(m),
-               std::to_string(m.attempts), m.first_uncertain_attempt ? "yes" : "no",
-               TimeText(m.deadline.count())});
   }
-  if (o.as_json) return;
+  if (options.as_json) return;
   table.Print(out);
-  if (left > 0) out << left << " more (--limit)\n";
+  if (left_out > 0) out << left_out << " more (--limit)\n";
 }
 
-int Read(const JournalOptions& o, std::ostream& out) {
-  PosixFileSystem files;
-  MessageTable ledger;
-  const ReplayReport report = ReplayLive(files, FolderOf(o.state), ledger);
-  if (o.command == "verify") return Verify(o, report, ledger, out);
-  if (o.command == "show") return Show(o, report, ledger, out), 0;
-  const Json stats = StatsOf(report, ledger);
-  if (o.as_json) {
-    out << stats.dump() << "\n";
-  } else {
-    PrintObject(stats, out);
+struct CopyDescription {
+  const char* what;   // "snapshot" or "restored": also the field's name in JSON
+  std::string where;  // the folder that was written
+};
+
+void PrintCopy(const JournalOptions& options, const CopyDescription& copy, const SnapshotResult& result,
+               std::ostream& out) {
+  if (options.as_json) {
+    const Json json = {{copy.what, copy.where},
+                       {"segments", result.segments},
+                       {"bytes", result.bytes},
+                       {"node", result.manifest.node},
+                       {"epoch", result.manifest.epoch}};
+    out << json.dump() << "\n";
+    return;
   }
-  return 0;
+  out << copy.what << ": " << copy.where << ", " << result.segments << " segments, "
+      << FormatSize(static_cast<std::int64_t>(result.bytes)) << ", node " << result.manifest.node
+      << ", epoch " << result.manifest.epoch << "\n";
 }
 
-void Told(const JournalOptions& o, const char* what, const std::string& where, const SnapshotResult& copied,
-          std::ostream& out) {
-  if (o.as_json) {
-    out << Json{{what, where},
-                {"segments", copied.segments},
-                {"bytes", copied.bytes},
-                {"node", copied.manifest.node},
-                {"epoch", copied.manifest.epoch}}
-               .dump()
-        << "\n";
-    return;
-  }
-  out << what << ": " << where << ", " << copied.segments << " segments, "
-      << SizeText(static_cast<std::int64_t>(copied.bytes)) << ", node " << copied.manifest.node << ", epoch "
-      << copied.manifest.epoch << "\n";
+void Snapshot(const JournalOptions& options, std::ostream& out) {
+  PosixFileSystem files;
+  const SnapshotResult result = WriteSnapshot(files, FindJournalFolder(options.state), options.output);
+  PrintCopy(options, {"snapshot", options.output}, result, out);
 }
 
-}  // namespace
+void Restore(const JournalOptions& options, std::ostream& out) {
+  PosixFileSystem files;
+  files.MakeFolder(options.state);
+  const SnapshotResult result =
+      RestoreSnapshot(files, FindJournalFolder(options.snapshot), options.state + "/journal",
+                      {.replace = options.replace, .exact = options.exact, .allow_damaged = options.damaged});
+  PrintCopy(options, {"restored", options.state}, result, out);
+}
 
-int RunJournalCommand(const JournalOptions& o, std::ostream& out) {
+int Read(const JournalOptions& options, std::ostream& out) {
   PosixFileSystem files;
-  if (o.command == "snapshot") {
-    Told(o, "snapshot", o.output, WriteSnapshot(files, FolderOf(o.state), o.output), out);
-    return 0;
+  MessageTable messages;
+  const ReplayReport report = ReplayLive(files, FindJournalFolder(options.state), messages);
+  switch (options.command.value()) {
+    case JournalCommand::kVerify:
+      return Verify(options, report, messages, out);
+    case JournalCommand::kShow:
+      Show(options, report, messages, out);
+      return 0;
+    default:
+      Stats(options, report, messages, out);
+      return 0;
   }
-  if (o.command == "restore") {
-    files.MakeFolder(o.state);
-    const SnapshotResult copied =
-        RestoreSnapshot(files, FolderOf(o.snapshot), o.state + "/journal",
-                        {.replace = o.replace, .exact = o.exact, .allow_damaged = o.damaged});
-    Told(o, "restored", o.state, copied, out);
-    return 0;
+}
+
+}  // namespace
+
+int RunJournalCommand(const JournalOptions& options, std::ostream& out) {
+  switch (options.command.value()) {
+    case JournalCommand::kSnapshot:
+      Snapshot(options, out);
+      return 0;
+    case JournalCommand::kRestore:
+      Restore(options, out);
+      return 0;
+    default:
+      return Read(options, out);
   }
-  return Read(o, out);
 }
 
 }  // namespace sagetally
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -8,6 +8,16 @@
 #include <chrono>
 
 namespace sagetally {
+namespace {
+
+constexpr std::int64_t kProgressWidth = 40;
+constexpr const char* kEraseLine = "\r\033[K";
+
+// Below each limit a size is shown in the next smaller unit.
+constexpr std::int64_t kMinKilobytes = 10'000;
+constexpr std::int64_t kMinMegabytes = 10'000'000;
+
+}  // namespace
 
 void Table::Print(std::ostream& out) const {
   std::vector<std::size_t> widths;
@@ -23,31 +33,30 @@
   }
 }
 
-Progress::Progress(std::ostream& out, std::int64_t all)
-    : out_(out), all_(all), shown_(::isatty(STDERR_FILENO) == 1) {}
+Progress::Progress(std::ostream& out, std::int64_t total)
+    : out_(out), total_(total), is_shown_(::isatty(STDERR_FILENO) == 1) {}
 
 Progress::~Progress() {
-  if (shown_ && done_ > 0) out_ << "\r\033[K" << std::flush;
+  if (is_shown_ && completed_ > 0) out_ << kEraseLine << std::flush;
 }
 
-void Progress::Done(std::int64_t n) {
-  done_ += n;
-  if (!shown_ || all_ <= 0) return;
-  constexpr std::int64_t kWidth = 40;
-  const std::int64_t full = std::min(kWidth, done_ * kWidth / all_);
-  out_ << "\r[" << std::string(static_cast<std::size_t>(full), '#')
-       << std::string(static_cast<std::size_t>(kWidth - full), '.') << "] "
-       << fmt::format("{} of {}", done_, all_) << std::flush;
+void Progress::Advance(std::int64_t steps) {
+  completed_ += steps;
+  if (!is_shown_ || total_ <= 0) return;
+  const std::int64_t filled = std::min(kProgressWidth, completed_ * kProgressWidth / total_);
+  out_ << "\r[" << std::string(static_cast<std::size_t>(filled), '#')
+       << std::string(static_cast<std::size_t>(kProgressWidth - filled), '.') << "] "
+       << fmt::format("{} of {}", completed_, total_) << std::flush;
 }
 
-std::string TimeText(std::int64_t unix_us) {
+std::string FormatTime(std::int64_t unix_us) {
   return fmt::format("{:%Y-%m-%d %H:%M:%S}.{:03}", fmt::gmtime(static_cast<std::time_t>(unix_us / 1'000'000)),
                      unix_us / 1000 % 1000);
 }
 
-std::string SizeText(std::int64_t bytes) {
-  if (bytes < 10'000) return fmt::format("{} B", bytes);
-  if (bytes < 10'000'000) return fmt::format("{:.1f} kB", static_cast<double>(bytes) / 1e3);
+std::string FormatSize(std::int64_t bytes) {
+  if (bytes < kMinKilobytes) return fmt::format("{} B", bytes);
+  if (bytes < kMinMegabytes) return fmt::format("{:.1f} kB", static_cast<double>(bytes) / 1e3);
   return fmt::format("{:.1f} MB", static_cast<double>(bytes) / 1e6);
 }
 
--- a/src/cli/table.h
+++ b/src/cli/table.h
@@ -1,4 +1,4 @@
-// Tables and progress for terminals.
+// Tables, progress bars and readable quantities for terminals.
 #ifndef SAGETALLY_SRC_CLI_TABLE_H_
 #define SAGETALLY_SRC_CLI_TABLE_H_
 
@@ -9,32 +9,39 @@
 
 namespace sagetally {
 
+// Left-aligned columns under a line of headings.
 class Table {
  public:
-  explicit Table(std::vector<std::string> heads) : rows_({std::move(heads)}) {}
+  explicit Table(std::vector<std::string> headings) : rows_({std::move(headings)}) {}
   void Add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
   void Print(std::ostream& out) const;
 
  private:
-  std::vector<std::vector<std::string>> rows_;
+  std::vector<std::vector<std::string>> rows_;  // the headings first
 };
 
-// One line that is written over; silent unless standard error is a terminal.
+// A progress bar in one line that is written over, and erased at the end; silent unless standard error is a
+// terminal.
 class Progress {
  public:
-  Progress(std::ostream& out, std::int64_t all);
+  // `total`: of the steps to come; 0 if it is not known, and then nothing is shown.
+  Progress(std::ostream& out, std::int64_t total);
   ~Progress();
-  void Done(std::int64_t n);
+  Progress(const Progress&) = delete;
+  Progress& operator=(const Progress&) = delete;
+  void Advance(std::int64_t steps);
 
  private:
   std::ostream& out_;
-  const std::int64_t all_;
-  std::int64_t done_ = 0;
-  const bool shown_;
+  const std::int64_t total_;
+  std::int64_t completed_ = 0;
+  const bool is_shown_;
 };
 
-std::string TimeText(std::int64_t unix_us);  // "2026-01-07 12:00:00.123", UTC
-std::string SizeText(std::int64_t bytes);
+// "2026-01-07 12:00:00.123", UTC, of microseconds since 1970.
+std::string FormatTime(std::int64_t unix_us);
+// "512 B", "12.3 kB", "45.6 MB": decimal units.
+std::string FormatSize(std::int64_t bytes);
 
 }  // namespace sagetally
 
--- /dev/null
+++ b/tests/cli/help.sh
@@ -0,0 +1,53 @@
+#!/bin/sh
+# The help texts of sagetally and of each of its subcommands, and its version, are byte for byte as in tests/golden/help:
+# operators' scripts read them. Arguments: the program, the folder of the expected texts.
+set -eu
+program=$1
+expected=$2
+scratch=$(mktemp -d)
+trap 'rm -rf "$scratch"' EXIT
+
+# Help texts show the values that variables give.
+for variable in $(env | sed -n 's/^\(BALANCER_[A-Za-z0-9_]*\|SAGETALLY_[A-Za-z0-9_]*\)=.*/\1/p'); do
+  unset "$variable"
+done
+
+# The usage line names the program as it was called.
+ln -s "$program" "$scratch/sagetally"
+PATH=$scratch:$PATH
+
+write_help() { # program and subcommands
+  name=$(echo "$*" | tr ' ' -)
+  "$@" --help >"$scratch/$name.txt"
+  # The list of subcommands is the last part of a help text that has one.
+  for subcommand in $(sed -n '/^Subcommands:/,$s/^  \([a-z][a-z-]*\) .*/\1/p' "$scratch/$name.txt"); do
+    (write_help "$@" "$subcommand")
+  done
+}
+write_help sagetally
+sagetally --version >"$scratch/sagetally-version.txt"
+rm "$scratch/sagetally"
+
+checked=0
+failed=0
+for text in "$expected"/sagetally.txt "$expected"/sagetally-*.txt; do
+  name=$(basename "$text")
+  case $name in
+    sagetally-lab*) continue ;; # the other program
+  esac
+  checked=$((checked + 1))
+  if ! cmp -s "$text" "$scratch/$name"; then
+    echo "FAILED: $name"
+    diff "$text" "$scratch/$name" || true
+    failed=$((failed + 1))
+  fi
+  rm -f "$scratch/$name"
+done
+# A subcommand that has no expected text.
+for text in "$scratch"/*.txt; do
+  [ -e "$text" ] || continue
+  echo "FAILED: $(basename "$text") is not in $expected"
+  failed=$((failed + 1))
+done
+echo "$((checked - failed)) passed, $failed failed"
+[ "$checked" -gt 20 ] && [ "$failed" = 0 ]
