--- /dev/null
+++ b/tests/dead_letter/golden_cli_test.sh
@@ -0,0 +1,40 @@
+#!/bin/bash
+# `sagetally kept list|show|stats|export` prints of the golden database of a stopped node what the program that wrote it
+# printed: each kept-*.txt holds the command, its output and its exit code.
+#   golden_cli_test.sh PROGRAM GOLDEN_FOLDER
+# Prints "N passed, N failed" as its last line. Exit code: 1 if an output differs, 2 if there is none.
+set -euo pipefail
+if [ $# -ne 2 ]; then
+  echo "usage: golden_cli_test.sh PROGRAM GOLDEN_FOLDER" >&2
+  exit 2
+fi
+program=$1 golden=$2
+export TZ=UTC LC_ALL=C
+unset "${!BALANCER_@}" "${!SAGETALLY_@}"
+scratch=$(mktemp -d)
+trap 'rm -rf "$scratch"' EXIT
+cp -r "$golden/dead_letters" "$scratch/"  # SQLite makes files beside what it opens
+cd "$scratch"
+passed=0 failed=0
+for expected in "$golden"/reader-output/kept-*.txt; do
+  [ -f "$expected" ] || continue
+  # The first line is "$ sagetally 'kept' 'list' ...", as the shell quotes its arguments.
+  command_line=$(head -1 "$expected")
+  eval "arguments=(${command_line#\$ sagetally })"
+  code=0
+  {
+    echo "$command_line"
+    "$program" "${arguments[@]}" 2>&1 || code=$?
+    echo "exit code $code"
+  } >actual
+  if cmp -s actual "$expected"; then
+    passed=$((passed + 1))
+  else
+    failed=$((failed + 1))
+    echo "$(basename "$expected") differs:"
+    diff "$expected" actual | head -20 || :
+  fi
+done
+echo "$passed passed, $failed failed"
+if [ $passed -eq 0 ] && [ $failed -eq 0 ]; then exit 2; fi
+[ $failed -eq 0 ]
