--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -79,7 +79,7 @@
   // The value of a key that a variable of the environment may override.
   std::string Lookup(const char* variable, const char* key) const {
     const char* overriding = environment_(variable);
-    std::string value = Get<std::string>(root_, key, "");
+    auto value = Get<std::string>(root_, key, "");
     const bool is_overridden = overriding != nullptr && *overriding != 0;
     if (!is_overridden || (requirements_.again && !value.empty())) return value;
     return overriding;
@@ -190,9 +190,9 @@
 }
 
 DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on) {
-  constexpr std::size_t kOther =
-      24;  // journal, its compaction, discovery, notifications, gossip, the event loop's own
-  constexpr std::size_t kMaxBatchBytes = 1024 * 1024;
+  // Journal, its compaction, discovery, notifications, gossip, and the event loop's own.
+  static constexpr std::size_t kOther = 24;
+  static constexpr std::size_t kMaxBatchBytes = 1024 * 1024;
   const std::size_t clients = config.socket_limit / 3;
   DescriptorShares shares;
   if (config.admin) shares.admin = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
@@ -204,7 +204,7 @@
 }
 
 Config ReadConfig(const Environment& environment, ConfigRequirements requirements) {
-  constexpr const char* kVariable = "BALANCER_CONFIG";
+  static constexpr const char* kVariable = "BALANCER_CONFIG";
   const char* path = environment(kVariable);
   if (path == nullptr || *path == 0) {
     throw ConfigError("BALANCER_CONFIG is not set", "", {kVariable, "the path of a file", "nothing"});
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -82,7 +82,7 @@
 }  // namespace internal
 
 Duration Milliseconds(double milliseconds) {
-  constexpr double kLargest = 1e12;
+  static constexpr double kLargest = 1e12;
   if (std::abs(milliseconds) > kLargest) Malformed("time out of range");
   return Duration(std::llround(milliseconds * 1000.0));
 }
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -45,8 +45,8 @@
 // Also takes a number that is written with a fraction or an exponent, if it is whole.
 template <typename T>
 T AsInteger(Value value, const char* name) {
-  constexpr double kLargestExact = 9e15;  // doubles beyond it don't hold every whole number
-  constexpr const char* kExpected = "a whole number in its range";
+  static constexpr double kLargestExact = 9e15;  // doubles beyond it don't hold every whole number
+  static constexpr const char* kExpected = "a whole number in its range";
   std::uint64_t whole = 0;
   if (value.get(whole) == simdjson::SUCCESS && std::in_range<T>(whole)) return static_cast<T>(whole);
   const double number = AsNumber(value, name, kExpected);
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -64,7 +64,7 @@
 }
 
 std::string DescribeValue(const Json& document, const Pointer& place) {
-  constexpr std::size_t kMaxLength = 60;
+  static constexpr std::size_t kMaxLength = 60;
   if (!document.contains(place)) return "nothing";
   const std::string text = document.at(place).dump(-1, ' ', false, Json::error_handler_t::replace);
   return text.size() > kMaxLength ? text.substr(0, kMaxLength) + "..." : text;
--- a/src/frontend/cloudevents/text_encoding.cpp
+++ b/src/frontend/cloudevents/text_encoding.cpp
@@ -62,8 +62,8 @@
 }
 
 std::string DecodeBase64(std::string_view text) {
-  constexpr int kBitsPerDigit = 6;
-  constexpr int kBitsPerByte = 8;
+  static constexpr int kBitsPerDigit = 6;
+  static constexpr int kBitsPerByte = 8;
   if (text.size() % 4 != 0) ThrowNoBase64();
   while (!text.empty() && text.back() == '=') text.remove_suffix(1);
   std::string decoded;
--- a/src/frontend/platform/platform_frontend.cpp
+++ b/src/frontend/platform/platform_frontend.cpp
@@ -38,8 +38,8 @@
 }  // namespace
 
 std::optional<Duration> ParseDeadline(std::string_view text) {
-  constexpr double kLargest = 1e12;
-  constexpr double kMicrosecondsPerMillisecond = 1000;
+  static constexpr double kLargest = 1e12;
+  static constexpr double kMicrosecondsPerMillisecond = 1000;
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [number_end, error] = std::from_chars(text.data(), end, value);
--- a/src/service_registry/planner_selection.cpp
+++ b/src/service_registry/planner_selection.cpp
@@ -19,10 +19,10 @@
 
 // FNV-1a with a final mix: the same on every machine, which std::hash does not promise.
 std::uint64_t Hash(const std::string& text) {
-  constexpr std::uint64_t kOffsetBasis = 14695981039346656037ull;
-  constexpr std::uint64_t kPrime = 1099511628211ull;
-  constexpr std::uint64_t kMixFactor = 0xff51afd7ed558ccdull;  // of MurmurHash3's finalizer
-  constexpr int kMixShift = 33;
+  static constexpr std::uint64_t kOffsetBasis = 14695981039346656037ull;
+  static constexpr std::uint64_t kPrime = 1099511628211ull;
+  static constexpr std::uint64_t kMixFactor = 0xff51afd7ed558ccdull;  // of MurmurHash3's finalizer
+  static constexpr int kMixShift = 33;
   std::uint64_t hash = kOffsetBasis;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
   hash ^= hash >> kMixShift;
@@ -47,7 +47,7 @@
 // Calls a second that the instance's metadata promise; 0 if they name none, or one that is out of range.
 // Characters after the number are ignored.
 double ReadRate(const Instance& instance) {
-  constexpr double kLimit = 1e9;
+  static constexpr double kLimit = 1e9;
   const std::string text = GetMetadata(instance, kRateKey).value_or("");
   double rate = 0;
   std::from_chars(text.data(), text.data() + text.size(), rate);
--- /dev/null
+++ b/tests/config/format_error_test.cpp
@@ -0,0 +1,133 @@
+// Errors of configuration files: what they name in their fields, and that their texts follow from them.
+#undef NDEBUG
+#include "config/format_error.h"
+
+#include <unistd.h>
+
+#include <cassert>
+#include <cstdio>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <functional>
+#include <optional>
+#include <string>
+
+#include "config/config.h"
+#include "config/node_file.h"
+
+namespace sagetally {
+namespace {
+
+constexpr char kConfigText[] =
+    R"({"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"/s","limits":{"sockets":64},)"
+    R"("settings":{"grades":[{"slo":1,"deadline":2,"idempotency":"pure"}],)"
+    R"("specifics":{"callsOut":8},"caps":{"mostHeld":40,"maxAttempts":6}}})";
+
+const char* NoEnvironment(const char*) { return nullptr; }
+
+// A file that is removed at the end of its scope.
+class TemporaryFile {
+ public:
+  explicit TemporaryFile(const std::string& text)
+      : path_(std::filesystem::temp_directory_path() / ("format_error_test-" + std::to_string(getpid()))) {
+    std::ofstream(path_) << text;
+  }
+  ~TemporaryFile() { std::filesystem::remove(path_); }
+  TemporaryFile(const TemporaryFile&) = delete;
+  TemporaryFile& operator=(const TemporaryFile&) = delete;
+  const std::string& path() const { return path_; }
+
+ private:
+  const std::string path_;
+};
+
+// The configuration with `from` replaced by `to`.
+std::string Changed(const std::string& from, const std::string& to) {
+  std::string text = kConfigText;
+  const std::size_t place = text.find(from);
+  assert(place != std::string::npos);
+  return text.replace(place, from.size(), to);
+}
+
+template <typename Error>
+Error Catch(const std::function<void()>& read) {
+  std::optional<Error> caught;
+  try {
+    read();
+  } catch (const Error& error) {
+    caught = error;
+  }
+  assert(caught);
+  return *caught;
+}
+
+void ConfigurationErrorsNameKeyExpectedAndFound() {
+  ParseConfig(kConfigText, NoEnvironment);
+  const struct {
+    const char* from;
+    const char* to;
+    const char* text;
+    const char* key;
+    const char* expected;
+    const char* found;
+  } table[] = {
+      {"\"sockets\":64", "\"sockets\":9", "limits: 'sockets' must be 64 at least", "limits.sockets",
+       "64 at least", "9"},
+      {"\"callsOut\":8", "\"callsOut\":\"x\"", "settings: wrong type of 'callsOut'", "settings.callsOut",
+       "a whole number in its range", "a string"},
+      {"\"callsOut\":8", "\"callsOut\":1.5", "settings: wrong type of 'callsOut'", "settings.callsOut",
+       "a whole number in its range", "a number"},
+      {"\"slo\":1,", "", "settings: missing field 'slo'", "settings.slo", "a value", "nothing"},
+      {"\"pure\"", "\"holy\"", "settings: unknown idempotency 'holy'", "settings.idempotency",
+       "one of pure, token, side_effect", "holy"},
+      {"127.0.0.1:0", "a.test:80", "listen: 'a.test:80' is no address", "listen",
+       "an IPv4 address in numbers and a port", "a.test:80"},
+      {"\"settings\":", "\"other\":", "settings: missing field 'settings'", "settings", "a value", "nothing"},
+      {"\"limits\":{\"sockets\":64}", "\"limits\":[]", "limits: no object around 'disk_mb'", "limits.disk_mb",
+       "an object", "an array"},
+  };
+  for (const auto& row : table) {
+    const auto error = Catch<FormatError>([&] { ParseConfig(Changed(row.from, row.to), NoEnvironment); });
+    assert(error.what() == std::string(row.text));
+    assert(error.key() == row.key && error.expected() == row.expected && error.found() == row.found);
+  }
+}
+
+void ConfigurationErrorsNameTheFile() {
+  const TemporaryFile file(Changed("\"name\":\"n0\"", "\"name\":7"));
+  const auto environment = [&](const char* variable) -> const char* {
+    return std::string(variable) == "BALANCER_CONFIG" ? file.path().c_str() : nullptr;
+  };
+  const auto error = Catch<ConfigError>([&] { ReadConfig(environment); });
+  assert(error.file() == file.path() && error.key() == "name" && error.found() == "a number");
+  assert(error.what() == std::string("wrong type of 'name'"));
+  const auto not_set = Catch<ConfigError>([] { ReadConfig(NoEnvironment); });
+  assert(not_set.file().empty() && not_set.key() == "BALANCER_CONFIG");
+}
+
+void NodeFileErrorsNameFilePointerExpectedAndFound() {
+  const TemporaryFile file(R"({"journal":{"group_ms":"soon"}})");
+  const auto error = Catch<ConfigError>([&] { ReadNodeFile(file.path()); });
+  assert(error.file() == file.path() && error.key() == "/journal/group_ms" && error.found() == "\"soon\"");
+  assert(error.what() ==
+         file.path() + ": " + error.key() + ": expected " + error.expected() + ", found " + error.found());
+}
+
+// Callers that know nothing of the typed errors catch them as before.
+void ErrorsAreRuntimeErrors() {
+  Catch<std::runtime_error>([] { ParseConfig("{", NoEnvironment); });
+  Catch<std::runtime_error>([] { ParseNodeFile("{"); });
+}
+
+}  // namespace
+}  // namespace sagetally
+
+int main() {
+  using namespace sagetally;
+  ConfigurationErrorsNameKeyExpectedAndFound();
+  ConfigurationErrorsNameTheFile();
+  NodeFileErrorsNameFilePointerExpectedAndFound();
+  ErrorsAreRuntimeErrors();
+  std::puts("4 passed, 0 failed");
+}
