--- a/src/config/node_file.cpp
+++ b/src/config/node_file.cpp
@@ -67,7 +67,11 @@
     settings.include_undeliverable = false;
     settings.include_deferred = false;
     for (const Json& status : section["ends"]) {
-      (status == "deferred" ? settings.include_deferred : settings.include_undeliverable) = true;
+      if (status == "deferred") {
+        settings.include_deferred = true;
+      } else {
+        settings.include_undeliverable = true;
+      }
     }
   }
   settings.redrive_deferred = section.value("resend_deferred", false);
--- a/src/service_registry/eureka_format.cpp
+++ b/src/service_registry/eureka_format.cpp
@@ -38,12 +38,12 @@
   return ParseAddress("0.0.0.0:" + json::As<std::string>(number, "port"), "port").port;
 }
 
-std::map<std::string, std::string> ReadMetadata(Value instance) {
+Instance::Metadata ReadMetadata(Value instance) {
   const std::optional<Value> metadata = Find(instance, "metadata");
   if (!metadata) return {};
   simdjson::dom::object fields;
   if (metadata->get(fields) != simdjson::SUCCESS) json::ThrowWrongType(*metadata, "metadata", "an object");
-  std::map<std::string, std::string> texts;
+  Instance::Metadata texts;
   for (const auto& [key, field] : fields) {
     if (field.is_string()) texts[std::string(key)] = json::As<std::string>(field, "metadata");
   }
@@ -95,7 +95,7 @@
 Applications ReadApplications(std::string_view text) {
   Applications applications;
   ReadInstances(text, [&](Instance instance, const std::string&) {
-    std::map<std::string, Instance>& instances = applications[ToUpper(instance.app)];
+    InstancesById& instances = applications[ToUpper(instance.app)];
     const std::string id = instance.id;
     instances[id] = std::move(instance);
   });
--- a/src/service_registry/eureka_format.h
+++ b/src/service_registry/eureka_format.h
@@ -12,18 +12,24 @@
 
 // One registered process of an application.
 struct Instance {
+  // What an application says about itself, by its own keys.
+  using Metadata = std::map<std::string, std::string>;
+
   std::string id = {};
   std::string app = {};
   std::string host = {};
   std::string status = {};  // in Eureka's words
   std::uint16_t port = 0;   // 0: none
-  std::map<std::string, std::string> metadata = {};
+  Metadata metadata = {};
+
   bool up() const { return status == "UP"; }
   bool operator==(const Instance&) const = default;
 };
 
-// Instances by application (in upper case), then by instance id.
-using Applications = std::map<std::string, std::map<std::string, Instance>>;
+// The instances of one application by their ids.
+using InstancesById = std::map<std::string, Instance>;
+// Instances by application, in upper case.
+using Applications = std::map<std::string, InstancesById>;
 
 // Reads the response to GET apps. Throws FormatError.
 Applications ReadApplications(std::string_view text);
--- a/src/service_registry/planner_selection.cpp
+++ b/src/service_registry/planner_selection.cpp
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-const Instance* SelectPlanner(const std::map<std::string, Instance>& planners, int destination) {
+const Instance* SelectPlanner(const InstancesById& planners, int destination) {
   const Instance* selected = nullptr;
   std::uint64_t highest_weight = 0;
   for (const auto& [id, planner] : planners) {
@@ -75,7 +75,7 @@
   return selected;
 }
 
-EndpointListUpdate MakePartnerList(const std::map<std::string, Instance>& partners, const SiteSettings& site,
+EndpointListUpdate MakePartnerList(const InstancesById& partners, const SiteSettings& site,
                                    std::vector<std::string>& problems) {
   EndpointListUpdate list;
   list.is_full_snapshot = true;
