--- a/src/journal/file_system/posix_file_system.h
+++ b/src/journal/file_system/posix_file_system.h
@@ -18,7 +18,12 @@
   int Remove(const std::string& path) override;
   int SyncFolder(const std::string& path) override;
   IoResult<std::unique_ptr<FileLock>> Lock(const std::string& path) override;
-  // The same for callers that take the error apart.
+  // The same for callers of the earlier interface: journal_commands.cpp and handover_session.cpp.
+  std::unique_ptr<File> Open(const std::string& path, Mode mode, int& error) {
+    auto result = Open(path, mode);
+    error = result.error;
+    return std::move(result.value);
+  }
   std::unique_ptr<FileLock> Lock(const std::string& path, int& error) {
     auto result = Lock(path);
     error = result.error;
--- a/tests/journal/crash_test.cpp
+++ b/tests/journal/crash_test.cpp
@@ -1,31 +1,33 @@
-// The journal on a disk that fails: after every single call of it the process ends, or the call fails, and
-// what was on record must be known.
+// The journal on a file system that fails: at each single call the process ends, or the call fails, and what
+// was on record must be recovered.
 #include "journal_world.h"
 
 namespace sagetally {
 namespace {
 
 constexpr int kSteps = 420;
-constexpr std::uint64_t kCallsOfAStep = 150;  // no step makes more
+constexpr std::uint64_t kMaxCallsPerStep = 150;  // no step makes more
 
-// Looks only when the step that comes may be the one: a look costs more than the step.
-bool Near(const FaultInjectingFileSystem& disk, std::uint64_t at) {
-  return disk.calls() + kCallsOfAStep >= at;
+// Whether the next step may make this call. Describing all messages costs more than a step, so that is done
+// only then.
+bool MayBeReached(const FaultInjectingFileSystem& disk, std::uint64_t at) {
+  return disk.calls() + kMaxCallsPerStep >= at;
 }
 
-bool IsWhole(const View& found, const View& before, const View& after) {
+bool IsEither(const Descriptions& found, const Descriptions& before, const Descriptions& after) {
   return found == before || found == after;
 }
 
-void Differ(const char* what, std::uint64_t call, const View& found, const View& before, const View& after) {
+void FailWithDifference(const char* what, std::uint64_t call, const Descriptions& found,
+                        const Descriptions& before, const Descriptions& after) {
   std::fprintf(stderr, "%s, call %llu\n", what, static_cast<unsigned long long>(call));
-  const auto line = [](const View& view, std::uint64_t number) {
-    const auto at = view.find(number);
-    return at == view.end() ? std::string("-") : at->second;
+  const auto line = [](const Descriptions& descriptions, std::uint64_t number) {
+    const auto at = descriptions.find(number);
+    return at == descriptions.end() ? std::string("-") : at->second;
   };
   std::map<std::uint64_t, int> all;
-  for (const View* view : {&found, &before, &after}) {
-    for (const auto& [number, text] : *view) all[number] = 1;
+  for (const Descriptions* descriptions : {&found, &before, &after}) {
+    for (const auto& [number, text] : *descriptions) all[number] = 1;
   }
   for (const auto& [number, one] : all) {
     if (line(found, number) == line(before, number) && line(found, number) == line(after, number)) continue;
@@ -37,63 +39,64 @@
 }
 
 // Runs the workload until the plan ends the process; true if it did. `before` and `after`: what was known
-// before the step that it ended in, and what that step made of it.
+// before and after the step in which it ended.
 bool RunUntilCrash(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings,
-                   std::uint64_t seed, std::uint64_t at, View& before, View& after) {
+                   std::uint64_t seed, std::uint64_t at, Descriptions& before, Descriptions& after) {
   boost::random::mt19937_64 random(seed);
   int names = 0;
-  std::unique_ptr<Life> life;
+  std::unique_ptr<JournalProcess> process;
   try {
-    life = std::make_unique<Life>(disk, clock, settings);
+    process = std::make_unique<JournalProcess>(disk, clock, settings);
     for (int i = 0; i < kSteps; ++i) {
-      if (Near(disk, at)) before = ViewOf(life->ledger);
+      if (MayBeReached(disk, at)) before = DescribeAll(process->messages);
       const std::uint64_t calls = disk.calls();
-      OneStep(*life, random, names);
-      assert(disk.calls() - calls < kCallsOfAStep);
+      RunRandomStep(*process, random, names);
+      assert(disk.calls() - calls < kMaxCallsPerStep);
     }
   } catch (const Crash&) {
-    if (life) after = ViewOf(life->ledger);
+    if (process) after = DescribeAll(process->messages);
     return true;
   }
   return false;
 }
 
-// One recovery; true if the plan ended the process in it.
-bool Recover(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings, View& found) {
+// One recovery; true if the plan ended the process during it.
+bool Recover(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings,
+             Descriptions& found) {
   try {
-    Life life(disk, clock, settings);
-    found = ViewOf(life.ledger);
+    JournalProcess process(disk, clock, settings);
+    found = DescribeAll(process.messages);
     return false;
   } catch (const Crash&) {
     return true;
   }
 }
 
-std::uint64_t CallsOf(const JournalSettings& settings, std::uint64_t seed, std::uint64_t* compactions) {
+std::uint64_t CountCalls(const JournalSettings& settings, std::uint64_t seed, std::uint64_t* compactions) {
   FaultInjectingFileSystem disk;
   TestClock clock;
   boost::random::mt19937_64 random(seed);
   int names = 0;
-  Life life(disk, clock, settings);
-  for (int i = 0; i < kSteps; ++i) OneStep(life, random, names);
-  if (compactions != nullptr) *compactions = life.journal.counters().segments_dropped;
-  assert(life.journal.counters().bytes_copied > 0 && life.journal.disk_bytes() <= settings.disk_budget);
+  JournalProcess process(disk, clock, settings);
+  for (int i = 0; i < kSteps; ++i) RunRandomStep(process, random, names);
+  if (compactions != nullptr) *compactions = process.journal.counters().segments_dropped;
+  assert(process.journal.counters().bytes_copied > 0 && process.journal.disk_bytes() <= settings.disk_budget);
   assert(disk.Used() <= settings.disk_budget);
   return disk.calls();
 }
 
-void ACrashAfterEveryCallLeavesWhatWasKnown() {
+void CrashAtAnyCallLosesNothing() {
   JournalSettings settings = SmallJournal();
   settings.disk_budget = 60'000;
   std::uint64_t drops = 0;
-  const std::uint64_t calls = CallsOf(settings, 3, &drops);
+  const std::uint64_t calls = CountCalls(settings, 3, &drops);
   assert(drops > 10);
   int crashes = 0, within_recovery = 0;
   for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn}) {
     for (std::uint64_t at = 1; at <= calls; ++at) {
       FaultInjectingFileSystem disk;
       TestClock clock;
-      View before, after, found;
+      Descriptions before, after, found;
       disk.plan = [&](std::uint64_t call, std::string_view) {
         return Step{call == at ? fault : Fault::kNone, 0};
       };
@@ -101,24 +104,25 @@
       ++crashes;
       disk.plan = nullptr;
       disk.Restart();
-      // Now and then the recovery ends too, at each of its calls.
+      // Now and then the process ends during recovery, too, at each of its calls.
       if (at % 97 == 0) {
         const std::uint64_t begun = disk.calls();
         for (std::uint64_t again = 1; again < 200; ++again) {
-          FaultInjectingFileSystem twin = disk;
-          twin.plan = [&](std::uint64_t call, std::string_view) {
+          FaultInjectingFileSystem copy = disk;
+          copy.plan = [&](std::uint64_t call, std::string_view) {
             return Step{call == begun + again ? fault : Fault::kNone, 0};
           };
-          if (!Recover(twin, clock, settings, found)) break;
+          if (!Recover(copy, clock, settings, found)) break;
           ++within_recovery;
-          twin.plan = nullptr;
-          twin.Restart();
-          assert(!Recover(twin, clock, settings, found));
-          if (!IsWhole(found, before, after)) Differ("a crash within recovery", at, found, before, after);
+          copy.plan = nullptr;
+          copy.Restart();
+          assert(!Recover(copy, clock, settings, found));
+          if (!IsEither(found, before, after))
+            FailWithDifference("a crash within recovery", at, found, before, after);
         }
       }
       assert(!Recover(disk, clock, settings, found));
-      if (!IsWhole(found, before, after)) Differ("a crash", at, found, before, after);
+      if (!IsEither(found, before, after)) FailWithDifference("a crash", at, found, before, after);
     }
   }
   std::printf("%d crashes over %llu calls of the disk (%llu segments dropped), %d within recovery\n", crashes,
@@ -127,11 +131,11 @@
   assert(crashes > 3 * 400 && within_recovery > 50);
 }
 
-// An error instead: the journal goes on, and once the disk is well all is on record.
-void AnErrorAtEveryCallLosesNothing() {
+// An error instead: the journal continues, and once the disk works again all is on record.
+void ErrorAtAnyCallLosesNothing() {
   JournalSettings settings = SmallJournal();
   settings.disk_budget = 60'000;
-  const std::uint64_t calls = CallsOf(settings, 5, nullptr);
+  const std::uint64_t calls = CountCalls(settings, 5, nullptr);
   int errors = 0, unwritable = 0;
   for (const int error : {EIO, ENOSPC, EINTR}) {
     for (const int lasting : {1, 6}) {
@@ -143,29 +147,29 @@
                              (error != EINTR || what == "append" || what == "read");
           return Step{fails ? Fault::kError : Fault::kNone, error};
         };
-        std::unique_ptr<Life> life;
+        std::unique_ptr<JournalProcess> process;
         try {
-          life = std::make_unique<Life>(disk, clock, settings);
+          process = std::make_unique<JournalProcess>(disk, clock, settings);
         } catch (const std::runtime_error&) {
-          continue;  // at the start an error is told and the program ends
+          continue;  // at start an error ends the program
         }
         boost::random::mt19937_64 random(5);
         int names = 0;
         for (int i = 0; i < kSteps; ++i) {
-          OneStep(*life, random, names);
-          unwritable += life->journal.is_writable() ? 0 : 1;
+          RunRandomStep(*process, random, names);
+          unwritable += process->journal.is_writable() ? 0 : 1;
         }
         ++errors;
         disk.plan = nullptr;
-        life->Pass(std::chrono::seconds(10));
-        assert(life->journal.is_writable() && !life->journal.is_full());
-        for (const auto& [number, m] : life->ledger.messages()) assert(life->journal.IsDurable(m));
-        const View known = ViewOf(life->ledger);
-        life.reset();
+        process->AdvanceTime(std::chrono::seconds(10));
+        assert(process->journal.is_writable() && !process->journal.is_full());
+        for (const auto& [number, m] : process->messages.messages()) assert(process->journal.IsDurable(m));
+        const Descriptions known = DescribeAll(process->messages);
+        process.reset();
         disk.Restart();
-        Life next(disk, clock, settings);
-        const View found = ViewOf(next.ledger);
-        if (found != known) Differ("an error", at, found, known, known);
+        JournalProcess next(disk, clock, settings);
+        const Descriptions found = DescribeAll(next.messages);
+        if (found != known) FailWithDifference("an error", at, found, known, known);
         assert(!next.journal.report().is_damaged());
       }
     }
@@ -174,11 +178,11 @@
   assert(errors > 2000 && unwritable > 0);
 }
 
-// While an error lasts the process ends: what was called safe is known all the same.
-void WhatIsSafeOutlastsAnErrorAndACrash() {
+// The process ends while an error lasts: messages that were durable are recovered all the same.
+void DurableMessagesSurviveACrashDuringErrors() {
   JournalSettings settings = SmallJournal();
   settings.disk_budget = 60'000;
-  int crashes = 0, unsafe = 0;
+  int crashes = 0, not_durable = 0;
   for (std::uint64_t at = 20; at < 700; at += 3) {
     FaultInjectingFileSystem disk;
     TestClock clock;
@@ -188,40 +192,41 @@
     };
     boost::random::mt19937_64 random(11);
     int names = 0;
-    std::unique_ptr<Life> life;
+    std::unique_ptr<JournalProcess> process;
     try {
-      life = std::make_unique<Life>(disk, clock, settings);
+      process = std::make_unique<JournalProcess>(disk, clock, settings);
     } catch (const std::runtime_error&) {
       continue;
     }
-    // It ends some steps after the first error.
+    // The process ends some steps after the first error.
     for (std::uint64_t more = at % 30; more > 0; more -= disk.calls() >= at ? 1 : 0)
-      OneStep(*life, random, names);
-    View safe;
-    for (const auto& [number, text] : ViewOf(life->ledger)) {
-      if (life->journal.IsDurable(*life->ledger.Find(number))) {
-        safe[number] = text;
+      RunRandomStep(*process, random, names);
+    Descriptions durable;
+    for (const auto& [number, text] : DescribeAll(process->messages)) {
+      if (process->journal.IsDurable(*process->messages.Find(number))) {
+        durable[number] = text;
       } else {
-        ++unsafe;
+        ++not_durable;
       }
     }
     disk.plan = nullptr;
-    life.reset();
+    process.reset();
     disk.Restart();
     ++crashes;
-    Life next(disk, clock, settings);
-    const View found = ViewOf(next.ledger);
-    for (const auto& [number, text] : safe) {
-      const auto is = found.find(number);
-      if (is == found.end() || is->second != text) Differ("a crash under errors", at, found, safe, safe);
+    JournalProcess next(disk, clock, settings);
+    const Descriptions found = DescribeAll(next.messages);
+    for (const auto& [number, text] : durable) {
+      const auto recovered = found.find(number);
+      if (recovered == found.end() || recovered->second != text)
+        FailWithDifference("a crash under errors", at, found, durable, durable);
     }
   }
-  std::printf("%d crashes under errors, %d times a message was not safe\n", crashes, unsafe);
-  assert(crashes > 200 && unsafe > 200);
+  std::printf("%d crashes under errors, %d times a message was not durable\n", crashes, not_durable);
+  assert(crashes > 200 && not_durable > 200);
 }
 
-// Synced: what was safe outlasts the machine's power; a sync that fails is never trusted.
-void WhatIsSyncedOutlastsTheMachinesPower() {
+// Synced classes: durable messages survive a loss of power, also after a sync has failed.
+void SyncedMessagesSurviveALossOfPower() {
   JournalSettings settings = SmallJournal();
   settings.disk_budget = 60'000;
   settings.class_durability[2] = Durability::kSynced;
@@ -232,45 +237,48 @@
     std::uint64_t syncs = 0;
     const bool sync_fails = at % 3 == 0;
     disk.plan = [&](std::uint64_t call, std::string_view what) {
-      if (what == "sync" && sync_fails && ++syncs == at / 40) return ++failed, Step{Fault::kError, EIO};
+      if (what == "sync" && sync_fails && ++syncs == at / 40) {
+        ++failed;
+        return Step{Fault::kError, EIO};
+      }
       return Step{call >= at ? Fault::kCrash : Fault::kNone, 0};
     };
     boost::random::mt19937_64 random(at % 7);
     int names = 0;
-    View safe_before, safe_after;
-    std::unique_ptr<Life> life;
-    const auto safe = [&] {
-      View view;
-      for (const auto& [number, text] : ViewOf(life->ledger)) {
-        const Message& m = *life->ledger.Find(number);
-        if (m.request.message_class == 2 && life->journal.IsDurable(m)) view[number] = text;
+    Descriptions durable_before, durable_after;
+    std::unique_ptr<JournalProcess> process;
+    const auto durable = [&] {
+      Descriptions descriptions;
+      for (const auto& [number, text] : DescribeAll(process->messages)) {
+        const Message& m = *process->messages.Find(number);
+        if (m.request.message_class == 2 && process->journal.IsDurable(m)) descriptions[number] = text;
       }
-      return view;
+      return descriptions;
     };
     try {
-      life = std::make_unique<Life>(disk, clock, settings);
+      process = std::make_unique<JournalProcess>(disk, clock, settings);
       for (int i = 0; i < kSteps; ++i) {
-        if (Near(disk, at)) safe_before = safe();
-        OneStep(*life, random, names);
-        if (Near(disk, at)) safe_after = safe();
+        if (MayBeReached(disk, at)) durable_before = durable();
+        RunRandomStep(*process, random, names);
+        if (MayBeReached(disk, at)) durable_after = durable();
       }
     } catch (const Crash&) {
-      if (life) safe_after = safe();
+      if (process) durable_after = durable();
     } catch (const std::runtime_error&) {
     }
-    life.reset();
+    process.reset();
     disk.plan = nullptr;
     disk.LosePower();
     ++losses;
-    Life next(disk, clock, settings);
-    const View found = ViewOf(next.ledger);
-    for (const auto& [number, text] : safe_before) {
-      const auto after = safe_after.find(number);
-      const auto is = found.find(number);
-      // A message that moved on in the last step may stand as it was or as it became.
-      if (after == safe_after.end()) continue;
-      if (is == found.end() || (is->second != text && is->second != after->second)) {
-        Differ("a loss of power", at, found, safe_before, safe_after);
+    JournalProcess next(disk, clock, settings);
+    const Descriptions found = DescribeAll(next.messages);
+    for (const auto& [number, text] : durable_before) {
+      const auto after = durable_after.find(number);
+      const auto recovered = found.find(number);
+      // A message that changed in the last step may be as before or as after it.
+      if (after == durable_after.end()) continue;
+      if (recovered == found.end() || (recovered->second != text && recovered->second != after->second)) {
+        FailWithDifference("a loss of power", at, found, durable_before, durable_after);
       }
     }
   }
@@ -284,9 +292,9 @@
 int main() {
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   using namespace sagetally;
-  ACrashAfterEveryCallLeavesWhatWasKnown();
-  AnErrorAtEveryCallLosesNothing();
-  WhatIsSafeOutlastsAnErrorAndACrash();
-  WhatIsSyncedOutlastsTheMachinesPower();
+  CrashAtAnyCallLosesNothing();
+  ErrorAtAnyCallLosesNothing();
+  DurableMessagesSurviveACrashDuringErrors();
+  SyncedMessagesSurviveALossOfPower();
   std::puts("4 passed, 0 failed");
 }
--- a/tests/journal/property_test.cpp
+++ b/tests/journal/property_test.cpp
@@ -1,4 +1,4 @@
-// Any interleaving of operations, faults and restarts leaves what a small reference says.
+// Properties of the journal under random operations, faults and restarts.
 #include <rapidcheck.h>
 
 #include "journal/snapshot.h"
@@ -7,9 +7,9 @@
 namespace sagetally {
 namespace {
 
-// A run of several lives, each ended at a drawn call of the disk or between two; now and then an error comes
-// before.
-bool Holds(std::uint64_t seed) {
+// Several processes one after the other, each ended at a random call of the file system or between two; some
+// meet an error before.
+bool EachRunRecoversWhatWasKnown(std::uint64_t seed) {
   boost::random::mt19937_64 random(seed);
   const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
   JournalSettings settings = SmallJournal();
@@ -18,9 +18,9 @@
   settings.reserve_disk_space = draw(3) == 0 && settings.disk_budget > 100'000;
   FaultInjectingFileSystem disk;
   TestClock clock;
-  View known;
+  Descriptions known;
   int names = 0;
-  for (int lives = 0; lives < 4; ++lives) {
+  for (int run = 0; run < 4; ++run) {
     const std::uint64_t begun = disk.calls();
     const std::uint64_t end = begun + static_cast<std::uint64_t>(draw(900));
     const Fault fault =
@@ -32,94 +32,94 @@
       if (call == end) return Step{fault, 0};
       return Step{call == error_at ? Fault::kError : Fault::kNone, error};
     };
-    View before, after = known, found;
-    std::unique_ptr<Life> life;
-    bool all_safe = true;
+    Descriptions before, after = known, found;
+    std::unique_ptr<JournalProcess> process;
+    bool all_durable = true;
     try {
-      life = std::make_unique<Life>(disk, clock, settings);
-      if (ViewOf(life->ledger) != known) return false;
+      process = std::make_unique<JournalProcess>(disk, clock, settings);
+      if (DescribeAll(process->messages) != known) return false;
       before = after = known;
       for (int i = 0; i < 300; ++i) {
-        before = ViewOf(life->ledger);
-        OneStep(*life, random, names);
-        after = ViewOf(life->ledger);
+        before = DescribeAll(process->messages);
+        RunRandomStep(*process, random, names);
+        after = DescribeAll(process->messages);
       }
     } catch (const Crash&) {
-      if (life) after = ViewOf(life->ledger);
+      if (process) after = DescribeAll(process->messages);
     } catch (const std::runtime_error&) {
-      assert(!life && error_at != UINT64_MAX);  // the error came as it began
+      assert(!process && error_at != UINT64_MAX);  // the error came at start
     }
-    if (life) {
-      for (const auto& [number, m] : life->ledger.messages())
-        all_safe = all_safe && life->journal.IsDurable(m);
-      all_safe = all_safe && life->journal.is_writable();
+    if (process) {
+      for (const auto& [number, m] : process->messages.messages())
+        all_durable = all_durable && process->journal.IsDurable(m);
+      all_durable = all_durable && process->journal.is_writable();
     } else {
       before = after = known;
     }
-    life.reset();
+    process.reset();
     disk.plan = nullptr;
     disk.Restart();
     {
-      Life next(disk, clock, settings);
-      found = ViewOf(next.ledger);
+      JournalProcess next(disk, clock, settings);
+      found = DescribeAll(next.messages);
     }
     disk.Restart();
-    if (all_safe && found != before && found != after) return false;
+    if (all_durable && found != before && found != after) return false;
     if (disk.Used() > settings.disk_budget) return false;
     known = found;
   }
   return true;
 }
 
-// A snapshot taken while a node writes is the journal as it stood at one of its steps.
-bool ASnapshotIsOneMoment() {
+// A snapshot taken while a node writes is the journal as it was between two of its steps.
+bool SnapshotIsOneMoment() {
   return rc::check("a snapshot is one moment", [](std::uint16_t seed) {
     FaultInjectingFileSystem disk;
     TestClock clock;
     const JournalSettings settings = SmallJournal();
     boost::random::mt19937_64 random(seed);
     int names = 0, left = 20;
-    Life life(disk, clock, settings);
-    std::vector<View> moments;
-    for (int i = 0; i < 100; ++i) OneStep(life, random, names);
-    // Between any two of the snapshot's calls the node goes on.
-    bool inside = false;
+    JournalProcess process(disk, clock, settings);
+    std::vector<Descriptions> moments;
+    for (int i = 0; i < 100; ++i) RunRandomStep(process, random, names);
+    // Between any two of the snapshot's calls the node does some steps.
+    bool is_stepping = false;
     disk.plan = [&](std::uint64_t, std::string_view) {
-      if (!inside && left > 0) {
-        inside = true;
+      if (!is_stepping && left > 0) {
+        is_stepping = true;
         --left;
         for (int i = 0; i < 5; ++i) {
-          OneStep(life, random, names);
-          moments.push_back(ViewOf(life.ledger));
+          RunRandomStep(process, random, names);
+          moments.push_back(DescribeAll(process.messages));
         }
-        inside = false;
+        is_stepping = false;
       }
       return Step{};
     };
-    moments.push_back(ViewOf(life.ledger));
+    moments.push_back(DescribeAll(process.messages));
     WriteSnapshot(disk, settings.folder, "/copy");
     disk.plan = nullptr;
-    MessageTable ledger;
-    const ReplayReport report = ReplayLive(disk, "/copy", ledger);
+    MessageTable messages;
+    const ReplayReport report = ReplayLive(disk, "/copy", messages);
     RC_ASSERT(!report.is_damaged());
-    RC_ASSERT(std::find(moments.begin(), moments.end(), ViewOf(ledger)) != moments.end());
-    // Put back elsewhere: everything that was held is there, under a later epoch, and may have run.
+    RC_ASSERT(std::find(moments.begin(), moments.end(), DescribeAll(messages)) != moments.end());
+    // Restored elsewhere, all pending messages are there, under a later epoch, and uncertain.
     RestoreSnapshot(disk, "/copy", "/other/journal", {});
     JournalSettings other = settings;
     other.folder = "/other/journal";
-    Life restored(disk, clock, other);
-    RC_ASSERT(restored.ledger.pending_count() == ledger.pending_count());
-    RC_ASSERT(restored.journal.epoch() > life.journal.epoch());
-    for (const auto& [number, m] : restored.ledger.messages()) {
+    JournalProcess restored(disk, clock, other);
+    RC_ASSERT(restored.messages.pending_count() == messages.pending_count());
+    RC_ASSERT(restored.journal.epoch() > process.journal.epoch());
+    for (const auto& [number, m] : restored.messages.messages()) {
       RC_ASSERT(m.final_status != FinalStatus::kPending || m.first_uncertain_attempt == Time(0));
     }
-    bool refused = false;
+    bool rejected = false;
     try {
       RestoreSnapshot(disk, "/copy", "/other/journal", {.replace = true});
     } catch (const std::runtime_error&) {
-      refused = true;  // a process holds it
+      rejected = true;  // a process has it locked
     }
-    RC_ASSERT(refused);
+    RC_ASSERT(rejected);
   });
 }
 
@@ -129,8 +129,8 @@
 int main() {
   using namespace sagetally;
   const bool holds = rc::check("operations, faults and restarts leave what was known",
-                               [](std::uint32_t seed) { RC_ASSERT(Holds(seed)); });
+                               [](std::uint32_t seed) { RC_ASSERT(EachRunRecoversWhatWasKnown(seed)); });
   assert(holds);
-  assert(ASnapshotIsOneMoment());
+  assert(SnapshotIsOneMoment());
   std::puts("2 passed, 0 failed");
 }
