--- a/src/journal/file_system/fault_injecting_file_system.cpp
+++ b/src/journal/file_system/fault_injecting_file_system.cpp
@@ -171,7 +171,7 @@
   return entries_.at(path)->bytes;
 }
 
-void FaultInjectingFileSystem::Put(const std::string& path, std::string content) {
+void FaultInjectingFileSystem::Put(const std::string& path, const std::string& content) {
   auto node = std::make_shared<Node>(Node{content, content});
   entries_[path] = node;
   synced_entries_[path] = std::move(node);
--- a/src/journal/file_system/fault_injecting_file_system.h
+++ b/src/journal/file_system/fault_injecting_file_system.h
@@ -56,7 +56,7 @@
   bool Exists(const std::string& path) const { return entries_.contains(path); }
   std::string Content(const std::string& path) const;
   // Makes a file that counts as synced.
-  void Put(const std::string& path, std::string content);
+  void Put(const std::string& path, const std::string& content);
 
   IoResult<std::unique_ptr<File>> Open(const std::string& path, Mode mode) override;
   int MakeFolder(const std::string& path) override;
--- a/src/journal/snapshot.cpp
+++ b/src/journal/snapshot.cpp
@@ -71,7 +71,8 @@
     if (error == EINTR) continue;
     ThrowOnError(path, error);
     if (count == 0) throw JournalIoError(path, EIO);
-    ThrowOnError(path, WriteAll(*opened.value, std::string_view(chunk).substr(0, count)).error);
+    chunk.resize(count);
+    ThrowOnError(path, WriteAll(*opened.value, chunk).error);
     offset += count;
   }
   ThrowOnError(path, opened.value->Sync());
