--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -18,6 +18,7 @@
 constexpr Duration kMaxListenTime = std::chrono::milliseconds(100);
 // Idle connections are closed this much before the endpoint's machine may close them.
 constexpr Duration kIdleMargin = std::chrono::milliseconds(1000);
+constexpr unsigned kServiceUnavailable = 503;
 
 bool WouldBlock(int error_number) { return error_number == EAGAIN || error_number == EWOULDBLOCK; }
 
@@ -175,7 +176,6 @@
 void EndpointConnection::FinishWithResponse() {
   const EndpointResponse& response = reader_.response();
   const CallResult result = DecodeCallResult(response);
-  constexpr unsigned kServiceUnavailable = 503;
   is_accepted_by_endpoint_ = is_accepted_by_endpoint_ || response.result_int() != kServiceUnavailable;
   const bool is_reusable =
       reader_.keep_alive() && is_accepted_by_endpoint_ && !responded_early_ && !abandoned_as_;
--- a/src/net/endpoint_list_watcher.cpp
+++ b/src/net/endpoint_list_watcher.cpp
@@ -152,7 +152,7 @@
   }
   OnLineReceived();
   if (update.revision < revision_ && !accepts_older_revision_) {
-    // It would bring back endpoints that have been told to drain. Its changes up to our revision come by
+    // It would bring back endpoints that are draining. Its changes up to our revision come by
     // themselves, or never.
     if (older_revision_timer_.pending()) return;
     log_.Warn("discovery.behind", {{"revision", update.revision}, {"known_revision", revision_}});
--- a/src/net/handover_channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -45,7 +45,7 @@
   return FileDescriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | flags, 0));
 }
 
-// Ancillary data with room for one descriptor.
+// Ancillary data that carries one descriptor.
 struct DescriptorMessage {
   alignas(cmsghdr) char bytes[CMSG_SPACE(sizeof(int))] = {};
 };
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -24,6 +24,8 @@
 constexpr auto kExpectedFirstBytes = std::chrono::milliseconds(100);
 // How long accepting pauses when no descriptor is free.
 constexpr Duration kAcceptPause = std::chrono::milliseconds(50);
+constexpr unsigned kListenerFlags =
+    LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT;
 
 bool ListensAt(const FileDescriptor& listener, const sockaddr_in& wanted) {
   const std::optional<sockaddr_in> actual = LocalAddress(listener.get());
@@ -69,16 +71,15 @@
 HttpServer::~HttpServer() = default;
 
 EventListenerPtr HttpServer::OpenListener(const Address& address, FileDescriptor inherited) {
-  constexpr unsigned kFlags =
-      LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT;
   EventListenerPtr listener;
   errno = 0;
   if (const std::optional<sockaddr_in> wanted = ToSocketAddress(address)) {
     if (ListensAt(inherited, *wanted)) {
-      listener.reset(evconnlistener_new(loop_.base(), OnAccepted, this, kFlags, SOMAXCONN, inherited.get()));
+      listener.reset(
+          evconnlistener_new(loop_.base(), OnAccepted, this, kListenerFlags, SOMAXCONN, inherited.get()));
       if (listener) inherited.Release();
     } else {
-      listener.reset(evconnlistener_new_bind(loop_.base(), OnAccepted, this, kFlags, SOMAXCONN,
+      listener.reset(evconnlistener_new_bind(loop_.base(), OnAccepted, this, kListenerFlags, SOMAXCONN,
                                              reinterpret_cast<const sockaddr*>(&*wanted), sizeof *wanted));
     }
   }
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -93,8 +93,8 @@
   parser_->body_limit(kMaxBodyBytes);
 }
 
-// Lets the parser go on to the body. False if the body claims to be too long: the parser would make room for
-// all of it before it looks at its limit.
+// Lets the parser go on to the body. False if the body claims to be too long: the parser would allocate it
+// before it looks at its limit.
 bool ResponseReader::AcceptHead() {
   if (!parser_->is_header_done() || parser_->eager()) return true;
   if (parser_->content_length().value_or(0) > kMaxBodyBytes) return false;
--- a/tests/net/endpoint_list_watcher_test.cpp
+++ b/tests/net/endpoint_list_watcher_test.cpp
@@ -1,4 +1,5 @@
-// Asking discovery for lists: one sender comes back soon, and hundreds don't keep it too busy to serve any.
+// Requests for endpoint lists: one dispatcher comes back soon, and hundreds don't keep discovery too busy to
+// serve any.
 #undef NDEBUG
 #include "net/endpoint_list_watcher.h"
 
@@ -14,90 +15,92 @@
 
 using namespace std::chrono_literals;
 
-void EachWaitIsDrawnUnderABoundThatDoubles() {
+void EachDelayIsBelowABoundThatDoubles() {
   for (const std::uint64_t seed : {1, 2, 3}) {
-    Backoff back_off(100ms, 700ms, seed);
+    Backoff backoff(100ms, 700ms, seed);
     for (int round = 0; round < 2; ++round) {
       for (const Duration bound : {100ms, 200ms, 400ms, 700ms, 700ms}) {
-        const Duration wait = back_off.NextDelay();
-        assert(wait >= 0ms && wait <= bound);
+        const Duration delay = backoff.NextDelay();
+        assert(delay >= 0ms && delay <= bound);
       }
-      back_off.Reset();
+      backoff.Reset();
     }
   }
   Backoff constant(200ms, 0ms, 1);
-  Backoff huge_fleet(150s, 10s, 1);  // thousands of senders may not be away for minutes
+  Backoff huge_fleet(150s, 10s, 1);  // thousands of dispatchers must not stay away for minutes
   for (int i = 0; i < 5; ++i) assert(constant.NextDelay() <= 200ms && huge_fleet.NextDelay() <= 10s);
 }
 
-// In virtual time: discovery serves `most` calls in any second, refused ones counted, and hears each of
-// `senders` again until it has been served. Returns how many it has served after 60 s.
-int Served(int senders, std::size_t most, Duration first, Duration longest) {
-  std::vector<Backoff> waits;
+// In virtual time: discovery serves `max_per_second` requests in any second, rejected ones counted, and each
+// of the dispatchers comes again until it has been served. Returns how many were served after 60 s.
+int CountServed(int dispatcher_count, std::size_t max_per_second, Duration first, Duration longest) {
+  std::vector<Backoff> backoffs;
   std::priority_queue<std::pair<Duration, int>, std::vector<std::pair<Duration, int>>, std::greater<>> due;
-  for (int i = 0; i < senders; ++i) {
-    waits.emplace_back(first, longest, static_cast<std::uint64_t>(i));
-    due.emplace(waits.back().NextDelay(), i);
+  for (int i = 0; i < dispatcher_count; ++i) {
+    backoffs.emplace_back(first, longest, static_cast<std::uint64_t>(i));
+    due.emplace(backoffs.back().NextDelay(), i);
   }
-  std::deque<Duration> heard;
+  std::deque<Duration> recent_requests;
   int served = 0;
   for (; !due.empty() && due.top().first < 60s; due.pop()) {
-    const auto [now, sender] = due.top();
-    while (!heard.empty() && heard.front() + 1s <= now) heard.pop_front();
-    heard.push_back(now);
-    if (heard.size() <= most) {
+    const auto [now, dispatcher] = due.top();
+    while (!recent_requests.empty() && recent_requests.front() + 1s <= now) recent_requests.pop_front();
+    recent_requests.push_back(now);
+    if (recent_requests.size() <= max_per_second) {
       served += 1;
     } else {
-      due.emplace(now + waits[static_cast<std::size_t>(sender)].NextDelay(), sender);
+      due.emplace(now + backoffs[static_cast<std::size_t>(dispatcher)].NextDelay(), dispatcher);
     }
   }
   return served;
 }
 
-void HundredsOfSendersAreServedOneAfterTheOther() {
-  for (const int senders : {100, 300}) {
-    assert(Served(senders, 40, 200ms, 10s) == senders);
-    assert(Served(senders, 40, 200ms, 200ms) < senders);  // what the test would miss without doubling
+void HundredsOfDispatchersAreServedInTurn() {
+  for (const int dispatcher_count : {100, 300}) {
+    assert(CountServed(dispatcher_count, 40, 200ms, 10s) == dispatcher_count);
+    assert(CountServed(dispatcher_count, 40, 200ms, 200ms) <
+           dispatcher_count);  // without doubling they are not
   }
 }
 
-// How often discovery that refuses is asked until `until` by twenty of `senders`, in the mean.
-double Asks(bool on_request, int senders, Duration until) {
-  constexpr int kWatches = 20;
+// How many requests each of twenty watchers, in a fleet of that size, makes in `time` of a discovery that
+// rejects all of them; the mean.
+double RequestsPerWatcher(bool on_request, int dispatcher_count, Duration time) {
+  constexpr int kWatchers = 20;
   EventLoop loop;
-  int asks = 0;
-  loadtest::Listener refuses(loop, {"127.0.0.1", 0}, [&](const std::shared_ptr<loadtest::Call>& call) {
-    asks += 1;
+  int request_count = 0;
+  loadtest::Listener rejecting(loop, {"127.0.0.1", 0}, [&](const std::shared_ptr<loadtest::Call>& call) {
+    request_count += 1;
     call->Answer(503);
   });
   SiteSettings site;
   site.policy.endpoint_list_on_request = on_request;
-  site.policy.dispatcher_count = senders;
+  site.policy.dispatcher_count = dispatcher_count;
   site.policy.max_poll_interval = 10s;
   Logger log;
-  std::vector<std::unique_ptr<EndpointListWatcher>> watches;
-  for (std::uint64_t seed = 1; seed <= kWatches; ++seed) {
-    watches.push_back(std::make_unique<EndpointListWatcher>(
-        loop, Address{"127.0.0.1", refuses.port()}, site, 0, seed, [](const EndpointListUpdate&) {}, log));
+  std::vector<std::unique_ptr<EndpointListWatcher>> watchers;
+  for (std::uint64_t seed = 1; seed <= kWatchers; ++seed) {
+    watchers.push_back(std::make_unique<EndpointListWatcher>(
+        loop, Address{"127.0.0.1", rejecting.port()}, site, 0, seed, [](const EndpointListUpdate&) {}, log));
   }
   Timer end(loop, [&] { loop.Break(); });
-  end.Schedule(until);
+  end.Schedule(time);
   loop.Run();
-  return static_cast<double>(asks) / kWatches;
+  return static_cast<double>(request_count) / kWatchers;
 }
 
-void DiscoveryThatIsAskedHearsManySendersSeldom() {
-  // Each waits up to 5 s, so that it hears of a drain before that binds: 1.3 asks are to be expected.
-  assert(Asks(true, 300, 1500ms) <= 2);
-  assert(Asks(true, 3, 1500ms) >= 3);
-  assert(Asks(false, 300, 1500ms) >= 5);  // pushed lists cost discovery nothing
+void ALargeFleetRequestsListsSeldom() {
+  // Each waits up to 5 s, to receive a drain before it binds: 1.3 requests are to be expected.
+  assert(RequestsPerWatcher(true, 300, 1500ms) <= 2);
+  assert(RequestsPerWatcher(true, 3, 1500ms) >= 3);
+  assert(RequestsPerWatcher(false, 300, 1500ms) >= 5);  // pushed lists cost discovery nothing
 }
 
 }  // namespace
 }  // namespace sagetally
 
 int main() {
-  sagetally::EachWaitIsDrawnUnderABoundThatDoubles();
-  sagetally::HundredsOfSendersAreServedOneAfterTheOther();
-  sagetally::DiscoveryThatIsAskedHearsManySendersSeldom();
+  sagetally::EachDelayIsBelowABoundThatDoubles();
+  sagetally::HundredsOfDispatchersAreServedInTurn();
+  sagetally::ALargeFleetRequestsListsSeldom();
 }
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// A timer never fires early, however long the round of the loop took that set it.
+// A timer never fires early, however long the round of the loop takes that schedules it.
 #undef NDEBUG
 #include "net/event_loop.h"
 
@@ -9,30 +9,31 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Steady = std::chrono::steady_clock;
+using Clock = std::chrono::steady_clock;
 
-void ATimerCountsFromWhenItIsSet() {
+void ATimerCountsFromItsSchedule() {
   EventLoop loop;
-  Steady::time_point set, fired;
-  Timer wait(loop, [&] {
-    fired = Steady::now();
+  Clock::time_point scheduled_at;
+  Clock::time_point fired_at;
+  Timer timer(loop, [&] {
+    fired_at = Clock::now();
     loop.Break();
   });
   Timer other(loop, [] {});  // wakes the loop meanwhile
   Timer busy(loop, [&] {
-    const auto until = Steady::now() + milliseconds(30);
-    while (Steady::now() < until) {
+    const auto busy_until = Clock::now() + milliseconds(30);
+    while (Clock::now() < busy_until) {
     }
-    set = Steady::now();
-    wait.Schedule(milliseconds(40));
+    scheduled_at = Clock::now();
+    timer.Schedule(milliseconds(40));
     other.Schedule(milliseconds(11));
   });
   busy.Schedule(Duration(0));
   loop.Run();
-  assert(fired - set >= milliseconds(40));
+  assert(fired_at - scheduled_at >= milliseconds(40));
 }
 
 }  // namespace
 }  // namespace sagetally
 
-int main() { sagetally::ATimerCountsFromWhenItIsSet(); }
+int main() { sagetally::ATimerCountsFromItsSchedule(); }
--- a/tests/net/http_server_races_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -1,226 +1,223 @@
-// Clients: where a request, an answer and a close cross. The clients of these tests are bare sockets on the
-// same thread, so what they do between two rounds of the loop has happened before the server hears of it.
-#include <sys/socket.h>
-
+// Races at the HTTP server: a request, a response and a close that happen before the other side learns of it.
 #include "../app/world.h"
+#include "raw_socket.h"
 
 namespace sagetally {
 namespace {
 
-const std::string kAsk = "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n";
+const std::string kRequest = "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n";
 
 class Client {
  public:
-  explicit Client(std::uint16_t port) : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    assert(::connect(fd_.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
-  }
-  bool Say(const std::string& text) {
-    return ::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
-  }
-  void Reset() {
-    const linger at_once{1, 0};
-    ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-    fd_ = FileDescriptor();
-  }
-  // What has come; `ended` once the other side has ended in order, `reset` if it broke.
-  const std::string& Got() {
-    char text[4096];
-    ssize_t n = 0;
-    while (!ended && !reset && (n = ::recv(fd_.get(), text, sizeof text, MSG_DONTWAIT)) > 0) {
-      got_.append(text, static_cast<std::size_t>(n));
+  explicit Client(std::uint16_t port) : socket_(ConnectToLoopback(port)) {}
+  bool Send(const std::string& text) { return SendAll(socket_, text); }
+  void Reset() { ResetConnection(socket_); }
+  // Everything received so far.
+  const std::string& Received() {
+    char text[kRawReadBytes];
+    ssize_t size = 0;
+    while (!has_ended && !was_reset && (size = ::recv(socket_.get(), text, sizeof text, MSG_DONTWAIT)) > 0) {
+      received_.append(text, static_cast<std::size_t>(size));
     }
-    if (n == 0 && !ended && !reset) ended = true;
-    if (n < 0 && errno != EAGAIN) reset = true;
-    return got_;
+    if (size == 0 && !has_ended && !was_reset) has_ended = true;
+    if (size < 0 && errno != EAGAIN) was_reset = true;
+    return received_;
   }
-  int Answers() {
-    int n = 0;
-    for (std::size_t at = 0; (at = Got().find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++n;
-    return n;
+  int ResponseCount() {
+    int count = 0;
+    for (std::size_t at = 0; (at = Received().find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++count;
+    return count;
   }
-  bool ended = false, reset = false;
+  bool has_ended = false;  // by the server, in order
+  bool was_reset = false;
 
  private:
-  FileDescriptor fd_;
-  std::string got_;
+  FileDescriptor socket_;
+  std::string received_;
 };
 
-struct ServerWorld {
-  explicit ServerWorld(std::size_t connections = 16)
+// A server that answers each request with 200, or holds it, and its clients.
+struct ServerFixture {
+  explicit ServerFixture(std::size_t connections = 16)
       : server(loop, {"127.0.0.1", 0}, {1024, connections},
                [this](const std::shared_ptr<Exchange>& exchange) {
-                 ++asked;
-                 if (hold) {
-                   held.push_back(exchange);
+                 ++request_count;
+                 if (hold_requests) {
+                   held_exchanges.push_back(exchange);
                  } else {
                    exchange->Respond(200);
                  }
-                 if (then) then();
+                 if (after_request) after_request();
                }) {}
-  Client& Add(const std::string& text = "") {
+  Client& Connect(const std::string& text = "") {
     clients.push_back(std::make_unique<Client>(server.port()));
-    assert(clients.back()->Say(text));
+    assert(clients.back()->Send(text));
     return *clients.back();
   }
-  Client& Answered() {  // a resting one
-    Client& client = Add(kAsk);
-    Until(loop, [&] { return client.Answers() == 1; });
+  // An idle one.
+  Client& ConnectAnswered() {
+    Client& client = Connect(kRequest);
+    Until(loop, [&] { return client.ResponseCount() == 1; });
     return client;
   }
-  void UntilEnded(Client& client) {
-    Until(loop, [&] { return client.Got(), client.ended || client.reset; });
-    assert(!client.reset);
+  void WaitForEnd(Client& client) {
+    Until(loop, [&] {
+      client.Received();
+      return client.has_ended || client.was_reset;
+    });
+    assert(!client.was_reset);
   }
   EventLoop loop;
-  int asked = 0;
-  bool hold = false;
-  std::function<void()> then;
-  std::vector<std::shared_ptr<Exchange>> held;
+  int request_count = 0;
+  bool hold_requests = false;
+  std::function<void()> after_request;
+  std::vector<std::shared_ptr<Exchange>> held_exchanges;
   std::vector<std::unique_ptr<Client>> clients;
   HttpServer server;
 };
 
-// The shutdown comes in the round in which an answer was given and not yet written.
-void AnAnswerNotYetWrittenIsNotClosedUpon() {
-  ServerWorld w;
-  w.then = [&] { w.server.CloseBetweenRequests(); };
-  Client& client = w.Add(kAsk);
-  w.UntilEnded(client);
-  assert(client.Answers() == 1);
+// The shutdown comes in the round in which a response was given and not yet written.
+void AResponseNotYetWrittenSurvivesTheShutdown() {
+  ServerFixture fixture;
+  fixture.after_request = [&] { fixture.server.CloseBetweenRequests(); };
+  Client& client = fixture.Connect(kRequest);
+  fixture.WaitForEnd(client);
+  assert(client.ResponseCount() == 1);
 }
 
-// A request stands unread in the socket, whole or in part, as the server shuts: it is answered, and the last.
+// A request is unread in the socket, whole or in part, at the shutdown: it is answered, as the last one.
 void AnUnreadRequestIsAnsweredAtShutdown() {
-  for (const std::size_t first : {kAsk.size(), std::size_t{1}, kAsk.size() - 1}) {
-    ServerWorld w;
-    Client& client = w.Answered();
-    assert(client.Say(kAsk.substr(0, first)));
-    w.server.CloseBetweenRequests(true);  // before the loop has read it
-    assert(client.Say(kAsk.substr(first)));
-    w.UntilEnded(client);
-    assert(client.Answers() == 2 && client.Got().find("Connection: close") != std::string::npos);
+  for (const std::size_t first : {kRequest.size(), std::size_t{1}, kRequest.size() - 1}) {
+    ServerFixture fixture;
+    Client& client = fixture.ConnectAnswered();
+    assert(client.Send(kRequest.substr(0, first)));
+    fixture.server.CloseBetweenRequests(true);  // before the server has read it
+    assert(client.Send(kRequest.substr(first)));
+    fixture.WaitForEnd(client);
+    assert(client.ResponseCount() == 2 && client.Received().find("Connection: close") != std::string::npos);
   }
 }
 
-// The server has ended its side when a resting client's next request arrives: the client hears an end and no
-// reset, so that it asks again elsewhere, and the request is not carried out.
-void ARequestThatCrossesTheShutdownIsNotCarriedOut() {
-  ServerWorld w;
-  Client& client = w.Answered();
-  w.server.CloseBetweenRequests();
-  assert(client.Say(kAsk));
-  w.UntilEnded(client);
-  Until(w.loop, [&] { return w.server.connections() == 0; });
-  assert(client.Answers() == 1 && w.asked == 1);
+// The server has ended its side when an idle client's next request arrives: the client sees an end and no
+// reset, so that it may send the request elsewhere, and the request is not handled.
+void ARequestSentAfterTheShutdownIsNotHandled() {
+  ServerFixture fixture;
+  Client& client = fixture.ConnectAnswered();
+  fixture.server.CloseBetweenRequests();
+  assert(client.Send(kRequest));
+  fixture.WaitForEnd(client);
+  Until(fixture.loop, [&] { return fixture.server.connections() == 0; });
+  assert(client.ResponseCount() == 1 && fixture.request_count == 1);
 }
 
-// The same where the server ends what has been idle for long; one whose request has come is not idle.
-void AnIdleConnectionEndsInOrder() {
-  ServerWorld w;
-  Client &rests = w.Answered(), &asks = w.Answered();
+// The same after the idle timeout; a connection whose request has come is not idle.
+void AnIdleConnectionEndsWithoutAReset() {
+  ServerFixture fixture;
+  Client& idle = fixture.ConnectAnswered();
+  Client& active = fixture.ConnectAnswered();
   const auto begun = std::chrono::steady_clock::now();
-  Until(w.loop, [&] {
-    // Just before the end of its time, without a round of the loop until after it.
+  Until(fixture.loop, [&] {
+    // Just before the timeout, without a round of the loop until after it.
     if (std::chrono::steady_clock::now() < begun + 3900ms) return false;
     while (std::chrono::steady_clock::now() < begun + 4100ms) continue;
-    return asks.Say(kAsk);
+    return active.Send(kRequest);
   });
-  Until(w.loop, [&] { return asks.Answers() == 2; });
-  w.UntilEnded(rests);
-  assert(rests.Answers() == 1 && !asks.ended);
+  Until(fixture.loop, [&] { return active.ResponseCount() == 2; });
+  fixture.WaitForEnd(idle);
+  assert(idle.ResponseCount() == 1 && !active.has_ended);
 }
 
-// Who has connected is in the queue of the listener when it closes: served, not reset.
+// Clients in the queue of a listener that closes are served, not reset.
 void TheQueueOfAClosingListenerIsServed() {
-  ServerWorld w;
-  for (int i = 0; i < 5; ++i) w.Add(i < 4 ? kAsk : "");
-  w.server.StopListening();
-  w.server.CloseBetweenRequests();
-  Until(w.loop, [&] {
-    return std::all_of(w.clients.begin(), w.clients.end() - 1,
-                       [](const auto& c) { return c->Answers() == 1; });
+  ServerFixture fixture;
+  for (int i = 0; i < 5; ++i) fixture.Connect(i < 4 ? kRequest : "");
+  fixture.server.StopListening();
+  fixture.server.CloseBetweenRequests();
+  Until(fixture.loop, [&] {
+    return std::all_of(fixture.clients.begin(), fixture.clients.end() - 1,
+                       [](const auto& client) { return client->ResponseCount() == 1; });
   });
-  Client& late = *w.clients.back();  // a new one that has not asked yet, and does now
-  assert(!late.ended && late.Say(kAsk));
-  Until(w.loop, [&] { return late.Answers() == 1; });
-  for (const auto& client : w.clients) w.UntilEnded(*client);
+  Client& late = *fixture.clients.back();  // it has sent nothing yet, and does now
+  assert(!late.has_ended && late.Send(kRequest));
+  Until(fixture.loop, [&] { return late.ResponseCount() == 1; });
+  for (const auto& client : fixture.clients) fixture.WaitForEnd(*client);
 }
 
-// What the client sends behind its last request must not cost it the answer: there is no reset.
-void BytesBehindTheLastRequestCostNoAnswer() {
-  ServerWorld w;
-  w.hold = true;
-  Client& client = w.Add("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
-  Until(w.loop, [&] { return w.held.size() == 1; });
-  assert(client.Say(kAsk + kAsk));
-  w.held[0]->Respond(200);
-  w.UntilEnded(client);
-  assert(client.Answers() == 1 && w.asked == 1);
+// What a client sends after its last request must not reset the connection before the response is read.
+void BytesAfterTheLastRequestDoNotResetTheResponse() {
+  ServerFixture fixture;
+  fixture.hold_requests = true;
+  Client& client = fixture.Connect("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
+  Until(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
+  assert(client.Send(kRequest + kRequest));
+  fixture.held_exchanges[0]->Respond(200);
+  fixture.WaitForEnd(client);
+  assert(client.ResponseCount() == 1 && fixture.request_count == 1);
 }
 
-// It has gone, in order or by a reset, when its answer is given: known as gone, and nothing is left of it.
-void AClientThatGoesAsItIsAnswered() {
-  for (const bool reset : {false, true}) {
-    ServerWorld w;
-    w.hold = true;
-    Client& client = w.Add(kAsk);
-    Until(w.loop, [&] { return w.held.size() == 1; });
-    if (reset) client.Reset();
-    if (!reset) w.clients.clear();
-    w.held[0]->Respond(200, std::string(100, 'x'));  // before the loop has told of it
-    Until(w.loop, [&] { return w.server.connections() == 0; });
-    assert(!w.held[0]->Respond(200));
+// It has left, in order or by a reset, when its response is given: the exchange knows, and nothing is
+// left.
+void AClientThatLeavesAsItIsAnswered() {
+  for (const bool resets : {false, true}) {
+    ServerFixture fixture;
+    fixture.hold_requests = true;
+    Client& client = fixture.Connect(kRequest);
+    Until(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
+    if (resets) client.Reset();
+    if (!resets) fixture.clients.clear();
+    fixture.held_exchanges[0]->Respond(200, std::string(100, 'x'));  // before the server knows
+    Until(fixture.loop, [&] { return fixture.server.connections() == 0; });
+    assert(!fixture.held_exchanges[0]->Respond(200));
   }
 }
 
-// Half a request is answered as such once its time is over; what comes after that is not read as another one.
-void HalfARequestIsToldSo() {
-  ServerWorld w;
-  Client& client = w.Answered();
-  assert(client.Say(kAsk.substr(0, 10)));
-  Until(w.loop, [&] { return client.Answers() == 2; });
-  assert(client.Got().find("HTTP/1.1 408 ") != std::string::npos);
-  client.Say(kAsk);
-  w.UntilEnded(client);
-  assert(w.asked == 1);
+// What comes after the timeout is not read as another request.
+void AnIncompleteRequestTimesOutWith408() {
+  ServerFixture fixture;
+  Client& client = fixture.ConnectAnswered();
+  assert(client.Send(kRequest.substr(0, 10)));
+  Until(fixture.loop, [&] { return client.ResponseCount() == 2; });
+  assert(client.Received().find("HTTP/1.1 408 ") != std::string::npos);
+  client.Send(kRequest);
+  fixture.WaitForEnd(client);
+  assert(fixture.request_count == 1);
 }
 
-// SIGTERM to a whole dispatcher: a client that rests, one amid a request, one unread, one in the listener's
-// queue and a partner that hangs. Every request that was read is answered, and it is over in time.
-void ShutdownAnswersAllThatHasCome() {
-  World w;
-  w.endpoints[0]->otherwise = 0;
-  w.Start();
+// SIGTERM to a whole dispatcher with an idle client, one in the middle of a request, one unread, one in the
+// listener's queue and an endpoint that hangs. Every request that was read is answered, in time.
+void ShutdownAnswersEveryRequestReceived() {
+  World world;
+  world.endpoints[0]->otherwise = 0;
+  world.Start();
   const auto message = [](const std::string& id) {
     return "POST /aviso HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id +
            "\r\nX-Class: aviso\r\nX-Deadline: 9000m\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nok";
   };
-  Client rests(w.dispatcher->port()), half(w.dispatcher->port()), unread(w.dispatcher->port());
-  assert(rests.Say(message("rests")) && half.Say(message("half").substr(0, 40)) &&
-         unread.Say(message("first")));
-  Until(w.loop, [&] { return rests.Answers() == 1 && unread.Answers() == 1 && w.Calls() == 2; });
-  assert(unread.Say(message("unread")));
-  Client queued(w.dispatcher->port());
-  assert(queued.Say(message("queued")));
+  Client idle(world.dispatcher->port()), half(world.dispatcher->port()), unread(world.dispatcher->port());
+  assert(idle.Send(message("idle")) && half.Send(message("half").substr(0, 40)) &&
+         unread.Send(message("first")));
+  Until(world.loop,
+        [&] { return idle.ResponseCount() == 1 && unread.ResponseCount() == 1 && world.Calls() == 2; });
+  assert(unread.Send(message("unread")));
+  Client queued(world.dispatcher->port());
+  assert(queued.Send(message("queued")));
   const auto begun = std::chrono::steady_clock::now();
-  w.dispatcher->Shutdown();
-  assert(half.Say(message("half").substr(40)) && rests.Say(message("late")));
-  event_base_dispatch(w.loop.base());
+  world.dispatcher->Shutdown();
+  assert(half.Send(message("half").substr(40)) && idle.Send(message("late")));
+  event_base_dispatch(world.loop.base());
   assert(std::chrono::steady_clock::now() - begun < 3700ms);
-  w.Kill();
-  for (Client* client : {&rests, &half, &unread, &queued}) {
-    client->Got();
-    assert(client->ended && !client->reset);
+  world.Kill();
+  for (Client* client : {&idle, &half, &unread, &queued}) {
+    client->Received();
+    assert(client->has_ended && !client->was_reset);
   }
-  assert(rests.Answers() == 1 && w.CallsOf("late") == 0);  // it came after the end: not read
-  assert(half.Answers() == 1 && unread.Answers() == 2 && queued.Answers() == 1);
-  w.endpoints[0]->Release();
-  w.Start();  // what was taken on is in the journal
-  Until(w.loop, [&] { return w.CallsOf("half") > 0 && w.CallsOf("unread") > 0 && w.CallsOf("queued") > 0; });
+  assert(idle.ResponseCount() == 1 && world.CallsOf("late") == 0);  // it came after the end, unread
+  assert(half.ResponseCount() == 1 && unread.ResponseCount() == 2 && queued.ResponseCount() == 1);
+  world.endpoints[0]->Release();
+  world.Start();  // accepted messages are in the journal
+  Until(world.loop, [&] {
+    return world.CallsOf("half") > 0 && world.CallsOf("unread") > 0 && world.CallsOf("queued") > 0;
+  });
 }
 
 }  // namespace
@@ -229,14 +226,14 @@
 int main() {
   using namespace sagetally;
   std::signal(SIGPIPE, SIG_IGN);
-  AnAnswerNotYetWrittenIsNotClosedUpon();
+  AResponseNotYetWrittenSurvivesTheShutdown();
   AnUnreadRequestIsAnsweredAtShutdown();
-  ARequestThatCrossesTheShutdownIsNotCarriedOut();
-  AnIdleConnectionEndsInOrder();
+  ARequestSentAfterTheShutdownIsNotHandled();
+  AnIdleConnectionEndsWithoutAReset();
   TheQueueOfAClosingListenerIsServed();
-  BytesBehindTheLastRequestCostNoAnswer();
-  AClientThatGoesAsItIsAnswered();
-  HalfARequestIsToldSo();
-  ShutdownAnswersAllThatHasCome();
+  BytesAfterTheLastRequestDoNotResetTheResponse();
+  AClientThatLeavesAsItIsAnswered();
+  AnIncompleteRequestTimesOutWith408();
+  ShutdownAnswersEveryRequestReceived();
   std::puts("9 passed, 0 failed");
 }
