--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -32,8 +32,9 @@
   if (config.peer_listen.empty()) return;
   socket_ = std::move(inherited);
   const bool is_inherited = socket_.get() >= 0;
-  if (!is_inherited)
+  if (!is_inherited) {
     socket_ = FileDescriptor(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  }
   const sockaddr_in own = ParseSocketAddress(config.peer_listen);
   if (!is_inherited && ::bind(socket_.get(), reinterpret_cast<const sockaddr*>(&own), sizeof own) != 0) {
     throw ListenError("can't listen on peer_listen " + config.peer_listen, config.peer_listen, errno);
--- a/tests/net/discovery_races_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -86,8 +86,9 @@
   }
   Until(loop,
         [&] { return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); }); });
-  for (const auto& fixture : all)
+  for (const auto& fixture : all) {
     assert(fixture->updated_at - fixture->silent_at < 8s && fixture->requests.size() <= 4);
+  }
 }
 
 // Discovery is down, then back: whomever it has rejected for long asks again in time, in a small fleet and in
@@ -144,8 +145,9 @@
     each->respond = [](loadtest::Call& call) { call.StartChunks(); };
   Until(loop, [&] { return !pushed.requests.empty() && !polled.requests.empty(); });
   RunFor(loop, 2500ms);  // longer than a request may stay without a response
-  for (WatcherFixture* each : {&pushed, &polled})
+  for (WatcherFixture* each : {&pushed, &polled}) {
     assert(each->requests.size() == 1 && each->last_request().Chunk("\n"));
+  }
 }
 
 // A malformed list is one log line and a new watch after the known revision, whose response brings what was
