--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -8,8 +8,8 @@
 #include <algorithm>
 #include <cerrno>
 #include <chrono>
-#include <compare>
 #include <optional>
+#include <tuple>
 #include <utility>
 
 #include "net/listen_error.h"
@@ -38,9 +38,12 @@
   enum class Rank { kNeverUsed, kIdle, kInFirstRequest, kInLaterRequest };
   Rank rank = Rank::kNeverUsed;
   std::chrono::steady_clock::time_point last_received_at;
-  auto operator<=>(const EvictionOrder&) const = default;
 };
 
+bool ComesBefore(const EvictionOrder& one, const EvictionOrder& other) {
+  return std::tie(one.rank, one.last_received_at) < std::tie(other.rank, other.last_received_at);
+}
+
 EvictionOrder::Rank EvictionRankOf(const ServerConnection& client,
                                    std::chrono::steady_clock::time_point now) {
   if (client.IsAwaitingFirstRequest() && client.last_received_at() + kExpectedFirstBytes < now) {
@@ -122,7 +125,7 @@
   for (const auto& [client, owned] : clients_) {
     if (client->open_exchange()) continue;
     const EvictionOrder order{EvictionRankOf(*client, now), client->last_received_at()};
-    if (first != nullptr && order >= first_order) continue;
+    if (first != nullptr && !ComesBefore(order, first_order)) continue;
     if ((client->IsAwaitingFirstRequest() || client->IsIdle()) && client->HasUnreadBytes()) continue;
     first = client;
     first_order = order;
