--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -8,8 +8,8 @@
 #include <algorithm>
 #include <cerrno>
 #include <chrono>
-#include <compare>
 #include <optional>
+#include <tuple>
 #include <utility>
 
 #include "net/listen_error.h"
@@ -24,6 +24,8 @@
 constexpr auto kExpectedFirstBytes = std::chrono::milliseconds(100);
 // How long accepting pauses when no descriptor is free.
 constexpr Duration kAcceptPause = std::chrono::milliseconds(50);
+constexpr unsigned kListenerFlags =
+    LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT;
 
 bool ListensAt(const FileDescriptor& listener, const sockaddr_in& wanted) {
   const std::optional<sockaddr_in> actual = LocalAddress(listener.get());
@@ -36,9 +38,12 @@
   enum class Rank { kNeverUsed, kIdle, kInFirstRequest, kInLaterRequest };
   Rank rank = Rank::kNeverUsed;
   std::chrono::steady_clock::time_point last_received_at;
-  auto operator<=>(const EvictionOrder&) const = default;
 };
 
+bool ComesBefore(const EvictionOrder& one, const EvictionOrder& other) {
+  return std::tie(one.rank, one.last_received_at) < std::tie(other.rank, other.last_received_at);
+}
+
 EvictionOrder::Rank EvictionRankOf(const ServerConnection& client,
                                    std::chrono::steady_clock::time_point now) {
   if (client.IsAwaitingFirstRequest() && client.last_received_at() + kExpectedFirstBytes < now) {
@@ -69,16 +74,15 @@
 HttpServer::~HttpServer() = default;
 
 EventListenerPtr HttpServer::OpenListener(const Address& address, FileDescriptor inherited) {
-  constexpr unsigned kFlags =
-      LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT;
   EventListenerPtr listener;
   errno = 0;
   if (const std::optional<sockaddr_in> wanted = ToSocketAddress(address)) {
     if (ListensAt(inherited, *wanted)) {
-      listener.reset(evconnlistener_new(loop_.base(), OnAccepted, this, kFlags, SOMAXCONN, inherited.get()));
+      listener.reset(
+          evconnlistener_new(loop_.base(), OnAccepted, this, kListenerFlags, SOMAXCONN, inherited.get()));
       if (listener) inherited.Release();
     } else {
-      listener.reset(evconnlistener_new_bind(loop_.base(), OnAccepted, this, kFlags, SOMAXCONN,
+      listener.reset(evconnlistener_new_bind(loop_.base(), OnAccepted, this, kListenerFlags, SOMAXCONN,
                                              reinterpret_cast<const sockaddr*>(&*wanted), sizeof *wanted));
     }
   }
@@ -121,7 +125,7 @@
   for (const auto& [client, owned] : clients_) {
     if (client->open_exchange()) continue;
     const EvictionOrder order{EvictionRankOf(*client, now), client->last_received_at()};
-    if (first != nullptr && order >= first_order) continue;
+    if (first != nullptr && !ComesBefore(order, first_order)) continue;
     if ((client->IsAwaitingFirstRequest() || client->IsIdle()) && client->HasUnreadBytes()) continue;
     first = client;
     first_order = order;
