--- a/src/core/message_table.cpp
+++ b/src/core/message_table.cpp
@@ -27,7 +27,7 @@
   numbers_by_key_[DeduplicationKey(message.request)] = number;
   if (IsPending(message)) ++pending_count_;
   Message& added = messages_.insert_or_assign(number, std::move(message)).first->second;
-  // Rejected events come here only from a journal; they age like the others.
+  // Only the journal's replay adds ended messages.
   if (!IsPending(added) && !added.dead_letter_pending) Retain(added);
   return added;
 }
--- a/src/pipeline/admission_controller.cpp
+++ b/src/pipeline/admission_controller.cpp
@@ -11,15 +11,21 @@
 // this process is draining or shutting down.
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
+// Reasons as clients get them, in the response's body.
+constexpr char kDrainingReason[] = "draining";
+constexpr char kTableFullReason[] = "all places are taken";
+constexpr char kDiskFullReason[] = "no room on disk";
+constexpr char kShedReason[] = "no room";
+
 }  // namespace
 
 void AdmissionController::Accept(std::vector<Request> requests, AdmissionCallback respond) {
   if (!IsAccepting()) {
-    Reject(requests, respond, {AdmissionStatus::kShuttingDown, kRetryAfter, "draining"});
+    Reject(requests, respond, {AdmissionStatus::kShuttingDown, kRetryAfter, kDrainingReason});
     return;
   }
   if (!HasCapacityFor(requests.size())) {
-    Reject(requests, respond, {AdmissionStatus::kRejected, Duration(0), "all places are taken"});
+    Reject(requests, respond, {AdmissionStatus::kRejected, Duration(0), kTableFullReason});
     return;
   }
   const std::vector<const Message*> messages = AddMessages(std::move(requests));
@@ -69,7 +75,7 @@
     if (metrics_ != nullptr) metrics_->RecordRejection(message->request.message_class);
   }
   for (const Message* message : messages) messages_.Remove(message->number);
-  respond({AdmissionStatus::kRejected, kRetryAfter, "no room on disk"});
+  respond({AdmissionStatus::kRejected, kRetryAfter, kDiskFullReason});
 }
 
 void AdmissionController::Reject(const std::vector<Request>& requests, const AdmissionCallback& respond,
@@ -126,7 +132,7 @@
   AdmissionResult result;
   ClientKnowledge knowledge = ClientKnowledge::kAccepted;
   if (const Message* shed = FindShedMessage(client)) {
-    result = {AdmissionStatus::kRejected, shed->retry_after, "no room"};
+    result = {AdmissionStatus::kRejected, shed->retry_after, kShedReason};
     knowledge = ClientKnowledge::kRejected;
   }
   if (!client.respond(result)) knowledge = ClientKnowledge::kDisconnected;
--- a/src/pipeline/request_validator.cpp
+++ b/src/pipeline/request_validator.cpp
@@ -11,6 +11,10 @@
 // Stated to the client of a message whose dead letter is being redriven.
 constexpr Duration kRetryAfterRedrive = std::chrono::seconds(1);
 
+// Reasons as clients get them, in the response's body.
+constexpr char kUnknownDestinationReason[] = "no endpoint of this destination is known";
+constexpr char kRedriveReason[] = "a kept copy of it is being sent again";
+
 }  // namespace
 
 std::string_view DescribeRequestError(RequestError error) {
@@ -67,13 +71,11 @@
   // Messages that can't be sent would use up the capacity. The endpoint list may only be late, so the client
   // may submit the message again.
   if (!router_.KnowsDestination(request.destination)) {
-    return AdmissionResult{AdmissionStatus::kRejected, Duration(0),
-                           "no endpoint of this destination is known"};
+    return AdmissionResult{AdmissionStatus::kRejected, Duration(0), kUnknownDestinationReason};
   }
   // A second copy beside the one that is redriven could take effect twice.
   if (dead_letters_ != nullptr && dead_letters_->IsBeingRedriven(request)) {
-    return AdmissionResult{AdmissionStatus::kRejected, kRetryAfterRedrive,
-                           "a kept copy of it is being sent again"};
+    return AdmissionResult{AdmissionStatus::kRejected, kRetryAfterRedrive, kRedriveReason};
   }
   return std::nullopt;
 }
--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -2,7 +2,7 @@
 // each end moves exactly one count, in the process in which it happens.
 #include <set>
 
-#include "../journal/whole_node.h"
+#include "../pipeline/pipeline_node.h"
 
 namespace sagetally {
 namespace {
--- a/tests/handover/state_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -1,166 +1,208 @@
-// What is handed over, and what a new module learns from it, without I/O.
-#undef NDEBUG
-#include <cassert>
-#include <cstdio>
+// What a process hands over, and what the dispatch policy of the next one learns from it. No I/O.
+#include <gtest/gtest.h>
 
 #include "../app/node.h"
+#include "core/attempt_history.h"
+#include "core/policy_message_id.h"
 #include "handover/handover_state.h"
 #include "handover/state_replay.h"
-#include "pipeline/router.h"
 
 namespace sagetally {
 namespace {
 
-CompletedAttempt Past(Time sent, Time ended, Outcome outcome, Duration wait = 0s,
-                      const std::string& endpoint = "e1") {
-  CompletedAttempt a;
-  a.sent_at = sent;
-  a.completed_at = ended;
-  a.deadline = sent + 20s;
-  a.destination = 1;
-  a.attempts = 1;
-  a.endpoint = endpoint;
-  a.outcome = outcome;
-  a.retry_after = wait;
-  return a;
+CompletedAttempt MakeAttempt(Time sent_at, Time completed_at, Outcome outcome, Duration retry_after = 0s) {
+  CompletedAttempt attempt;
+  attempt.sent_at = sent_at;
+  attempt.completed_at = completed_at;
+  attempt.deadline = sent_at + 20s;
+  attempt.destination = 1;
+  attempt.attempts = 1;
+  attempt.endpoint = "e1";
+  attempt.outcome = outcome;
+  attempt.retry_after = retry_after;
+  return attempt;
 }
 
-HandoverState Sample() {
-  HandoverState s;
-  s.now = {100s, 50s, 9};
-  s.classes = {"safe", "keyed", "unsafe"};
-  s.revision = 41;
-  EndpointUpdate news;
-  news.record = At("e1", 0, 1, 10);
-  news.address = "127.0.0.1:1";
-  s.endpoints = {news};
-  s.recent_attempts = {Past(98s, 99s, Outcome::kRejected, 3s)};
-  s.recent_attempts[0].load_report = {0.5, 25};
-  s.in_flight_calls = {{7, "e1", 99s, Time(97s), "e2"}, {8, "e1", 99s, {}, ""}};
-  return s;
+// One endpoint, which rejected a call at 99 s and asked for 3 s without any; it is 100 s now.
+HandoverState MakeState() {
+  HandoverState state;
+  state.now = {100s, 50s, 9};
+  state.classes = {"safe", "keyed", "unsafe"};
+  state.revision = 41;
+  EndpointUpdate endpoint;
+  endpoint.record = At("e1", 0, 1, 10);
+  endpoint.address = "127.0.0.1:1";
+  state.endpoints = {endpoint};
+  state.recent_attempts = {MakeAttempt(98s, 99s, Outcome::kRejected, 3s)};
+  state.recent_attempts[0].load_report = {0.5, 25};
+  state.in_flight_calls = {{7, "e1", 99s, Time(97s), "e2"}, {8, "e1", 99s, {}, ""}};
+  return state;
 }
 
-void StateComesThroughOrNotAtAll() {
-  const HandoverState s = Sample();
-  const std::string bytes = EncodeHandoverState(s);
-  const auto read = DecodeHandoverState(bytes);
-  assert(read && read->now == s.now && read->classes == s.classes && read->revision == 41);
-  assert(EncodeHandoverState(*read) == bytes && read->recent_attempts.size() == 1 &&
-         read->in_flight_calls.size() == 2);
-  assert(read->endpoints[0].address == "127.0.0.1:1" && read->endpoints[0].record.rate == 10);
-  for (std::size_t cut = 0; cut < bytes.size(); ++cut) assert(!DecodeHandoverState(bytes.substr(0, cut)));
-  assert(!DecodeHandoverState(bytes + "x") && !DecodeHandoverState("\x63" + bytes.substr(1)));
-  CallResult r;
-  r.number = 7;
-  r.outcome = Outcome::kRejected;
-  r.retry_after = 5ms;
-  const std::string result = EncodeCallResult(r);
-  const auto back = DecodeCallResult(result);
-  assert(back && back->number == 7 && back->outcome == Outcome::kRejected && back->retry_after == 5ms);
-  assert(!DecodeCallResult(result.substr(1)) && !DecodeCallResult(result + "x"));
-  std::string wrong = result;
-  wrong[8] = 99;  // no such outcome
-  assert(!DecodeCallResult(wrong));
+HandoverState MakeStateWithoutAttempts() {
+  HandoverState state = MakeState();
+  state.recent_attempts.clear();
+  return state;
 }
 
-void MemoryHoldsAMinuteAndNotWithoutEnd() {
-  AttemptHistory memory;
-  for (int i = 0; i < 10'000; ++i) memory.Add(Past(i * 1ms, i * 1ms, Outcome::kOk));
-  assert(memory.size() == AttemptHistory::kMaxAttempts);
-  memory.Add(Past(200s, 200s, Outcome::kOk));
-  assert(memory.size() == 1);
+TEST(HandoverStateCodec, RoundTrips) {
+  const HandoverState state = MakeState();
+  const std::string bytes = EncodeHandoverState(state);
+  const auto decoded = DecodeHandoverState(bytes);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->now, state.now);
+  EXPECT_EQ(decoded->classes, state.classes);
+  EXPECT_EQ(decoded->revision, 41);
+  EXPECT_EQ(decoded->recent_attempts.size(), 1U);
+  EXPECT_EQ(decoded->in_flight_calls.size(), 2U);
+  ASSERT_EQ(decoded->endpoints.size(), 1U);
+  EXPECT_EQ(decoded->endpoints[0].address, "127.0.0.1:1");
+  EXPECT_EQ(decoded->endpoints[0].record.rate, 10);
+  EXPECT_EQ(EncodeHandoverState(*decoded), bytes);
 }
 
-// A module that has heard what one before it learnt.
-struct Heir {
-  explicit Heir(const HandoverState& state, const MessageTable& ledger = MessageTable())
-      : sender(SmallSettings(), 3) {
-    ReplayHandoverState(state, {"safe", "keyed", "unsafe"}, 3, ledger,
-                        [&](Time at, const std::vector<Event>& events) {
-                          assert(at >= last && at <= state.now.wall_time);
-                          last = at;
-                          Step(at, events);
+TEST(HandoverStateCodec, RejectsMalformedBytes) {
+  const std::string bytes = EncodeHandoverState(MakeState());
+  for (std::size_t length = 0; length < bytes.size(); ++length) {
+    EXPECT_FALSE(DecodeHandoverState(bytes.substr(0, length))) << "cut to " << length << " bytes";
+  }
+  EXPECT_FALSE(DecodeHandoverState(bytes + "x"));
+  EXPECT_FALSE(DecodeHandoverState("\x63" + bytes.substr(1))) << "another version";
+}
+
+class CallResultCodec : public testing::Test {
+ protected:
+  CallResultCodec() {
+    result_.number = 7;
+    result_.outcome = Outcome::kRejected;
+    result_.retry_after = 5ms;
+  }
+  CallResult result_;
+};
+
+TEST_F(CallResultCodec, RoundTrips) {
+  const auto decoded = DecodeCallResult(EncodeCallResult(result_));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->number, 7U);
+  EXPECT_EQ(decoded->outcome, Outcome::kRejected);
+  EXPECT_EQ(decoded->retry_after, 5ms);
+}
+
+TEST_F(CallResultCodec, RejectsMalformedBytes) {
+  const std::string bytes = EncodeCallResult(result_);
+  EXPECT_FALSE(DecodeCallResult(bytes.substr(1)));
+  EXPECT_FALSE(DecodeCallResult(bytes + "x"));
+  std::string unknown_outcome = bytes;
+  unknown_outcome[sizeof(std::uint64_t)] = 99;
+  EXPECT_FALSE(DecodeCallResult(unknown_outcome));
+}
+
+TEST(AttemptHistory, KeepsOneMinuteAndABoundedCount) {
+  AttemptHistory history;
+  for (int i = 0; i < 10'000; ++i) history.Add(MakeAttempt(i * 1ms, i * 1ms, Outcome::kOk));
+  EXPECT_EQ(history.size(), AttemptHistory::kMaxAttempts);
+  history.Add(MakeAttempt(200s, 200s, Outcome::kOk));
+  EXPECT_EQ(history.size(), 1U);
+}
+
+// A dispatch policy after the replay of a handover state.
+class SuccessorPolicy {
+ public:
+  explicit SuccessorPolicy(const HandoverState& state, const MessageTable& messages = MessageTable())
+      : policy_(SmallSettings(), /*seed=*/3) {
+    Time last{0};
+    ReplayHandoverState(state, {"safe", "keyed", "unsafe"}, /*kind_count=*/3, messages,
+                        [&](Time now, const std::vector<Event>& events) {
+                          EXPECT_GE(now, last);
+                          EXPECT_LE(now, state.now.wall_time);
+                          last = now;
+                          Process(now, events);
                         });
   }
-  std::vector<std::string> Step(Time at, const std::vector<Event>& events) {
+  // Returns the ids of the messages that are sent.
+  std::vector<std::string> Process(Time now, const std::vector<Event>& events) {
     std::vector<Action> actions;
-    sender.Process(at, events, actions);
+    policy_.Process(now, events, actions);
     std::vector<std::string> sent;
-    for (const Action& a : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&a)) sent.push_back(send->id);
+    for (const Action& action : actions) {
+      if (const auto* attempt = std::get_if<StartAttempt>(&action)) sent.push_back(attempt->id);
     }
     return sent;
   }
-  DispatchPolicy sender;
-  Time last{0};
+  int AvoidedEndpointCount() const { return policy_.AvoidedEndpointCount(); }
+
+ private:
+  DispatchPolicy policy_;
 };
 
-void AWaitToldBeforeIsHeeded() {
-  Heir heir(Sample());  // told at 99 s to wait for 3 s
-  assert(heir.Step(100s, {Node::Taken("m")}).empty());
-  assert(heir.Step(101s + 900ms, {TimerFired{}}).empty());
-  assert(heir.Step(102s + 100ms, {TimerFired{}}) == std::vector<std::string>{"m"});
-  HandoverState free = Sample();
-  free.recent_attempts.clear();
-  Heir other(free);  // the case can fail: without that attempt it goes at once
-  assert(other.Step(100s, {Node::Taken("m")}) == std::vector<std::string>{"m"});
+const std::vector<std::string> kOnlyM = {"m"};
+
+TEST(StateReplay, RetryAfterStatedBeforeTheHandoverIsRespected) {
+  SuccessorPolicy policy(MakeState());
+  EXPECT_TRUE(policy.Process(100s, {Node::Taken("m")}).empty());
+  EXPECT_TRUE(policy.Process(101s + 900ms, {TimerFired{}}).empty());
+  EXPECT_EQ(policy.Process(102s + 100ms, {TimerFired{}}), kOnlyM);
+}
+
+TEST(StateReplay, MessageIsSentAtOnceWithoutAttemptsBeforeTheHandover) {
+  SuccessorPolicy policy(MakeStateWithoutAttempts());
+  EXPECT_EQ(policy.Process(100s, {Node::Taken("m")}), kOnlyM);
 }
 
-void AnOutageSeenBeforeIsKnown() {
-  HandoverState s = Sample();
-  s.recent_attempts.clear();
-  for (int i = 0; i < 10; ++i)
-    s.recent_attempts.push_back(Past(90s + i * 1s, 90s + i * 1s + 10ms, Outcome::kTimeout));
-  Heir heir(s);
-  assert(heir.sender.AvoidedEndpointCount() == 1);
-  // Nothing unsafe goes to a suspect.
-  assert(heir.Step(100s, {Node::Taken("m", kUnsafeClass)}).empty());
+TEST(StateReplay, OutlierSeenBeforeTheHandoverIsAvoided) {
+  HandoverState state = MakeStateWithoutAttempts();
+  for (int i = 0; i < 10; ++i) {
+    const Time sent_at = 90s + i * 1s;
+    state.recent_attempts.push_back(MakeAttempt(sent_at, sent_at + 10ms, Outcome::kTimeout));
+  }
+  SuccessorPolicy policy(state);
+  EXPECT_EQ(policy.AvoidedEndpointCount(), 1);
+  EXPECT_TRUE(policy.Process(100s, {Node::Taken("m", kUnsafeClass)}).empty())
+      << "an outlier gets no messages that can't be retried";
 }
 
-void CallsThatAreOutHoldTheirSlotsUntilTheyComeBack() {
-  HandoverState s = Sample();
-  s.recent_attempts.clear();
-  MessageTable ledger;
-  for (int i = 0; i < 8; ++i) {  // all slots of SmallSettings
-    Message m;
-    m.request.id = "out" + std::to_string(i);
-    m.request.destination = 1;
-    m.deadline = 110s;
-    m.attempts = 2;
-    m.is_in_flight = true;
-    m.in_flight_since = 99s;
-    m.in_flight_endpoint = i == 7 ? "gone" : "e1";  // one to an endpoint that the list has lost
-    ledger.Add(std::move(m));
+// Eight calls in flight, as many as SmallSettings() allows; the last one to an endpoint that has left the
+// list.
+class InFlightReplay : public testing::Test {
+ protected:
+  static constexpr int kCalls = 8;
+
+  InFlightReplay() {
+    for (int i = 0; i < kCalls; ++i) {
+      Message message;
+      message.request.id = "out" + std::to_string(i);
+      message.request.destination = 1;
+      message.deadline = 110s;
+      message.attempts = 2;
+      message.is_in_flight = true;
+      message.in_flight_since = 99s;
+      message.in_flight_endpoint = i == kCalls - 1 ? "gone" : "e1";
+      messages_.Add(std::move(message));
+    }
   }
-  Heir heir(s, ledger);
-  assert(heir.Step(100s, {Node::Taken("m")}).empty());
-  AttemptCompleted e;
-  e.id = PolicyMessageId(8);
-  e.attempt = 1;
-  e.message_ended = true;
-  assert(heir.Step(100s + 1ms, {e}) == std::vector<std::string>{"m"});
-  for (std::uint64_t number = 2; number <= 7; ++number) {
-    e.id = PolicyMessageId(number);
-    heir.Step(100s + 1ms, {e});
+  static AttemptCompleted Completed(std::uint64_t number) {
+    AttemptCompleted event;
+    event.id = PolicyMessageId(number);
+    event.attempt = 1;
+    event.message_ended = true;
+    return event;
   }
-  // One that failed is sent again by the module that inherited it, on its third attempt of six.
-  e.id = PolicyMessageId(1);
-  e.message_ended = false;
-  e.outcome = Outcome::kConnectFailed;
-  std::vector<std::string> sent = heir.Step(100s + 2ms, {e});
-  for (int i = 0; i < 40 && sent.empty(); ++i) sent = heir.Step(101s + i * 100ms, {TimerFired{}});
-  assert(sent == std::vector<std::string>{PolicyMessageId(1)});
+  MessageTable messages_;
+};
+
+TEST_F(InFlightReplay, CallsCountAgainstTheLimitUntilTheyCompleteAndFailedOnesAreRetried) {
+  SuccessorPolicy policy(MakeStateWithoutAttempts(), messages_);
+  EXPECT_TRUE(policy.Process(100s, {Node::Taken("m")}).empty());
+  EXPECT_EQ(policy.Process(100s + 1ms, {Completed(8)}), kOnlyM);
+  for (std::uint64_t number = 2; number <= 7; ++number) policy.Process(100s + 1ms, {Completed(number)});
+
+  AttemptCompleted failed = Completed(1);
+  failed.message_ended = false;
+  failed.outcome = Outcome::kConnectFailed;
+  std::vector<std::string> sent = policy.Process(100s + 2ms, {failed});
+  for (int i = 0; i < 40 && sent.empty(); ++i) sent = policy.Process(101s + i * 100ms, {TimerFired{}});
+  EXPECT_EQ(sent, std::vector<std::string>{PolicyMessageId(1)}) << "on its third attempt of six";
 }
 
 }  // namespace
 }  // namespace sagetally
-
-int main() {
-  using namespace sagetally;
-  StateComesThroughOrNotAtAll();
-  MemoryHoldsAMinuteAndNotWithoutEnd();
-  AWaitToldBeforeIsHeeded();
-  AnOutageSeenBeforeIsKnown();
-  CallsThatAreOutHoldTheirSlotsUntilTheyComeBack();
-  std::puts("5 passed, 0 failed");
-}
--- a/tests/pipeline/durability_test.cpp
+++ b/tests/pipeline/durability_test.cpp
@@ -1,114 +1,132 @@
-// The real stages over a journal whose disk fills up or takes its time: nothing follows from what is not on
-// record.
-#include "whole_node.h"
+// The pipeline over a journal whose disk fills up or is slow: no response, call or notification goes out
+// before its record is durable.
+#include <gtest/gtest.h>
+
+#include "pipeline_node.h"
 
 namespace sagetally {
 namespace {
 
+constexpr int kAviso = 0;
 constexpr int kPagamento = 2;
 
-// The disk fills up just as a pagamento's attempt is to go on record: it is not called, new ones are refused,
-// and all of it goes on by itself once there is room.
-void AFullDiskHoldsBackTheCall() {
-  const Config config = OneEndpoint();
-  FaultInjectingFileSystem disk;
-  TestClock clock;
-  Whole node(disk, clock, config, SmallJournal());
-  bool full = false;
+class DurabilityTest : public testing::Test {
+ protected:
+  std::unique_ptr<Whole> MakeNode(const JournalSettings& settings = SmallJournal()) {
+    return std::make_unique<Whole>(files_, clock_, config_, settings);
+  }
+  const Message& MessageOf(Whole& node, const CallRequest& call) { return *node.ledger.Find(call.number); }
+
+  const Config config_ = OneEndpoint();
+  FaultInjectingFileSystem files_;
+  TestClock clock_;
+};
+
+// The disk fills up when the message is on record and its attempt is not.
+TEST_F(DurabilityTest, FullDiskDelaysTheCallAndRejectsNewMessagesUntilThereIsSpace) {
+  const std::unique_ptr<Whole> node = MakeNode();
+  bool is_full = true;
   int appends = 0;
-  disk.plan = [&](std::uint64_t, std::string_view what) {
-    const bool fails = full && what == "append" && ++appends > 1;  // its taking still found room
+  files_.plan = [&](std::uint64_t, std::string_view operation) {
+    const bool fails = is_full && operation == "append" && ++appends > 1;
     return Step{fails ? Fault::kError : Fault::kNone, ENOSPC};
   };
-  full = true;
-  node.Post(kPagamento, "p");
-  assert(node.calls.empty() && !node.journal.is_writable() && node.ledger.pending_count() == 1);
-  node.Post(kPagamento, "later");
-  assert(node.answers.at("later").status == AdmissionStatus::kRejected);
-  assert(node.answers.at("later").retry_after == std::chrono::seconds(1));
-  node.Pass(std::chrono::seconds(2));
-  assert(node.calls.empty() && node.told.empty());
-  full = false;
-  node.Pass(std::chrono::seconds(4));
-  assert(node.journal.is_writable() && node.calls.size() == 1 &&
-         node.answers.at("p").status == AdmissionStatus::kAccepted);
-  assert(node.ledger.Find(node.calls[0].number)->first_uncertain_attempt == std::nullopt);
-  node.Finish(Outcome::kOk);
-  assert(node.ledger.size() == 0);
-  node.Post(kPagamento, "again");
-  assert(node.answers.at("again").status == AdmissionStatus::kAccepted && node.calls.size() == 1);
+  node->Submit(kPagamento, "p");
+  EXPECT_TRUE(node->calls.empty());
+  EXPECT_FALSE(node->journal.is_writable());
+  EXPECT_EQ(node->ledger.pending_count(), 1);
+  node->Submit(kPagamento, "later");
+  EXPECT_EQ(node->responses.at("later").status, AdmissionStatus::kRejected);
+  EXPECT_EQ(node->responses.at("later").retry_after, std::chrono::seconds(1));
+  node->Pass(std::chrono::seconds(2));
+  EXPECT_TRUE(node->calls.empty());
+  EXPECT_TRUE(node->told.empty());
+
+  is_full = false;
+  node->Pass(std::chrono::seconds(4));
+  EXPECT_TRUE(node->journal.is_writable());
+  ASSERT_EQ(node->calls.size(), 1U);
+  EXPECT_EQ(node->responses.at("p").status, AdmissionStatus::kAccepted);
+  EXPECT_EQ(MessageOf(*node, node->calls[0]).first_uncertain_attempt, std::nullopt);
+  node->Finish(Outcome::kOk);
+  EXPECT_EQ(node->ledger.size(), 0U);
+  node->Submit(kPagamento, "again");
+  EXPECT_EQ(node->responses.at("again").status, AdmissionStatus::kAccepted);
+  EXPECT_EQ(node->calls.size(), 1U);
 }
 
-// It runs out of time meanwhile: its end is told once it is on record, and once.
-void AnEndIsToldOnceItIsOnRecord() {
-  const Config config = OneEndpoint();
-  FaultInjectingFileSystem disk;
-  TestClock clock;
-  auto node = std::make_unique<Whole>(disk, clock, config, SmallJournal());
-  node->Post(kPagamento, "p");
-  assert(node->calls.size() == 1);
-  disk.plan = [](std::uint64_t, std::string_view what) {
-    return Step{what == "append" ? Fault::kError : Fault::kNone, ENOSPC};
+// The message expires while the disk is full.
+TEST_F(DurabilityTest, ClientIsNotifiedOnceAfterTheCompletionIsRecorded) {
+  std::unique_ptr<Whole> node = MakeNode();
+  node->Submit(kPagamento, "p");
+  ASSERT_EQ(node->calls.size(), 1U);
+  files_.plan = [](std::uint64_t, std::string_view operation) {
+    return Step{operation == "append" ? Fault::kError : Fault::kNone, ENOSPC};
   };
-  node->Finish(Outcome::kReset);  // it may have run: its end is to be told
+  node->Finish(Outcome::kReset);  // may have run, so the client has to be notified
   node->Pass(std::chrono::seconds(9));
-  assert(node->told.empty() && node->ledger.pending_count() == 0 && node->ledger.size() == 1);
-  disk.plan = nullptr;
+  EXPECT_TRUE(node->told.empty());
+  EXPECT_EQ(node->ledger.pending_count(), 0);
+  EXPECT_EQ(node->ledger.size(), 1U);
+
+  files_.plan = nullptr;
   node->Pass(std::chrono::seconds(4));
-  assert(node->told.size() == 1);
-  const std::uint64_t number = node->told.front();
-  node->chain.completion_handler.OnNotificationAcknowledged(number);
-  assert(node->ledger.size() == 0);
+  ASSERT_EQ(node->told.size(), 1U);
+  node->chain.completion_handler.OnNotificationAcknowledged(node->told.front());
+  EXPECT_EQ(node->ledger.size(), 0U);
+
   node.reset();
-  disk.Restart();
-  node = std::make_unique<Whole>(disk, clock, config, SmallJournal());
-  assert(node->ledger.size() == 0);
+  files_.Restart();
+  node = MakeNode();
+  EXPECT_EQ(node->ledger.size(), 0U);
 }
 
-// Synced: answer, call and notice each wait for the disk; other classes don't.
-void WhatIsSyncedWaitsForTheDisk() {
-  const Config config = OneEndpoint();
-  JournalSettings settings = SmallJournal();
-  settings.class_durability[kPagamento] = Durability::kSynced;
-  FaultInjectingFileSystem disk;
-  TestClock clock;
-  Whole node(disk, clock, config, settings);
-  node.Post(0, "a");
-  assert(node.answers.contains("a") && node.calls.size() == 1);
-  node.Post(kPagamento, "p");
-  assert(!node.answers.contains("p") && node.calls.size() == 1);
-  node.Pass(settings.group_commit_delay);
-  assert(node.syncs.size() == 1 && !node.answers.contains("p"));
-  node.FinishSyncs();
-  assert(node.answers.at("p").status == AdmissionStatus::kAccepted && node.calls.size() == 2);
-  node.Finish(Outcome::kOk);
-  node.Finish(Outcome::kReset);
-  node.Pass(std::chrono::milliseconds(1));
-  assert(node.told.empty());
-  node.Pass(settings.group_commit_delay);
-  node.FinishSyncs();
-  assert(node.told.size() == 1);
-  // A disk that takes longer than a choice stays fresh: the call is given back and chosen anew, never sent
-  // late.
-  node.Post(kPagamento, "slow");
-  node.Pass(settings.group_commit_delay);
-  clock.now += std::chrono::milliseconds(80);
-  node.FinishSyncs();
-  assert(node.calls.empty() || node.ledger.Find(node.calls[0].number)->attempts == 2);
-  for (int i = 0; i < 4 && node.calls.empty(); ++i) {
-    node.Pass(std::chrono::milliseconds(20));
-    node.FinishSyncs();
+class SyncedClassTest : public DurabilityTest {
+ protected:
+  SyncedClassTest() { settings_.class_durability[kPagamento] = Durability::kSynced; }
+
+  JournalSettings settings_ = SmallJournal();
+};
+
+TEST_F(SyncedClassTest, ResponseCallAndNotificationWaitForTheDiskAndOtherClassesDoNot) {
+  const std::unique_ptr<Whole> node = MakeNode(settings_);
+  node->Submit(kAviso, "a");
+  EXPECT_TRUE(node->responses.contains("a"));
+  EXPECT_EQ(node->calls.size(), 1U);
+  node->Submit(kPagamento, "p");
+  EXPECT_FALSE(node->responses.contains("p"));
+  EXPECT_EQ(node->calls.size(), 1U);
+
+  node->Pass(settings_.group_commit_delay);
+  EXPECT_EQ(node->syncs.size(), 1U);
+  EXPECT_FALSE(node->responses.contains("p"));
+  node->CompleteSyncs();
+  EXPECT_EQ(node->responses.at("p").status, AdmissionStatus::kAccepted);
+  ASSERT_EQ(node->calls.size(), 2U);
+
+  node->Finish(Outcome::kOk);
+  node->Finish(Outcome::kReset);
+  node->Pass(std::chrono::milliseconds(1));
+  EXPECT_TRUE(node->told.empty());
+  node->Pass(settings_.group_commit_delay);
+  node->CompleteSyncs();
+  EXPECT_EQ(node->told.size(), 1U);
+}
+
+TEST_F(SyncedClassTest, AttemptThatWaitedTooLongForTheDiskIsDecidedAnew) {
+  const std::unique_ptr<Whole> node = MakeNode(settings_);
+  node->Submit(kPagamento, "slow");
+  node->Pass(settings_.group_commit_delay);
+  clock_.now += std::chrono::milliseconds(80);
+  node->CompleteSyncs();
+  EXPECT_TRUE(node->calls.empty() || MessageOf(*node, node->calls[0]).attempts == 2);
+  for (int i = 0; i < 4 && node->calls.empty(); ++i) {
+    node->Pass(std::chrono::milliseconds(20));
+    node->CompleteSyncs();
   }
-  assert(node.calls.size() == 1 && node.ledger.Find(node.calls[0].number)->attempts == 2);
+  ASSERT_EQ(node->calls.size(), 1U);
+  EXPECT_EQ(MessageOf(*node, node->calls[0]).attempts, 2);
 }
 
 }  // namespace
 }  // namespace sagetally
-
-int main() {
-  using namespace sagetally;
-  AFullDiskHoldsBackTheCall();
-  AnEndIsToldOnceItIsOnRecord();
-  WhatIsSyncedWaitsForTheDisk();
-  std::puts("3 passed, 0 failed");
-}
