--- a/tests/handover/golden_test.cpp
+++ b/tests/handover/golden_test.cpp
@@ -8,9 +8,11 @@
 #include <fstream>
 #include <iterator>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <set>
 #include <string>
 #include <string_view>
+#include <vector>
 
 #include "handover/handover_state.h"
 
@@ -104,61 +106,65 @@
           {"calls_out", ToJsonArray(state.in_flight_calls)}};
 }
 
-TEST(HandoverGolden, StateHasTheSameValuesAndBytes) {
-  const std::string bytes = ReadGoldenFile("handover/state");
+void ExpectSameState(const std::string& bytes, const Json& expected) {
   const auto state = DecodeHandoverState(bytes);
   ASSERT_TRUE(state);
-  EXPECT_EQ(ToJson(*state), ReadExpected().at("state"));
+  EXPECT_EQ(ToJson(*state), expected);
   EXPECT_EQ(EncodeHandoverState(*state), bytes);
 }
 
+void ExpectSameCallResult(const std::string& bytes, const Json& expected) {
+  const auto result = DecodeCallResult(bytes);
+  ASSERT_TRUE(result);
+  EXPECT_EQ(ToJson(*result), expected);
+  EXPECT_EQ(EncodeCallResult(*result), bytes);
+}
+
+// The payloads of all datagrams of one kind that the old process sent, in order.
+std::vector<std::string> ReadPayloads(const Json& expected, const std::string& kind) {
+  std::vector<std::string> payloads;
+  for (const Json& datagram : expected.at("from_old_process")) {
+    if (datagram.at("kind") != kind) continue;
+    const std::string bytes = ReadGoldenFile("handover/" + datagram.at("file").get<std::string>());
+    const std::string header = kind + '\0';  // the kind, and that no more of the packet follows
+    EXPECT_TRUE(bytes.starts_with(header)) << datagram;
+    payloads.push_back(bytes.substr(header.size()));
+  }
+  return payloads;
+}
+
+TEST(HandoverGolden, StateHasTheSameValuesAndBytes) {
+  ExpectSameState(ReadGoldenFile("handover/state"), ReadExpected().at("state"));
+}
+
 TEST(HandoverGolden, EveryCallResultHasTheSameValuesAndBytes) {
   const Json expected = ReadExpected().at("results");
   std::set<std::string> outcomes;
   for (const auto& [name, values] : expected.items()) {
     SCOPED_TRACE(name);
-    const std::string bytes = ReadGoldenFile("handover/" + name);
-    const auto result = DecodeCallResult(bytes);
-    ASSERT_TRUE(result);
-    EXPECT_EQ(ToJson(*result), values);
-    EXPECT_EQ(EncodeCallResult(*result), bytes);
+    ExpectSameCallResult(ReadGoldenFile("handover/" + name), values);
     outcomes.insert(values.at("outcome"));
   }
   EXPECT_EQ(outcomes, std::set<std::string>(kOutcomeNames.begin(), kOutcomeNames.end()));
 }
 
-// The state and the results as they crossed the socket, behind the header of their datagram.
-TEST(HandoverGolden, DatagramsCarryTheSameBytes) {
-  constexpr std::size_t kHeaderBytes = 2;  // the kind, and whether more of the packet follows
+TEST(HandoverGolden, DatagramOfTheStateHasTheSameValuesAndBytes) {
   const Json expected = ReadExpected();
-  std::size_t states = 0;
-  std::size_t results = 0;
-  for (const Json& datagram : expected.at("from_old_process")) {
-    const std::string name = datagram.at("file");
+  const std::vector<std::string> states = ReadPayloads(expected, "s");
+  ASSERT_EQ(states.size(), 1U);
+  ExpectSameState(states.front(), expected.at("state"));
+}
+
+// The old process reported one call of each outcome, in the order of their numbers.
+TEST(HandoverGolden, DatagramsOfCallResultsHaveTheSameValuesAndBytes) {
+  const Json expected = ReadExpected();
+  const std::vector<std::string> results = ReadPayloads(expected, "r");
+  ASSERT_EQ(results.size(), kOutcomeNames.size());
+  for (std::size_t i = 0; i < results.size(); ++i) {
+    const std::string name = "result-" + std::string(kOutcomeNames[i]);
     SCOPED_TRACE(name);
-    const std::string kind = datagram.at("kind");
-    if (kind != "s" && kind != "r") continue;
-    const std::string bytes = ReadGoldenFile("handover/" + name);
-    ASSERT_GE(bytes.size(), kHeaderBytes);
-    EXPECT_EQ(bytes.substr(0, kHeaderBytes), kind + '\0');
-    const std::string payload = bytes.substr(kHeaderBytes);
-    if (kind == "s") {
-      const auto state = DecodeHandoverState(payload);
-      ASSERT_TRUE(state);
-      EXPECT_EQ(ToJson(*state), expected.at("state"));
-      EXPECT_EQ(EncodeHandoverState(*state), payload);
-      ++states;
-    } else {
-      const auto result = DecodeCallResult(payload);
-      ASSERT_TRUE(result);
-      const std::string outcome = OutcomeJson(result->outcome);
-      EXPECT_EQ(ToJson(*result), expected.at("results").at("result-" + outcome));
-      EXPECT_EQ(EncodeCallResult(*result), payload);
-      ++results;
-    }
+    ExpectSameCallResult(results[i], expected.at("results").at(name));
   }
-  EXPECT_EQ(states, 1U);
-  EXPECT_EQ(results, kOutcomeNames.size());
 }
 
 }  // namespace
--- a/tests/handover/state_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -70,18 +70,18 @@
   EXPECT_FALSE(DecodeHandoverState("\x63" + bytes.substr(1))) << "another version";
 }
 
-class CallResultCodec : public testing::Test {
- protected:
+struct CallResultCodec : testing::Test {
   CallResultCodec() {
-    result_.number = 7;
-    result_.outcome = Outcome::kRejected;
-    result_.retry_after = 5ms;
+    result.number = 7;
+    result.outcome = Outcome::kRejected;
+    result.retry_after = 5ms;
   }
-  CallResult result_;
+
+  CallResult result;
 };
 
 TEST_F(CallResultCodec, RoundTrips) {
-  const auto decoded = DecodeCallResult(EncodeCallResult(result_));
+  const auto decoded = DecodeCallResult(EncodeCallResult(result));
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->number, 7U);
   EXPECT_EQ(decoded->outcome, Outcome::kRejected);
@@ -89,7 +89,7 @@
 }
 
 TEST_F(CallResultCodec, RejectsMalformedBytes) {
-  const std::string bytes = EncodeCallResult(result_);
+  const std::string bytes = EncodeCallResult(result);
   EXPECT_FALSE(DecodeCallResult(bytes.substr(1)));
   EXPECT_FALSE(DecodeCallResult(bytes + "x"));
   std::string unknown_outcome = bytes;
@@ -163,8 +163,7 @@
 
 // Eight calls in flight, as many as SmallSettings() allows; the last one to an endpoint that has left the
 // list.
-class InFlightReplay : public testing::Test {
- protected:
+struct InFlightReplay : testing::Test {
   static constexpr int kCalls = 8;
 
   InFlightReplay() {
@@ -177,7 +176,7 @@
       message.is_in_flight = true;
       message.in_flight_since = 99s;
       message.in_flight_endpoint = i == kCalls - 1 ? "gone" : "e1";
-      messages_.Add(std::move(message));
+      messages.Add(std::move(message));
     }
   }
   static AttemptCompleted Completed(std::uint64_t number) {
@@ -187,11 +186,12 @@
     event.message_ended = true;
     return event;
   }
-  MessageTable messages_;
+
+  MessageTable messages;
 };
 
 TEST_F(InFlightReplay, CallsCountAgainstTheLimitUntilTheyCompleteAndFailedOnesAreRetried) {
-  SuccessorPolicy policy(MakeStateWithoutAttempts(), messages_);
+  SuccessorPolicy policy(MakeStateWithoutAttempts(), messages);
   EXPECT_TRUE(policy.Process(100s, {Node::Taken("m")}).empty());
   EXPECT_EQ(policy.Process(100s + 1ms, {Completed(8)}), kOnlyM);
   for (std::uint64_t number = 2; number <= 7; ++number) policy.Process(100s + 1ms, {Completed(number)});
--- a/tests/pipeline/durability_test.cpp
+++ b/tests/pipeline/durability_test.cpp
@@ -10,28 +10,35 @@
 constexpr int kAviso = 0;
 constexpr int kPagamento = 2;
 
-class DurabilityTest : public testing::Test {
- protected:
+struct DurabilityTest : testing::Test {
   std::unique_ptr<Whole> MakeNode(const JournalSettings& settings = SmallJournal()) {
-    return std::make_unique<Whole>(files_, clock_, config_, settings);
+    return std::make_unique<Whole>(files, clock, config, settings);
+  }
+  static const Message& MessageOf(Whole& node, const CallRequest& call) {
+    return *node.ledger.Find(call.number);
   }
-  const Message& MessageOf(Whole& node, const CallRequest& call) { return *node.ledger.Find(call.number); }
 
-  const Config config_ = OneEndpoint();
-  FaultInjectingFileSystem files_;
-  TestClock clock_;
+  const Config config = OneEndpoint();
+  FaultInjectingFileSystem files;
+  TestClock clock;
 };
 
-// The disk fills up when the message is on record and its attempt is not.
-TEST_F(DurabilityTest, FullDiskDelaysTheCallAndRejectsNewMessagesUntilThereIsSpace) {
-  const std::unique_ptr<Whole> node = MakeNode();
+// The disk is full once message "p" is on record, but not its attempt.
+struct FullDiskTest : DurabilityTest {
+  FullDiskTest() {
+    files.plan = [this](std::uint64_t, std::string_view operation) {
+      const bool fails = is_full && operation == "append" && ++appends > 1;
+      return Step{fails ? Fault::kError : Fault::kNone, ENOSPC};
+    };
+    node->Submit(kPagamento, "p");
+  }
+
   bool is_full = true;
   int appends = 0;
-  files_.plan = [&](std::uint64_t, std::string_view operation) {
-    const bool fails = is_full && operation == "append" && ++appends > 1;
-    return Step{fails ? Fault::kError : Fault::kNone, ENOSPC};
-  };
-  node->Submit(kPagamento, "p");
+  const std::unique_ptr<Whole> node = MakeNode();
+};
+
+TEST_F(FullDiskTest, CallWaitsAndNewMessagesAreRejected) {
   EXPECT_TRUE(node->calls.empty());
   EXPECT_FALSE(node->journal.is_writable());
   EXPECT_EQ(node->ledger.pending_count(), 1);
@@ -41,7 +48,11 @@
   node->Pass(std::chrono::seconds(2));
   EXPECT_TRUE(node->calls.empty());
   EXPECT_TRUE(node->told.empty());
+}
 
+TEST_F(FullDiskTest, DeliveryResumesByItselfOnceThereIsSpace) {
+  node->Submit(kPagamento, "later");
+  node->Pass(std::chrono::seconds(2));
   is_full = false;
   node->Pass(std::chrono::seconds(4));
   EXPECT_TRUE(node->journal.is_writable());
@@ -60,7 +71,7 @@
   std::unique_ptr<Whole> node = MakeNode();
   node->Submit(kPagamento, "p");
   ASSERT_EQ(node->calls.size(), 1U);
-  files_.plan = [](std::uint64_t, std::string_view operation) {
+  files.plan = [](std::uint64_t, std::string_view operation) {
     return Step{operation == "append" ? Fault::kError : Fault::kNone, ENOSPC};
   };
   node->Finish(Outcome::kReset);  // may have run, so the client has to be notified
@@ -69,27 +80,26 @@
   EXPECT_EQ(node->ledger.pending_count(), 0);
   EXPECT_EQ(node->ledger.size(), 1U);
 
-  files_.plan = nullptr;
+  files.plan = nullptr;
   node->Pass(std::chrono::seconds(4));
   ASSERT_EQ(node->told.size(), 1U);
   node->chain.completion_handler.OnNotificationAcknowledged(node->told.front());
   EXPECT_EQ(node->ledger.size(), 0U);
 
   node.reset();
-  files_.Restart();
+  files.Restart();
   node = MakeNode();
   EXPECT_EQ(node->ledger.size(), 0U);
 }
 
-class SyncedClassTest : public DurabilityTest {
- protected:
-  SyncedClassTest() { settings_.class_durability[kPagamento] = Durability::kSynced; }
+struct SyncedClassTest : DurabilityTest {
+  SyncedClassTest() { settings.class_durability[kPagamento] = Durability::kSynced; }
 
-  JournalSettings settings_ = SmallJournal();
+  JournalSettings settings = SmallJournal();
 };
 
 TEST_F(SyncedClassTest, ResponseCallAndNotificationWaitForTheDiskAndOtherClassesDoNot) {
-  const std::unique_ptr<Whole> node = MakeNode(settings_);
+  const std::unique_ptr<Whole> node = MakeNode(settings);
   node->Submit(kAviso, "a");
   EXPECT_TRUE(node->responses.contains("a"));
   EXPECT_EQ(node->calls.size(), 1U);
@@ -97,7 +107,7 @@
   EXPECT_FALSE(node->responses.contains("p"));
   EXPECT_EQ(node->calls.size(), 1U);
 
-  node->Pass(settings_.group_commit_delay);
+  node->Pass(settings.group_commit_delay);
   EXPECT_EQ(node->syncs.size(), 1U);
   EXPECT_FALSE(node->responses.contains("p"));
   node->CompleteSyncs();
@@ -108,16 +118,16 @@
   node->Finish(Outcome::kReset);
   node->Pass(std::chrono::milliseconds(1));
   EXPECT_TRUE(node->told.empty());
-  node->Pass(settings_.group_commit_delay);
+  node->Pass(settings.group_commit_delay);
   node->CompleteSyncs();
   EXPECT_EQ(node->told.size(), 1U);
 }
 
 TEST_F(SyncedClassTest, AttemptThatWaitedTooLongForTheDiskIsDecidedAnew) {
-  const std::unique_ptr<Whole> node = MakeNode(settings_);
+  const std::unique_ptr<Whole> node = MakeNode(settings);
   node->Submit(kPagamento, "slow");
-  node->Pass(settings_.group_commit_delay);
-  clock_.now += std::chrono::milliseconds(80);
+  node->Pass(settings.group_commit_delay);
+  clock.now += std::chrono::milliseconds(80);
   node->CompleteSyncs();
   EXPECT_TRUE(node->calls.empty() || MessageOf(*node, node->calls[0]).attempts == 2);
   for (int i = 0; i < 4 && node->calls.empty(); ++i) {
