--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -2,7 +2,7 @@
 // end; each completion moves exactly one counter of the metrics, in the process in which it happens.
 #include <set>
 
-#include "../journal/whole_node.h"
+#include "../pipeline/pipeline_node.h"
 
 namespace sagetally {
 namespace {
