--- a/src/dead_letter/dead_letter.h
+++ b/src/dead_letter/dead_letter.h
@@ -27,7 +27,7 @@
 struct DeadLetterId {
   std::string node;
   std::uint64_t number = 0;
-  auto operator<=>(const DeadLetterId&) const = default;
+  auto operator<=>(const DeadLetterId&) const = default;  // NOLINT(modernize-use-nullptr): false positive
 };
 
 // NODE/NUMBER
--- a/src/dead_letter/operator_request_parser.cpp
+++ b/src/dead_letter/operator_request_parser.cpp
@@ -103,11 +103,10 @@
 
 void ReadListArguments(const Json& request, const std::vector<std::string>& classes,
                        OperatorRequest& result) {
-  constexpr int kDefaultLimit = 50;
   result.filter = ReadFilter(request, classes);
   result.with_body = ReadFlag(request, "body");
   const int max_limit = result.with_body ? kMaxBodyBytes : kMaxPageSize;
-  result.limit = static_cast<int>(ReadNumber(request, "limit", {1, max_limit}, kDefaultLimit));
+  result.limit = static_cast<int>(ReadNumber(request, "limit", {1, max_limit}, result.limit));
   result.after = ReadId(request, "after");
 }
 
--- a/src/dead_letter/redrive_loop.cpp
+++ b/src/dead_letter/redrive_loop.cpp
@@ -76,7 +76,7 @@
   ReviewSoon();
   context_.log.Info("dead_letter.redriven",
                     {{"dead_letter", ToString(DeadLetterId{message.redrive_node, message.redrive_number})},
-                     {"end", std::string(Name(message.final_status))},
+                     {"final_status", std::string(Name(message.final_status))},
                      {"reason", std::string(Name(message.failure_reason))},
                      {"attempts", message.attempts}});
   return not_before;
--- a/src/dead_letter/redrive_policy.cpp
+++ b/src/dead_letter/redrive_policy.cpp
@@ -6,6 +6,11 @@
 namespace sagetally::dead_letter {
 namespace {
 
+// In the order of DecisionReason. Stored, and in operators' output.
+constexpr std::array<std::string_view, kDecisionReasonCount> kReasonNames = {
+    "none",         "over",   "under_way",          "class_unknown", "attempts_used_up",
+    "may_have_run", "no_key", "repeat_window_over", "clock_unsure",  "client_may_hand_in_again"};
+
 RedriveDecisionResult Forbidden(DecisionReason reason) { return {RedriveDecision::kForbidden, reason, {}}; }
 
 bool IsCompleted(DeadLetterState state) {
@@ -54,11 +59,6 @@
   return DecideWithinWindow(dead_letter, class_settings->deduplication_window, now);
 }
 
-std::string_view Name(DecisionReason reason) {
-  static constexpr std::array<std::string_view, kDecisionReasonCount> kNames = {
-      "none",         "over",   "under_way",          "class_unknown", "attempts_used_up",
-      "may_have_run", "no_key", "repeat_window_over", "clock_unsure",  "client_may_hand_in_again"};
-  return kNames[static_cast<std::size_t>(reason)];
-}
+std::string_view Name(DecisionReason reason) { return kReasonNames[static_cast<std::size_t>(reason)]; }
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/rule_pacer.cpp
+++ b/src/dead_letter/rule_pacer.cpp
@@ -3,6 +3,11 @@
 #include <algorithm>
 
 namespace sagetally::dead_letter {
+namespace {
+
+constexpr double kMicrosecondsPerSecond = 1e6;
+
+}  // namespace
 
 void RulePacer::BlockUntil(const std::string& rule, Time until) { paces_[rule].blocked_until = until; }
 
@@ -12,7 +17,6 @@
 }
 
 Time RulePacer::TakeSlot(const std::string& rule, double rate_per_second) {
-  constexpr double kMicrosecondsPerSecond = 1e6;
   Pace& pace = paces_[rule];
   const Time slot = std::max(pace.next_slot, pace.blocked_until);
   pace.next_slot = slot + Duration(static_cast<std::int64_t>(kMicrosecondsPerSecond / rate_per_second));
--- a/src/dead_letter/rule_printer.cpp
+++ b/src/dead_letter/rule_printer.cpp
@@ -22,6 +22,9 @@
 constexpr std::array<RateUnit, 4> kRateUnits = {{{1.0, "s"}, {60.0, "m"}, {3600.0, "h"}, {86400.0, "d"}}};
 constexpr double kRateTolerance = 1e-6;
 
+// In the order of Operator.
+constexpr std::array<std::string_view, 8> kSigns = {"", "=", "!=", "<", "<=", ">", ">=", "in"};
+
 std::string Quoted(const std::string& text) {
   std::string quoted = "\"";
   for (const char c : text) {
@@ -49,10 +52,7 @@
   return value.number != 0 ? "true" : "false";
 }
 
-std::string_view Sign(Operator op) {
-  constexpr std::array<std::string_view, 8> kSigns = {"", "=", "!=", "<", "<=", ">", ">=", "in"};
-  return kSigns[static_cast<std::size_t>(op)];
-}
+std::string_view Sign(Operator op) { return kSigns[static_cast<std::size_t>(op)]; }
 
 std::string PrintOperand(const Condition& condition) {
   const bool is_compound = condition.kind == Condition::Kind::kAnd || condition.kind == Condition::Kind::kOr;
--- a/tests/dead_letter/kill_test.cpp
+++ b/tests/dead_letter/kill_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process, killed by SIGKILL at seeded moments while messages fail, are kept and sent again.
+// The program as a process, killed by SIGKILL at seeded moments while messages fail, are stored and redriven.
 // Arguments: the program, how many kills, a seed.
 #include <boost/random/uniform_int_distribution.hpp>
 #include <fstream>
@@ -50,49 +50,52 @@
   const auto count = [&](const std::string& filter) {
     return dead_letter::Database(settings).Count(dead_letter::ParseCondition(filter, {}), Time(0));
   };
-  int quiet = 0;
+  int quiet_rounds = 0;
   std::size_t calls = 0;
   Until(w.loop, [&] {  // all at rest, and no call for a while
     RunFor(w.loop, 200ms);
-    const bool still =
+    const bool is_still =
         count("state in {kept, claimed}") == 0 && partner.calls.size() == calls && partner.out() == 0;
     calls = partner.calls.size();
-    quiet = still ? quiet + 1 : 0;
-    return quiet >= 8;
+    quiet_rounds = is_still ? quiet_rounds + 1 : 0;
+    return quiet_rounds >= 8;
   });
   const int status = process->End(SIGTERM);
   assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   std::map<std::string, dead_letter::DeadLetter> stored;
-  dead_letter::Database(settings).ForEach(dead_letter::Condition(), Time(0), false,
-                                          [&](const dead_letter::DeadLetter& k) {
-                                            assert(stored.emplace(k.request.id, k).second);
-                                            return true;
-                                          });
+  dead_letter::Database(settings).ForEach(
+      dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& dead_letter) {
+        assert(stored.emplace(dead_letter.request.id, dead_letter).second);
+        return true;
+      });
   std::map<dead_letter::DeadLetterState, int> states;
-  std::map<std::string, int> grounds;
-  for (const auto& [name, k] : stored) ++grounds[k.decision_reason];
-  for (const auto& [ground, n] : grounds) std::printf("  ground '%s': %d\n", ground.c_str(), n);
+  std::map<std::string, int> reasons;
+  for (const auto& [name, dead_letter] : stored) ++reasons[dead_letter.decision_reason];
+  for (const auto& [reason, count] : reasons) std::printf("  reason '%s': %d\n", reason.c_str(), count);
   int lost = 0;
-  const auto taken = clients.Taken();
-  for (const std::string& name : taken) {
-    const auto at = stored.find(name);
+  const std::set<std::string> accepted = clients.Taken();
+  for (const std::string& name : accepted) {
+    const auto found = stored.find(name);
     const bool delivered = partner.delivered.contains(name);
-    if (at == stored.end() && !delivered) std::fprintf(stderr, "lost: %s\n", name.c_str()), ++lost;
-    if (at == stored.end()) continue;
-    ++states[at->second.state];
-    assert(at->second.state == dead_letter::DeadLetterState::kDelivered ||
-           at->second.state == dead_letter::DeadLetterState::kHeld);
-    if (at->second.state == dead_letter::DeadLetterState::kDelivered) assert(delivered);
+    if (found == stored.end() && !delivered) {
+      std::fprintf(stderr, "lost: %s\n", name.c_str());
+      ++lost;
+    }
+    if (found == stored.end()) continue;
+    ++states[found->second.state];
+    assert(found->second.state == dead_letter::DeadLetterState::kDelivered ||
+           found->second.state == dead_letter::DeadLetterState::kHeld);
+    if (found->second.state == dead_letter::DeadLetterState::kDelivered) assert(delivered);
   }
   std::printf(
-      "%d kills, %d handed in, %zu taken, %zu kept, %d delivered by resend, %d held; forbidden repeats %d, "
-      "second copies %d, lost %d\n",
-      kills, clients.posted, taken.size(), stored.size(), states[dead_letter::DeadLetterState::kDelivered],
+      "%d kills, %d submitted, %zu accepted, %zu stored, %d delivered by redrive, %d held; forbidden repeats "
+      "%d, second copies %d, lost %d\n",
+      kills, clients.posted, accepted.size(), stored.size(), states[dead_letter::DeadLetterState::kDelivered],
       states[dead_letter::DeadLetterState::kHeld], partner.forbidden_repeats, partner.Broken("second copy"),
       lost);
   std::fflush(stdout);
   assert(lost == 0 && partner.forbidden_repeats == 0 && partner.Broken("too many attempts") == 0);
-  assert(taken.size() > static_cast<std::size_t>(kills) &&
+  assert(accepted.size() > static_cast<std::size_t>(kills) &&
          states[dead_letter::DeadLetterState::kDelivered] > 0);
 }
 
--- a/tests/dead_letter/redrive_node_test.cpp
+++ b/tests/dead_letter/redrive_node_test.cpp
@@ -1,4 +1,4 @@
-// Kept messages on real sockets: a thousand failures of every kind, then a rule that sends everything again.
+// Dead letters on real sockets: a thousand failures of every kind, then a rule that redrives everything.
 #include <fstream>
 
 #include "dead_letter/dead_letter_json.h"
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kDestinations = 8;
 
-struct KeptWorld : World {
-  explicit KeptWorld(std::uint64_t seed, int slots = 24, int most_held = 200)
-      : World(0, slots, most_held),
+struct DeadLetterWorld : World {
+  explicit DeadLetterWorld(std::uint64_t seed, int slots = 24, int max_pending = 200)
+      : World(0, slots, max_pending),
         partner(loop, seed, 10s),
         clients(
             loop, [this] { return dispatcher->port(); }, seed) {
@@ -30,52 +30,54 @@
     kept->destination_rate = 2000;
     kept->initial_backoff = 50ms;
     kept->max_backoff = 400ms;
-    Rules("");
+    WriteRules("");
   }
-  void Rules(const std::string& text) { std::ofstream(folder.path + "/rules") << text; }
+  void WriteRules(const std::string& text) { std::ofstream(folder.path + "/rules") << text; }
   void Reload() {
     dispatcher->Reload(ParseConfig(ConfigText(), [](const char*) { return nullptr; }));
   }
-  dead_letter::DeadLetterManager& keeper() { return dispatcher->dead_letters()->keeper(); }
-  std::unique_ptr<dead_letter::Database> Open() const {
+  dead_letter::DeadLetterManager& manager() { return dispatcher->dead_letters()->keeper(); }
+  std::unique_ptr<dead_letter::Database> OpenStore() const {
     dead_letter::Database::Settings settings;
     settings.path = folder.path + "/kept/kept.db";
     settings.read_only = true;
     return std::make_unique<dead_letter::Database>(settings);
   }
   std::int64_t Count(const std::string& filter) const {
-    return Open()->Count(dead_letter::ParseCondition(filter, {}), Time(0));
+    return OpenStore()->Count(dead_letter::ParseCondition(filter, {}), Time(0));
   }
   std::map<std::string, dead_letter::DeadLetter> Stored() const {
     std::map<std::string, dead_letter::DeadLetter> all;
-    Open()->ForEach(dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& k) {
-      return all.emplace(k.request.id, k).second;  // none stands twice
-    });
+    OpenStore()->ForEach(
+        dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& dead_letter) {
+          return all.emplace(dead_letter.request.id, dead_letter).second;  // none stands twice
+        });
     return all;
   }
-  // Until every kept message has come to rest: sent again, or held for good.
-  void Rest() {
+  // Until every dead letter is at rest: delivered by a redrive, or held for good.
+  void RunUntilAtRest() {
     Until(loop, [&] {
       RunFor(loop, 100ms);
-      return keeper().pending_transfers() == 0 && Count("state in {kept, claimed}") == 0;
+      return manager().pending_transfers() == 0 && Count("state in {kept, claimed}") == 0;
     });
   }
-  // Each message that was taken ended well, at once or by a resend, or is kept still.
+  // Each accepted message was delivered, at once or by a redrive, or is stored.
   void CheckAccounts() {
     const auto stored = Stored();
     for (const std::string& name : clients.Taken()) {
-      const auto at = stored.find(name);
-      const bool live = partner.delivered.contains(name);
-      const bool resent = at != stored.end() && at->second.state == dead_letter::DeadLetterState::kDelivered;
-      if (at == stored.end() && !live) std::fprintf(stderr, "lost: %s\n", name.c_str());
-      assert(at != stored.end() || live);
-      if (resent) assert(live);
-      if (at != stored.end() && !resent) {
-        if (at->second.state != dead_letter::DeadLetterState::kHeld)
-          std::fprintf(stderr, "%s\n", dead_letter::ToJson(at->second, false).c_str());
-        assert(at->second.state == dead_letter::DeadLetterState::kHeld &&
-               !at->second.decision_reason.empty());
-        assert(at->second.attempts == static_cast<int>(at->second.history.size()));
+      const auto found = stored.find(name);
+      const bool is_delivered = partner.delivered.contains(name);
+      const bool is_redriven =
+          found != stored.end() && found->second.state == dead_letter::DeadLetterState::kDelivered;
+      if (found == stored.end() && !is_delivered) std::fprintf(stderr, "lost: %s\n", name.c_str());
+      assert(found != stored.end() || is_delivered);
+      if (is_redriven) assert(is_delivered);
+      if (found != stored.end() && !is_redriven) {
+        if (found->second.state != dead_letter::DeadLetterState::kHeld)
+          std::fprintf(stderr, "%s\n", dead_letter::ToJson(found->second, false).c_str());
+        assert(found->second.state == dead_letter::DeadLetterState::kHeld &&
+               !found->second.decision_reason.empty());
+        assert(found->second.attempts == static_cast<int>(found->second.history.size()));
       }
     }
     assert(partner.forbidden_repeats == 0 && partner.Broken("second copy") == 0 &&
@@ -90,41 +92,46 @@
 constexpr char kEverything[] =
     "rule everything: when true then resend rate 1000/s times 100 window 1h deadline 1s after 0s;";
 
-void AThousandFailuresAreSentAgainAndNoneTwice() {
-  KeptWorld w(7);
+void AThousandFailuresAreRedrivenAndNoneTakesEffectTwice() {
+  DeadLetterWorld w(7);
   w.partner.menu = Partner::FaultsOfEveryKind();
   w.Start();
   w.clients.Start(4ms);
-  Until(w.loop, [&] { return w.keeper().counters().kept >= 1000; });
+  Until(w.loop, [&] { return w.manager().counters().kept >= 1000; });
   w.clients.Pause();
-  w.Rules(kEverything);
+  w.WriteRules(kEverything);
   w.Reload();
-  RunFor(w.loop, 500ms);  // resends that fail too
-  w.Rules(
+  RunFor(w.loop, 500ms);  // redrives that fail too
+  w.WriteRules(
       std::string("rule first: when destination = 7 then resend rate 900/s times 100 deadline 1s after 0s;") +
       kEverything);
-  w.Reload();  // while resends are out
+  w.Reload();  // while redrives are in flight
   RunFor(w.loop, 300ms);
   w.partner.menu = {Partner::Fault::kWell};
-  w.Rest();
+  w.RunUntilAtRest();
   const auto stored = w.Stored();
-  std::map<std::string, int> grounds, reasons;
+  std::map<std::string, int> decision_reasons;
+  std::map<std::string, int> failure_reasons;
   int delivered = 0;
-  for (const auto& [name, k] : stored) {
-    delivered += k.state == dead_letter::DeadLetterState::kDelivered;
-    ++grounds[k.decision_reason];
-    ++reasons[std::string(dead_letter::Name(k.failure_reason))];
+  for (const auto& [name, dead_letter] : stored) {
+    delivered += dead_letter.state == dead_letter::DeadLetterState::kDelivered;
+    ++decision_reasons[dead_letter.decision_reason];
+    ++failure_reasons[std::string(dead_letter::Name(dead_letter.failure_reason))];
+  }
+  std::printf("stored %zu, delivered by redrive %d, dropped as repeats by key %ld\n", stored.size(),
+              delivered, w.partner.dropped_repeats());
+  for (const auto& [reason, count] : decision_reasons) {
+    std::printf("  decision reason '%s': %d\n", reason.c_str(), count);
+  }
+  for (const auto& [reason, count] : failure_reasons) {
+    std::printf("  failure reason '%s': %d\n", reason.c_str(), count);
   }
-  std::printf("kept %zu, delivered by resend %d, dropped as repeats by key %ld\n", stored.size(), delivered,
-              w.partner.dropped_repeats());
-  for (const auto& [ground, n] : grounds) std::printf("  ground '%s': %d\n", ground.c_str(), n);
-  for (const auto& [reason, n] : reasons) std::printf("  reason '%s': %d\n", reason.c_str(), n);
   std::fflush(stdout);
-  for (const auto& [name, k] : stored) {  // of two rules that match, the first decides
-    if (k.rule == "first") assert(k.request.destination == 7);
+  for (const auto& [name, dead_letter] : stored) {  // of two rules that match, the first decides
+    if (dead_letter.rule == "first") assert(dead_letter.request.destination == 7);
   }
   assert(stored.size() >= 1000 && delivered > 300);
-  assert(grounds["may_have_run"] > 0 && w.partner.calls.size() > 1000);
+  assert(decision_reasons["may_have_run"] > 0 && w.partner.calls.size() > 1000);
   w.CheckAccounts();
 }
 
@@ -133,6 +140,6 @@
 
 int main() {
   using namespace sagetally;
-  AThousandFailuresAreSentAgainAndNoneTwice();
+  AThousandFailuresAreRedrivenAndNoneTakesEffectTwice();
   std::puts("1 passed, 0 failed");
 }
--- a/tests/dead_letter/redrive_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -1,4 +1,4 @@
-// The choices of kept messages: rule language, judge and planner, by tables and against small references.
+// Rule language, redrive policy and planner, by tables and against small references; operators' requests.
 #include <cmath>
 
 #include "dead_letter/operator_requests.h"
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-void RulesAreReadAndErrorsNameThePlace() {
+void RulesAreParsedAndErrorsNameThePosition() {
   const RuleSet set = ParseRules(
       "# avisos go first\n"
       "rule avisos:\n"
@@ -71,135 +71,138 @@
   assert(said.find("nested") != said.npos);
 }
 
-void ReadingWhatWasPrintedGivesTheSame() {
+void PrintedRulesParseToEqualOnes() {
   assert(rc::check("print, then parse", [](const RuleSet& set) {
     const std::string text = Print(set);
-    RuleSet again = ParseRules(text, kClasses);
-    RC_ASSERT(again.rules.size() == set.rules.size());
+    RuleSet parsed = ParseRules(text, kClasses);
+    RC_ASSERT(parsed.rules.size() == set.rules.size());
     for (std::size_t i = 0; i < set.rules.size(); ++i) {
-      RedriveAction& rate = again.rules[i].action.redrive;
-      RC_ASSERT(std::abs(rate.rate_per_second - set.rules[i].action.redrive.rate_per_second) < 1e-9);
-      rate.rate_per_second = set.rules[i].action.redrive.rate_per_second;
+      RedriveAction& redrive = parsed.rules[i].action.redrive;
+      RC_ASSERT(std::abs(redrive.rate_per_second - set.rules[i].action.redrive.rate_per_second) < 1e-9);
+      redrive.rate_per_second = set.rules[i].action.redrive.rate_per_second;
     }
-    RC_ASSERT(again == set);
+    RC_ASSERT(parsed == set);
   }));
 }
 
-void TheNextChangeIsNeverPassed() {
-  assert(rc::check("nothing changes before", [](const RuleSet& printed, const DeadLetter& k) {
+void NoRuleMatchesDifferentlyBeforeTheNextChange() {
+  assert(rc::check("nothing changes before", [](const RuleSet& printed, const DeadLetter& dead_letter) {
     const RuleSet set = ParseRules(Print(printed), kClasses);
-    const Time now = k.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100'000'000));
-    const Time next = NextChange(set, k, now).value_or(now + 400s);
+    const Time now = dead_letter.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100'000'000));
+    const Time next = NextChange(set, dead_letter, now).value_or(now + 400s);
     const Time between = now + Duration(*rc::gen::inRange<std::int64_t>(0, (next - now).count()));
-    RC_ASSERT(FirstMatch(set, k, now) == FirstMatch(set, k, between));
+    RC_ASSERT(FirstMatch(set, dead_letter, now) == FirstMatch(set, dead_letter, between));
   }));
 }
 
-// --- The judge ---
+// --- The redrive policy ---
 
-ReviewSettings Site() {
-  ReviewSettings site;
-  site.class_names = kClasses;
-  site.classes.resize(3);
-  site.classes[0].idempotency = Idempotency::kIdempotent;
-  site.classes[1].idempotency = Idempotency::kIdempotentWithKey;
-  site.classes[1].deduplication_window = 10s;
-  site.classes[2].idempotency = Idempotency::kNotIdempotent;
-  site.policy = {6, true};
-  return site;
+ReviewSettings ThreeClasses() {
+  ReviewSettings settings;
+  settings.class_names = kClasses;
+  settings.classes.resize(3);
+  settings.classes[0].idempotency = Idempotency::kIdempotent;
+  settings.classes[1].idempotency = Idempotency::kIdempotentWithKey;
+  settings.classes[1].deduplication_window = 10s;
+  settings.classes[2].idempotency = Idempotency::kNotIdempotent;
+  settings.policy = {6, true};
+  return settings;
 }
 
 DeadLetter Failed(const char* name, int attempts, bool may_have_run, Timestamp first = {100s, 50s, 9}) {
-  DeadLetter k;
-  k.class_name = name;
-  k.request.idempotency_key = "key";
-  k.final_status = FinalStatus::kFailed;
-  k.attempts = attempts;
-  k.ended_at = first.wall_time;
-  if (may_have_run) k.first_uncertain_attempt = first;
-  return k;
+  DeadLetter dead_letter;
+  dead_letter.class_name = name;
+  dead_letter.request.idempotency_key = "key";
+  dead_letter.final_status = FinalStatus::kFailed;
+  dead_letter.attempts = attempts;
+  dead_letter.ended_at = first.wall_time;
+  if (may_have_run) dead_letter.first_uncertain_attempt = first;
+  return dead_letter;
 }
 
-void TheJudgeForbidsWhatCouldLandTwice() {
-  const ReviewSettings site = Site();
-  const auto ground = [&](DeadLetter k, Timestamp now, bool resend_deferred = true) {
-    RedrivePolicySettings settings = site.policy;
-    settings.redrive_deferred = resend_deferred;
-    return DecideRedrive(k, site.FindClass(k.class_name), settings, now).reason;
+void PolicyForbidsWhatCouldTakeEffectTwice() {
+  const ReviewSettings settings = ThreeClasses();
+  const auto reason = [&](DeadLetter dead_letter, Timestamp now, bool redrive_deferred = true) {
+    RedrivePolicySettings policy = settings.policy;
+    policy.redrive_deferred = redrive_deferred;
+    return DecideRedrive(dead_letter, settings.FindClass(dead_letter.class_name), policy, now).reason;
   };
   const Timestamp soon{102s, 52s, 9};
-  assert(ground(Failed("pagamento", 1, true), soon) == DecisionReason::kMayHaveTakenEffect);
-  assert(ground(Failed("pagamento", 1, false), soon) == DecisionReason::kNone);
-  assert(ground(Failed("aviso", 5, true), soon) == DecisionReason::kNone);
-  assert(ground(Failed("aviso", 6, true), soon) == DecisionReason::kAttemptsExhausted);
-  assert(ground(Failed("pedido", 1, true), soon) == DecisionReason::kNone);
-  assert(ground(Failed("gone", 0, false), soon) == DecisionReason::kClassUnknown);
+  assert(reason(Failed("pagamento", 1, true), soon) == DecisionReason::kMayHaveTakenEffect);
+  assert(reason(Failed("pagamento", 1, false), soon) == DecisionReason::kNone);
+  assert(reason(Failed("aviso", 5, true), soon) == DecisionReason::kNone);
+  assert(reason(Failed("aviso", 6, true), soon) == DecisionReason::kAttemptsExhausted);
+  assert(reason(Failed("pedido", 1, true), soon) == DecisionReason::kNone);
+  assert(reason(Failed("gone", 0, false), soon) == DecisionReason::kClassUnknown);
   const RedriveDecisionResult within =
-      DecideRedrive(Failed("pedido", 1, true), &site.classes[1], site.policy, soon);
+      DecideRedrive(Failed("pedido", 1, true), &settings.classes[1], settings.policy, soon);
   assert(within.latest_send_time == Time(110s) - kWindowMargin);
-  assert(ground(Failed("pedido", 1, true), {110s, 60s, 9}) == DecisionReason::kDeduplicationWindowExpired);
-  assert(ground(Failed("pedido", 1, true), {109800ms, 59800ms, 9}) ==
+  assert(reason(Failed("pedido", 1, true), {110s, 60s, 9}) == DecisionReason::kDeduplicationWindowExpired);
+  assert(reason(Failed("pedido", 1, true), {109800ms, 59800ms, 9}) ==
          DecisionReason::kDeduplicationWindowExpired);
   // The wall clock was set back by 8 s, or forwards; the machine's own count knows.
-  assert(ground(Failed("pedido", 1, true), {103s, 61s, 9}) == DecisionReason::kDeduplicationWindowExpired);
-  assert(ground(Failed("pedido", 1, true), {111s, 52s, 9}) == DecisionReason::kDeduplicationWindowExpired);
-  assert(ground(Failed("pedido", 1, true), {102s, 2s, 8}) ==
+  assert(reason(Failed("pedido", 1, true), {103s, 61s, 9}) == DecisionReason::kDeduplicationWindowExpired);
+  assert(reason(Failed("pedido", 1, true), {111s, 52s, 9}) == DecisionReason::kDeduplicationWindowExpired);
+  assert(reason(Failed("pedido", 1, true), {102s, 2s, 8}) ==
          DecisionReason::kClockUncertain);  // the machine started anew
-  assert(ground(Failed("pedido", 1, true), {102s, 49s, 9}) == DecisionReason::kClockUncertain);
-  assert(ground(Failed("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) ==
+  assert(reason(Failed("pedido", 1, true), {102s, 49s, 9}) == DecisionReason::kClockUncertain);
+  assert(reason(Failed("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) ==
          DecisionReason::kClockUncertain);
-  DeadLetter k = Failed("pedido", 1, true);
-  k.request.idempotency_key.clear();
-  assert(ground(k, soon) == DecisionReason::kNoKey);
-  k = Failed("pedido", 0, false);
-  k.final_status = FinalStatus::kRejected;
-  assert(ground(k, soon) == DecisionReason::kNone &&
-         ground(k, soon, false) == DecisionReason::kClientMayRetry);
+  DeadLetter dead_letter = Failed("pedido", 1, true);
+  dead_letter.request.idempotency_key.clear();
+  assert(reason(dead_letter, soon) == DecisionReason::kNoKey);
+  dead_letter = Failed("pedido", 0, false);
+  dead_letter.final_status = FinalStatus::kRejected;
+  assert(reason(dead_letter, soon) == DecisionReason::kNone &&
+         reason(dead_letter, soon, false) == DecisionReason::kClientMayRetry);
   for (const DeadLetterState state :
        {DeadLetterState::kDelivered, DeadLetterState::kDropped, DeadLetterState::kResubmitted}) {
-    k.state = state;
-    assert(ground(k, soon) == DecisionReason::kCompleted);
+    dead_letter.state = state;
+    assert(reason(dead_letter, soon) == DecisionReason::kCompleted);
   }
-  k.state = DeadLetterState::kClaimed;
-  assert(DecideRedrive(k, &site.classes[1], site.policy, soon).decision == RedriveDecision::kRetryLater);
+  dead_letter.state = DeadLetterState::kClaimed;
+  assert(DecideRedrive(dead_letter, &settings.classes[1], settings.policy, soon).decision ==
+         RedriveDecision::kRetryLater);
 }
 
-// Whatever the clocks do, an allowed resend that ends by `latest` ends inside the true window.
-void TheJudgeKeepsToTheTrueWindow() {
+// Whatever the clocks do, an allowed redrive that ends by `latest_send_time` ends inside the true window.
+void PolicyKeepsToTheTrueDeduplicationWindow() {
   assert(rc::check("true time", [](bool rebooted) {
-    const ReviewSettings site = Site();
+    const ReviewSettings settings = ThreeClasses();
     const auto elapsed = Duration(*rc::gen::inRange<std::int64_t>(0, 15'000'000));
     const auto step = Duration(*rc::gen::inRange<std::int64_t>(-12'000'000, 12'000'000));
     const Timestamp first{Time(1000s), Time(500s), 9};
     Timestamp now{first.wall_time + elapsed + step, first.steady_time + elapsed, 9};
     if (rebooted) now = {now.wall_time, Time(*rc::gen::inRange<std::int64_t>(0, 900'000'000)), 10};
-    const RedriveDecisionResult judgement =
-        DecideRedrive(Failed("pedido", 1, true, first), &site.classes[1], site.policy, now);
-    if (rebooted) RC_ASSERT(judgement.decision == RedriveDecision::kForbidden);
-    if (judgement.decision != RedriveDecision::kAllowed) return;
-    const Duration call = *judgement.latest_send_time - now.wall_time;
+    const RedriveDecisionResult result =
+        DecideRedrive(Failed("pedido", 1, true, first), &settings.classes[1], settings.policy, now);
+    if (rebooted) RC_ASSERT(result.decision == RedriveDecision::kForbidden);
+    if (result.decision != RedriveDecision::kAllowed) return;
+    const Duration call = *result.latest_send_time - now.wall_time;
     RC_ASSERT(call >= kMinCallTime && elapsed + call <= 10s);
   }));
 }
 
-void NoRuleOverridesTheJudge() {
-  assert(rc::check("forbidden stays forbidden", [](const RuleSet& printed, DeadLetter k) {
+void NoRuleOverridesThePolicy() {
+  assert(rc::check("forbidden stays forbidden", [](const RuleSet& printed, DeadLetter dead_letter) {
     const RuleSet set = ParseRules(Print(printed), kClasses);
-    const ReviewSettings site = Site();
-    const Timestamp now{k.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 20'000'000)), Time(20s), 9};
-    k.requested_by_operator = *rc::gen::arbitrary<bool>();
-    const Review review = ReviewDeadLetter(k, set, site, now);
-    const RedriveDecisionResult judgement = DecideRedrive(k, site.FindClass(k.class_name), site.policy, now);
+    const ReviewSettings settings = ThreeClasses();
+    const Timestamp now{dead_letter.ended_at + Duration(*rc::gen::inRange<std::int64_t>(0, 20'000'000)),
+                        Time(20s), 9};
+    dead_letter.requested_by_operator = *rc::gen::arbitrary<bool>();
+    const Review review = ReviewDeadLetter(dead_letter, set, settings, now);
+    const RedriveDecisionResult result =
+        DecideRedrive(dead_letter, settings.FindClass(dead_letter.class_name), settings.policy, now);
     if (review.kind != Review::Kind::kRedrive) return;
-    RC_ASSERT(judgement.decision == RedriveDecision::kAllowed && k.attempts < 6);
-    RC_ASSERT(!judgement.latest_send_time || review.deadline <= *judgement.latest_send_time);
-    RC_ASSERT(!(k.class_name == "pagamento" && k.first_uncertain_attempt));
+    RC_ASSERT(result.decision == RedriveDecision::kAllowed && dead_letter.attempts < 6);
+    RC_ASSERT(!result.latest_send_time || review.deadline <= *result.latest_send_time);
+    RC_ASSERT(!(dead_letter.class_name == "pagamento" && dead_letter.first_uncertain_attempt));
   }));
 }
 
 // --- The planner ---
 
-void ThePlannerKeepsItsLimits() {
+void PlannerKeepsItsLimits() {
   assert(rc::check("against a plain count", [] {
     RedrivePlanner::Limits limits;
     limits.max_concurrent_calls = *rc::gen::inRange(1, 40);
@@ -207,22 +210,23 @@
     limits.concurrency_fraction = *rc::gen::element(0.05, 0.25, 1.0);
     limits.destination_rate = 5;
     RedrivePlanner planner(limits, 1, Time(0));
-    RedriveAction resend;
-    resend.rate_per_second = *rc::gen::inRange(1, 20);
-    resend.healthy_for = *rc::gen::element<Duration>(0s, 2s);
+    RedriveAction redrive;
+    redrive.rate_per_second = *rc::gen::inRange(1, 20);
+    redrive.healthy_for = *rc::gen::element<Duration>(0s, 2s);
     Time now(0);
-    std::map<int, int> out;
+    std::map<int, int> in_flight;
     std::map<int, Time> failed, wait;
     std::map<int, std::vector<Time>> granted;
-    int all = 0;
+    int total = 0;
     std::vector<Time> by_rule;
     for (int i = 0; i < 300; ++i) {
       now += Duration(*rc::gen::inRange<std::int64_t>(0, 150'000));
       const int d = *rc::gen::inRange(0, 3);
       switch (*rc::gen::inRange(0, 6)) {
         case 0:
-          if (out[d] == 0) break;
-          --out[d], --all;
+          if (in_flight[d] == 0) break;
+          --in_flight[d];
+          --total;
           planner.OnMessageCompleted(d, *rc::gen::arbitrary<bool>(), now);
           break;
         case 1:
@@ -231,23 +235,24 @@
           planner.OnCallCompleted(d, Outcome::kRejected, 300ms, now);
           break;
         default: {
-          const bool up = *rc::gen::inRange(0, 10) > 0;
+          const bool has_endpoint = *rc::gen::inRange(0, 10) > 0;
           const RedrivePlanner::Load load{*rc::gen::inRange(0, limits.max_concurrent_calls + 1),
                                           *rc::gen::inRange(0, 201)};
-          const auto grant = planner.RequestGrant("r", resend, d, up, load, now);
+          const auto grant = planner.RequestGrant("r", redrive, d, has_endpoint, load, now);
           if (!grant.granted()) {
             RC_ASSERT(grant.retry_after >= now);
             break;
           }
-          RC_ASSERT(up && load.pending_messages < limits.max_pending_messages &&
+          RC_ASSERT(has_endpoint && load.pending_messages < limits.max_pending_messages &&
                     load.calls_in_flight < limits.max_concurrent_calls);
-          RC_ASSERT(now >= wait[d] && (!failed.contains(d) || now >= failed[d] + resend.healthy_for));
-          ++out[d], ++all;
+          RC_ASSERT(now >= wait[d] && (!failed.contains(d) || now >= failed[d] + redrive.healthy_for));
+          ++in_flight[d];
+          ++total;
           granted[d].push_back(now);
           by_rule.push_back(now);
         }
       }
-      RC_ASSERT(all == planner.in_flight_count() && all <= planner.MaxInFlight());
+      RC_ASSERT(total == planner.in_flight_count() && total <= planner.MaxInFlight());
       RC_ASSERT(planner.MaxInFlight() <=
                 std::max(1.0, limits.concurrency_fraction * limits.max_concurrent_calls));
     }
@@ -261,47 +266,47 @@
       }
       return true;
     };
-    RC_ASSERT(fits(by_rule, resend.rate_per_second));
+    RC_ASSERT(fits(by_rule, redrive.rate_per_second));
     for (const auto& [d, times] : granted) RC_ASSERT(fits(times, 5));
   }));
 }
 
-// Back for 3 s and down again: the second time it is left alone for longer, one resend at a time.
-void APartnerThatFailsAgainIsLeftAlone() {
+// Healthy for 3 s and failing again: the second backoff is longer, and ends with one redrive at a time.
+void ADestinationThatFailsAgainBacksOffLonger() {
   RedrivePlanner planner({100, 1000, 0.5, 0.5, 100, 1s, 60s}, 1, Time(0));
-  RedriveAction resend;
-  resend.rate_per_second = 1000;
-  resend.healthy_for = 1s;
-  std::vector<Duration> rests;
+  RedriveAction redrive;
+  redrive.rate_per_second = 1000;
+  redrive.healthy_for = 1s;
+  std::vector<Duration> backoffs;
   Time now(10s);
   for (int round = 0; round < 3; ++round) {
     int sent = 0;
     for (const Time end = now + 3s; now < end; now += 100ms) {
-      if (!planner.RequestGrant("r", resend, 7, true, {}, now).granted()) continue;
+      if (!planner.RequestGrant("r", redrive, 7, true, {}, now).granted()) continue;
       ++sent;
       planner.OnMessageCompleted(7, true, now + 50ms);
     }
     assert(sent > 5);
     now += 100ms;
-    int at_once = 0;
-    while (planner.RequestGrant("r", resend, 7, true, {}, now).granted()) ++at_once;
-    assert(at_once > 1);  // it had gained trust
-    for (int i = 0; i < at_once; ++i) {
+    int concurrent = 0;
+    while (planner.RequestGrant("r", redrive, 7, true, {}, now).granted()) ++concurrent;
+    assert(concurrent > 1);  // more were allowed after each success
+    for (int i = 0; i < concurrent; ++i) {
       planner.OnCallCompleted(7, Outcome::kTimeout, 0s, now);
       planner.OnMessageCompleted(7, false, now);
     }
     const Time down = now;
-    while (!planner.RequestGrant("r", resend, 7, true, {}, now).granted()) now += 100ms;
-    rests.push_back(now - down);
-    assert(!planner.RequestGrant("r", resend, 7, true, {}, now).granted());  // and is tried with one alone
+    while (!planner.RequestGrant("r", redrive, 7, true, {}, now).granted()) now += 100ms;
+    backoffs.push_back(now - down);
+    assert(!planner.RequestGrant("r", redrive, 7, true, {}, now).granted());  // one alone
     planner.OnMessageCompleted(7, true, now);
   }
-  assert(rests[0] >= 1s && rests[1] > rests[0]);
+  assert(backoffs[0] >= 1s && backoffs[1] > backoffs[0]);
 }
 
 // --- Control messages ---
 
-void RequestsAreReadOrNamedWrong() {
+void OperatorRequestsAreParsedOrRefusedWithTheReason() {
   const std::pair<const char*, const char*> table[] = {
       {"", "one JSON object"},
       {"[1]", "one JSON object"},
@@ -339,14 +344,14 @@
 
 int main() {
   using namespace sagetally::dead_letter;
-  RulesAreReadAndErrorsNameThePlace();
-  ReadingWhatWasPrintedGivesTheSame();
-  TheNextChangeIsNeverPassed();
-  TheJudgeForbidsWhatCouldLandTwice();
-  TheJudgeKeepsToTheTrueWindow();
-  NoRuleOverridesTheJudge();
-  ThePlannerKeepsItsLimits();
-  APartnerThatFailsAgainIsLeftAlone();
-  RequestsAreReadOrNamedWrong();
+  RulesAreParsedAndErrorsNameThePosition();
+  PrintedRulesParseToEqualOnes();
+  NoRuleMatchesDifferentlyBeforeTheNextChange();
+  PolicyForbidsWhatCouldTakeEffectTwice();
+  PolicyKeepsToTheTrueDeduplicationWindow();
+  NoRuleOverridesThePolicy();
+  PlannerKeepsItsLimits();
+  ADestinationThatFailsAgainBacksOffLonger();
+  OperatorRequestsAreParsedOrRefusedWithTheReason();
   std::puts("9 passed, 0 failed");
 }
--- a/tests/dead_letter/sample.h
+++ b/tests/dead_letter/sample.h
@@ -1,4 +1,4 @@
-// Random kept messages, conditions and rules for property tests.
+// Random dead letters, conditions and rules for property tests.
 #ifndef SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
 #define SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
 
@@ -21,34 +21,36 @@
   return rc::gen::container<std::string>(rc::gen::elementOf(std::string("abc\"\\' %_{}().;#")));
 }
 
-inline rc::Gen<DeadLetter> MessageGen() {
+inline rc::Gen<DeadLetter> DeadLetterGen() {
   return rc::gen::exec([] {
-    DeadLetter k;
-    k.id = {"n0", *rc::gen::inRange<std::uint64_t>(1, 1'000'000'000)};
-    k.class_name = *rc::gen::elementOf(kClasses);
-    k.request.id = *TextGen();
-    k.request.idempotency_key = *TextGen();
-    k.request.destination = *rc::gen::inRange(0, 9);
+    DeadLetter dead_letter;
+    dead_letter.id = {"n0", *rc::gen::inRange<std::uint64_t>(1, 1'000'000'000)};
+    dead_letter.class_name = *rc::gen::elementOf(kClasses);
+    dead_letter.request.id = *TextGen();
+    dead_letter.request.idempotency_key = *TextGen();
+    dead_letter.request.destination = *rc::gen::inRange(0, 9);
     for (const char* name : {"source", "type"}) {
-      if (*rc::gen::arbitrary<bool>()) k.request.attributes[name] = *TextGen();
+      if (*rc::gen::arbitrary<bool>()) dead_letter.request.attributes[name] = *TextGen();
     }
-    k.body_size = static_cast<std::size_t>(*rc::gen::inRange(0, 5000));
-    k.accepted_at = Time(*rc::gen::inRange<std::int64_t>(0, 100)) * 1'000'000;
-    k.ended_at = k.accepted_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100) * 500'000);
-    k.final_status = *rc::gen::element(FinalStatus::kFailed, FinalStatus::kRejected);
-    k.failure_reason = static_cast<FailureReason>(*rc::gen::inRange(1, 10));
-    k.state = static_cast<DeadLetterState>(*rc::gen::inRange(0, kDeadLetterStateCount));
-    k.attempts = *rc::gen::inRange(0, 7);
-    k.redrives = *rc::gen::inRange(0, 4);
-    for (int i = 0; i < k.attempts; ++i) {
-      AttemptRecord note;
-      note.sent_at = {k.accepted_at + Duration(i), Time(i + 1), 9};
-      note.endpoint = "s-" + std::to_string(i);
-      if (*rc::gen::arbitrary<bool>()) note.outcome = static_cast<Outcome>(*rc::gen::inRange(0, 8));
-      k.history.push_back(note);
+    dead_letter.body_size = static_cast<std::size_t>(*rc::gen::inRange(0, 5000));
+    dead_letter.accepted_at = Time(*rc::gen::inRange<std::int64_t>(0, 100)) * 1'000'000;
+    dead_letter.ended_at =
+        dead_letter.accepted_at + Duration(*rc::gen::inRange<std::int64_t>(0, 100) * 500'000);
+    dead_letter.final_status = *rc::gen::element(FinalStatus::kFailed, FinalStatus::kRejected);
+    dead_letter.failure_reason = static_cast<FailureReason>(*rc::gen::inRange(1, 10));
+    dead_letter.state = static_cast<DeadLetterState>(*rc::gen::inRange(0, kDeadLetterStateCount));
+    dead_letter.attempts = *rc::gen::inRange(0, 7);
+    dead_letter.redrives = *rc::gen::inRange(0, 4);
+    for (int i = 0; i < dead_letter.attempts; ++i) {
+      AttemptRecord record;
+      record.sent_at = {dead_letter.accepted_at + Duration(i), Time(i + 1), 9};
+      record.endpoint = "s-" + std::to_string(i);
+      if (*rc::gen::arbitrary<bool>()) record.outcome = static_cast<Outcome>(*rc::gen::inRange(0, 8));
+      dead_letter.history.push_back(record);
     }
-    if (k.attempts > 0 && *rc::gen::arbitrary<bool>()) k.first_uncertain_attempt = k.history.front().sent_at;
-    return k;
+    if (dead_letter.attempts > 0 && *rc::gen::arbitrary<bool>())
+      dead_letter.first_uncertain_attempt = dead_letter.history.front().sent_at;
+    return dead_letter;
   });
 }
 
@@ -58,12 +60,12 @@
 
 inline rc::Gen<Condition> ComparisonGen() {
   return rc::gen::exec([] {
-    struct Kind {
+    struct FieldKind {
       const char* name;
       LiteralType type;
-      bool ordered;
+      bool has_order;
     };
-    static const std::vector<Kind> kinds = {
+    static const std::vector<FieldKind> kFields = {
         {"class", LiteralType::kWord, false},        {"destination", LiteralType::kNumber, true},
         {"reason", LiteralType::kWord, false},       {"end", LiteralType::kWord, false},
         {"state", LiteralType::kWord, false},        {"age", LiteralType::kDuration, true},
@@ -71,77 +73,77 @@
         {"may_have_run", LiteralType::kBool, false}, {"last_outcome", LiteralType::kWord, false},
         {"body_size", LiteralType::kSize, true},     {"id", LiteralType::kString, false},
         {"key", LiteralType::kString, false},        {"attribute", LiteralType::kString, false}};
-    const Kind kind = *rc::gen::elementOf(kinds);
-    Condition c;
-    c.kind = Condition::Kind::kComparison;
-    c.field_name = kind.name;
-    if (c.field_name == "attribute")
-      c.attribute = *rc::gen::element<std::string>("source", "type", "sub\"ject");
+    const FieldKind field = *rc::gen::elementOf(kFields);
+    Condition condition;
+    condition.kind = Condition::Kind::kComparison;
+    condition.field_name = field.name;
+    if (condition.field_name == "attribute")
+      condition.attribute = *rc::gen::element<std::string>("source", "type", "sub\"ject");
     const auto value = [&]() -> Literal {
-      switch (kind.type) {
+      switch (field.type) {
         case LiteralType::kNumber:
-          return LiteralOf(kind.type, *rc::gen::inRange(0, 9));
+          return LiteralOf(field.type, *rc::gen::inRange(0, 9));
         case LiteralType::kDuration:
-          return LiteralOf(kind.type, *rc::gen::inRange<std::int64_t>(0, 200) * 500'000);
+          return LiteralOf(field.type, *rc::gen::inRange<std::int64_t>(0, 200) * 500'000);
         case LiteralType::kSize:
-          return LiteralOf(kind.type, *rc::gen::inRange(0, 5000));
+          return LiteralOf(field.type, *rc::gen::inRange(0, 5000));
         case LiteralType::kBool:
-          return LiteralOf(kind.type, *rc::gen::inRange(0, 2));
+          return LiteralOf(field.type, *rc::gen::inRange(0, 2));
         case LiteralType::kString:
-          return LiteralOf(kind.type, 0, *TextGen());
+          return LiteralOf(field.type, 0, *TextGen());
         case LiteralType::kWord:
           break;
       }
-      const std::vector<std::string> words = c.field_name == "class"    ? kClasses
-                                             : c.field_name == "reason" ? FailureReasonNames()
-                                             : c.field_name == "state"  ? DeadLetterStateNames()
-                                             : c.field_name == "last_outcome"
+      const std::vector<std::string> words = condition.field_name == "class"    ? kClasses
+                                             : condition.field_name == "reason" ? FailureReasonNames()
+                                             : condition.field_name == "state"  ? DeadLetterStateNames()
+                                             : condition.field_name == "last_outcome"
                                                  ? OutcomeNames()
                                                  : std::vector<std::string>{"undeliverable", "deferred"};
-      return LiteralOf(kind.type, 0, *rc::gen::elementOf(words));
+      return LiteralOf(field.type, 0, *rc::gen::elementOf(words));
     };
     std::vector<Operator> operators = {Operator::kEqual, Operator::kNotEqual, Operator::kIn};
-    if (kind.ordered)
+    if (field.has_order)
       operators.insert(operators.end(), {Operator::kLess, Operator::kLessOrEqual, Operator::kGreater,
                                          Operator::kGreaterOrEqual});
-    if (kind.type == LiteralType::kBool || c.field_name == "attribute")
+    if (field.type == LiteralType::kBool || condition.field_name == "attribute")
       operators.push_back(Operator::kPresent);
-    c.op = *rc::gen::elementOf(operators);
-    if (c.op == Operator::kPresent) return c;
-    const int n = c.op == Operator::kIn ? *rc::gen::inRange(1, 4) : 1;
-    for (int i = 0; i < n; ++i) {
+    condition.op = *rc::gen::elementOf(operators);
+    if (condition.op == Operator::kPresent) return condition;
+    const int count = condition.op == Operator::kIn ? *rc::gen::inRange(1, 4) : 1;
+    for (int i = 0; i < count; ++i) {
       ValueRange range{value(), {}};
-      if (c.op == Operator::kIn && kind.ordered && *rc::gen::arbitrary<bool>()) {
+      if (condition.op == Operator::kIn && field.has_order && *rc::gen::arbitrary<bool>()) {
         range.to = range.from;
         range.to->number += 1'000'000;
       }
-      c.ranges.push_back(range);
+      condition.ranges.push_back(range);
     }
-    return c;
+    return condition;
   });
 }
 
 inline rc::Gen<Condition> ConditionGen(int depth = 3) {
   return rc::gen::exec([depth] {
-    Condition c;
+    Condition condition;
     switch (depth == 0 ? 0 : *rc::gen::inRange(0, 5)) {
       case 1:
       case 2: {
-        c.kind = *rc::gen::element(Condition::Kind::kAnd, Condition::Kind::kOr);
-        const int n = *rc::gen::inRange(2, 4);
-        for (int i = 0; i < n; ++i) c.operands.push_back(*ConditionGen(depth - 1));
-        return c;
+        condition.kind = *rc::gen::element(Condition::Kind::kAnd, Condition::Kind::kOr);
+        const int count = *rc::gen::inRange(2, 4);
+        for (int i = 0; i < count; ++i) condition.operands.push_back(*ConditionGen(depth - 1));
+        return condition;
       }
       case 3: {
         Condition inner = *ConditionGen(depth - 1);
         if (inner.kind == Condition::Kind::kNot) return inner;  // two negations are read as none
-        c.kind = Condition::Kind::kNot;
-        c.operands.push_back(std::move(inner));
-        return c;
+        condition.kind = Condition::Kind::kNot;
+        condition.operands.push_back(std::move(inner));
+        return condition;
       }
       case 4:
-        c.constant = *rc::gen::arbitrary<bool>();
-        return c;
+        condition.constant = *rc::gen::arbitrary<bool>();
+        return condition;
       default:
         return *ComparisonGen();
     }
@@ -159,12 +161,12 @@
       rule.action.kind =
           *rc::gen::element(RuleAction::Kind::kRedrive, RuleAction::Kind::kHold, RuleAction::Kind::kDrop);
       if (rule.action.kind == RuleAction::Kind::kRedrive) {
-        RedriveAction& r = rule.action.redrive;
-        r.rate_per_second = *rc::gen::inRange(1, 500) / *rc::gen::element(1.0, 60.0, 3600.0, 86400.0);
-        r.max_redrives = *rc::gen::inRange(1, 1001);
-        r.max_age = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000'000));
-        r.call_deadline = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000));
-        r.healthy_for = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000));
+        RedriveAction& redrive = rule.action.redrive;
+        redrive.rate_per_second = *rc::gen::inRange(1, 500) / *rc::gen::element(1.0, 60.0, 3600.0, 86400.0);
+        redrive.max_redrives = *rc::gen::inRange(1, 1001);
+        redrive.max_age = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000'000));
+        redrive.call_deadline = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000));
+        redrive.healthy_for = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000));
       }
       set.rules.push_back(std::move(rule));
     }
@@ -177,7 +179,9 @@
 namespace rc {
 template <>
 struct Arbitrary<sagetally::dead_letter::DeadLetter> {
-  static Gen<sagetally::dead_letter::DeadLetter> arbitrary() { return sagetally::dead_letter::MessageGen(); }
+  static Gen<sagetally::dead_letter::DeadLetter> arbitrary() {
+    return sagetally::dead_letter::DeadLetterGen();
+  }
 };
 template <>
 struct Arbitrary<sagetally::dead_letter::RuleSet> {
--- a/tests/dead_letter/store_test.cpp
+++ b/tests/dead_letter/store_test.cpp
@@ -1,4 +1,4 @@
-// The store of kept messages: what it finds, what it evicts, old and damaged files.
+// The dead-letter store: what it finds, what it evicts, old and damaged files.
 #include <sqlite3.h>
 #include <sys/stat.h>
 
@@ -16,29 +16,29 @@
 namespace sagetally::dead_letter {
 namespace {
 
-Database::Settings At(const Folder& folder) {
+Database::Settings SettingsIn(const Folder& folder) {
   Database::Settings settings;
   settings.path = folder.path + "/kept.db";
   settings.max_age = std::chrono::hours(100'000'000 / 3600);
   return settings;
 }
 
-DeadLetter Plain(std::uint64_t number, const std::string& name = "aviso", std::size_t body = 10) {
-  DeadLetter k;
-  k.id = {"n0", number};
-  k.class_name = name;
-  k.request.id = "m" + std::to_string(number);
-  k.request.body = std::string(body, 'b');
-  k.body_size = body;
-  k.final_status = FinalStatus::kFailed;
-  k.ended_at = Time(static_cast<std::int64_t>(number));
-  return k;
+DeadLetter FailedMessage(std::uint64_t number, const std::string& name = "aviso", std::size_t body = 10) {
+  DeadLetter dead_letter;
+  dead_letter.id = {"n0", number};
+  dead_letter.class_name = name;
+  dead_letter.request.id = "m" + std::to_string(number);
+  dead_letter.request.body = std::string(body, 'b');
+  dead_letter.body_size = body;
+  dead_letter.final_status = FinalStatus::kFailed;
+  dead_letter.ended_at = Time(static_cast<std::int64_t>(number));
+  return dead_letter;
 }
 
-void SqlAndMatchesFindTheSame() {
+void FiltersFindInSqlWhatMatchesFinds() {
   assert(rc::check("filters", [](const std::vector<DeadLetter>& messages, const Condition& printed) {
     const Folder folder;
-    Database::Settings settings = At(folder);
+    Database::Settings settings = SettingsIn(folder);
     settings.rows_before_index = *rc::gen::inRange(0, 5);  // rows first, then the index
     Database db(settings);
     const Time now(80'000'000);
@@ -46,57 +46,57 @@
     std::vector<Database::Entry> entries;
     std::size_t expected = 0;
     std::uint64_t number = 0;
-    for (DeadLetter k : messages) {
-      k.id.number = ++number;
-      entries.push_back({k, false, Time(0), {}});
-      expected += Matches(filter, k, now);
+    for (DeadLetter dead_letter : messages) {
+      dead_letter.id.number = ++number;
+      entries.push_back({dead_letter, false, Time(0), {}});
+      expected += Matches(filter, dead_letter, now);
     }
     db.Store(entries);
     const Database::Page page = db.List(filter, now, std::nullopt, 1000);
     RC_ASSERT(page.messages.size() == expected);
     RC_ASSERT(db.Count(filter, now) == static_cast<std::int64_t>(expected));
-    for (const DeadLetter& k : page.messages) RC_ASSERT(Matches(filter, k, now));
+    for (const DeadLetter& dead_letter : page.messages) RC_ASSERT(Matches(filter, dead_letter, now));
   }));
 }
 
-void WhatIsKeptIsReadAsItWas() {
+void StoredMessagesAreReadUnchanged() {
   const Folder folder;
-  Database db(At(folder));
-  DeadLetter k = Plain(7);
-  k.request.body = std::string("\0\xff\r\n", 4);
-  k.body_size = 4;
-  k.request.protocol = IngressProtocol::kCloudEvents;
-  k.request.attributes = {{"source", "/shop"}, {"type", "order"}};
-  k.history = {{{Time(5), Time(6), 7}, "s-1", Outcome::kRejected, std::chrono::milliseconds(250)},
-               {{Time(8), Time(9), 7}, "s-2", std::nullopt, Duration(0)}};
-  k.attempts = 2;
-  k.first_uncertain_attempt = k.history[1].sent_at;
-  k.first_uncertain_endpoint = "s-2";
-  const Database::Entry entry{k, false, Time(0), 5};
+  Database db(SettingsIn(folder));
+  DeadLetter dead_letter = FailedMessage(7);
+  dead_letter.request.body = std::string("\0\xff\r\n", 4);
+  dead_letter.body_size = 4;
+  dead_letter.request.protocol = IngressProtocol::kCloudEvents;
+  dead_letter.request.attributes = {{"source", "/shop"}, {"type", "order"}};
+  dead_letter.history = {{{Time(5), Time(6), 7}, "s-1", Outcome::kRejected, std::chrono::milliseconds(250)},
+                         {{Time(8), Time(9), 7}, "s-2", std::nullopt, Duration(0)}};
+  dead_letter.attempts = 2;
+  dead_letter.first_uncertain_attempt = dead_letter.history[1].sent_at;
+  dead_letter.first_uncertain_endpoint = "s-2";
+  const Database::Entry entry{dead_letter, false, Time(0), 5};
   db.Store({entry});
   db.Store({entry});  // twice is once
-  assert(db.Count(Condition(), Time(0)) == 1 && db.Show(k.id, true) == k);
+  assert(db.Count(Condition(), Time(0)) == 1 && db.Show(dead_letter.id, true) == dead_letter);
   struct stat mode {};
   assert(::stat((folder.path + "/kept.db").c_str(), &mode) == 0 && (mode.st_mode & 0777) == 0600);
   // The same number for another message: the clock was set back while the journal was empty.
-  DeadLetter other = Plain(7);
+  DeadLetter other = FailedMessage(7);
   other.ended_at = Time(99);
   db.Store({{other, false, Time(0), {}}});
   assert(db.Count(Condition(), Time(0)) == 2 && db.HighestNumber("n0") == 8);
 }
 
-void OnlyOneResendIsUnderWayAndItsResultCountsOnce() {
+void OneRedriveIsInFlightAndItsResultCountsOnce() {
   const Folder folder;
-  Database db(At(folder));
-  db.Store({{Plain(1), false, Time(0), 11}});
+  Database db(SettingsIn(folder));
+  db.Store({{FailedMessage(1), false, Time(0), 11}});
   std::optional<DeadLetter> claimed = db.Claim({"n0", 1}, "r");
   assert(claimed && claimed->request.body.size() == 10 && !db.Claim({"n0", 1}, "r"));
-  assert(db.MarkResubmitted(11, 2) == 0);  // too late: it is being sent
+  assert(db.MarkResubmitted(11, 2) == 0);  // too late: a redrive is in flight
   DeadLetter result = *claimed;
   result.attempts = 2;
   result.history.resize(2);
   result.final_status = FinalStatus::kRejected;
-  for (int i = 0; i < 2; ++i) db.Store({{result, true, Time(500), 11}});  // told twice
+  for (int i = 0; i < 2; ++i) db.Store({{result, true, Time(500), 11}});  // stored twice
   const DeadLetter after = *db.Show({"n0", 1}, false);
   assert(after.state == DeadLetterState::kStored && after.redrives == 1 && after.attempts == 2 &&
          after.final_status == FinalStatus::kFailed);
@@ -104,7 +104,7 @@
   assert(db.MarkResubmitted(11, 1) == 0 && db.MarkResubmitted(11, 2) == 1);  // only by a later message
   assert(!db.Claim({"n0", 1}, "r"));
   // Claimed by a process that died before its journal knew.
-  db.Store({{Plain(2), false, Time(0), {}}, {Plain(3), false, Time(0), {}}});
+  db.Store({{FailedMessage(2), false, Time(0), {}}, {FailedMessage(3), false, Time(0), {}}});
   assert(db.Claim({"n0", 2}, "r") && db.Claim({"n0", 3}, "r"));
   assert(db.Reconcile({{"n0", 2}}, false, Time(9)) == 1);
   assert(db.Show({"n0", 2}, false)->state == DeadLetterState::kClaimed &&
@@ -113,16 +113,16 @@
          db.Show({"n0", 2}, false)->first_uncertain_attempt);  // the journal is gone
 }
 
-void EvictionTakesTheLeastWorthAndTheOldest() {
+void EvictionTakesTheLowestPriorityAndTheOldest() {
   const Folder folder;
-  Database::Settings settings = At(folder);
+  Database::Settings settings = SettingsIn(folder);
   settings.budget_bytes = 2'000'000;
   Database db(settings);
   std::vector<Database::Entry> entries;
   for (std::uint64_t n = 1; n <= 300; ++n) {
-    DeadLetter k = Plain(n, n % 3 == 0 ? "pagamento" : "aviso", 10'000);
-    k.priority_weight = n % 3 == 0 ? 5 : 1;
-    entries.push_back({k, false, Time(0), {}});
+    DeadLetter dead_letter = FailedMessage(n, n % 3 == 0 ? "pagamento" : "aviso", 10'000);
+    dead_letter.priority_weight = n % 3 == 0 ? 5 : 1;
+    entries.push_back({dead_letter, false, Time(0), {}});
   }
   for (std::size_t i = 0; i < entries.size(); i += 20) {
     db.Store({entries.begin() + static_cast<std::ptrdiff_t>(i),
@@ -140,11 +140,11 @@
   assert(by_age.for_age > 0 && by_age.for_space == 0);
 }
 
-void RulesAreSpreadByTheirRateAndSeenOnce() {
+void BlockedRulesAreSpreadByTheirRateAndReviewedOnce() {
   const Folder folder;
-  Database db(At(folder));
+  Database db(SettingsIn(folder));
   std::vector<Database::Entry> entries;
-  for (std::uint64_t n = 1; n <= 40; ++n) entries.push_back({Plain(n), false, Time(0), {}});
+  for (std::uint64_t n = 1; n <= 40; ++n) entries.push_back({FailedMessage(n), false, Time(0), {}});
   db.Store(entries);
   ReviewSettings site;
   site.class_names = {"aviso"};
@@ -176,7 +176,7 @@
   assert(db.Due({slow, site, first + 2, later, {}, 50}, pacer).list.size() == 39);
 }
 
-void OlderFilesAreBroughtUpToDateAndNewerOnesRefused() {
+void OlderSchemasAreMigratedAndNewerOnesRefused() {
   const Folder folder;
   const std::string path = folder.path + "/kept.db";
   sqlite3* raw = nullptr;
@@ -190,77 +190,81 @@
   assert(sqlite3_exec(raw, v1.c_str(), nullptr, nullptr, nullptr) == SQLITE_OK);
   sqlite3_close(raw);
   {
-    Database db(At(folder));
+    Database db(SettingsIn(folder));
     assert(db.Show({"n0", 5}, true)->request.body == "x");
-    db.Store({{Plain(6), false, Time(0), 3}});
+    db.Store({{FailedMessage(6), false, Time(0), 3}});
     assert(db.Identities().size() == 1);
   }
   assert(sqlite3_open(path.c_str(), &raw) == SQLITE_OK);
   assert(sqlite3_exec(raw, "PRAGMA user_version = 9", nullptr, nullptr, nullptr) == SQLITE_OK);
   sqlite3_close(raw);
-  std::optional<JobError> error = ReopeningDatabase(At(folder)).Run([](Database&) {});
+  std::optional<JobError> error = ReopeningDatabase(SettingsIn(folder)).Run([](Database&) {});
   assert(error && error->kind == StoreError::Kind::kNewerSchema &&
          error->what.find("version 9") != error->what.npos);
   assert(!error->file_replaced);
 }
 
-void DamagedLockedAndMissingFilesAreSaid() {
+void DamagedLockedAndMissingFilesAreReported() {
   const Folder folder;
-  ReopeningDatabase store(At(folder));
+  ReopeningDatabase store(SettingsIn(folder));
   const std::string path = folder.path + "/kept.db";
-  const auto keep = [&](std::uint64_t n) {
-    return store.Run([&](Database& db) { db.Store({{Plain(n, "aviso", 5000), false, Time(0), {}}}); });
+  const auto store_message = [&](std::uint64_t n) {
+    return store.Run([&](Database& db) {
+      db.Store({{FailedMessage(n, "aviso", 5000), false, Time(0), {}}});
+    });
   };
-  for (std::uint64_t n = 1; n <= 50; ++n) assert(!keep(n));
+  for (std::uint64_t n = 1; n <= 50; ++n) assert(!store_message(n));
   // Locked by another process.
   sqlite3* raw = nullptr;
   assert(sqlite3_open(path.c_str(), &raw) == SQLITE_OK);
   assert(sqlite3_exec(raw, "BEGIN EXCLUSIVE", nullptr, nullptr, nullptr) == SQLITE_OK);
-  std::optional<JobError> error = keep(51);
+  std::optional<JobError> error = store_message(51);
   assert(error && error->kind == StoreError::Kind::kBusy && !error->file_replaced);
   sqlite3_exec(raw, "ROLLBACK", nullptr, nullptr, nullptr);
   sqlite3_close(raw);
-  assert(!keep(51));
+  assert(!store_message(51));
   // Removed under a running node.
   std::filesystem::remove(path);
-  error = keep(52);
-  assert(error && error->file_replaced && !keep(52));
+  error = store_message(52);
+  assert(error && error->file_replaced && !store_message(52));
   // Cut to a part of its pages.
-  ReopeningDatabase(At(folder)).Run([&](Database& db) {
-    for (std::uint64_t n = 1; n <= 50; ++n) db.Store({{Plain(n, "aviso", 5000), false, Time(0), {}}});
+  ReopeningDatabase(SettingsIn(folder)).Run([&](Database& db) {
+    for (std::uint64_t n = 1; n <= 50; ++n) db.Store({{FailedMessage(n, "aviso", 5000), false, Time(0), {}}});
   });
   for (const char* part : {"-wal", "-shm"}) std::filesystem::remove(path + part);
   std::filesystem::resize_file(path, std::filesystem::file_size(path) / 2 + 100);
-  ReopeningDatabase cut(At(folder));
+  ReopeningDatabase cut(SettingsIn(folder));
   const auto use = [](Database& db) {
     db.ForEach(Condition(), Time(0), true, [](const DeadLetter&) { return true; });
-    db.Store({{Plain(99), false, Time(0), {}}});
+    db.Store({{FailedMessage(99), false, Time(0), {}}});
   };
   error = cut.Run(use);
   assert(error && error->kind == StoreError::Kind::kDamaged && error->file_replaced);
   assert(!cut.Run(use));
   // Nonsense in the place of its pages.
-  ReopeningDatabase(At(folder)).Run([](Database&) {});
+  ReopeningDatabase(SettingsIn(folder)).Run([](Database&) {});
   for (const char* part : {"-wal", "-shm"}) std::filesystem::remove(path + part);
   std::ofstream(path, std::ios::binary | std::ios::trunc) << std::string(20000, 'z');
-  ReopeningDatabase second(At(folder));
+  ReopeningDatabase second(SettingsIn(folder));
   error = second.Run([](Database&) {});
   assert(error && error->file_replaced && !error->what.empty());
   assert(!second.Run([](Database& db) { assert(db.Count(Condition(), Time(0)) == 0); }));
 }
 
-void AFullStoreSaysSo() {
+void AFullStoreIsReported() {
   const Folder folder;
-  Database::Settings settings = At(folder);
+  Database::Settings settings = SettingsIn(folder);
   settings.budget_bytes = 1'000'000;
   ReopeningDatabase store(settings);
   std::optional<JobError> error;
   for (std::uint64_t n = 1; n <= 100 && !error; ++n) {
-    error = store.Run([&](Database& db) { db.Store({{Plain(n, "aviso", 60'000), false, Time(0), {}}}); });
+    error = store.Run([&](Database& db) {
+      db.Store({{FailedMessage(n, "aviso", 60'000), false, Time(0), {}}});
+    });
   }
   assert(error && error->kind == StoreError::Kind::kFull);
   assert(!store.Run([](Database& db) { assert(db.Evict(Time(1000)).for_space > 0); }));
-  assert(!store.Run([&](Database& db) { db.Store({{Plain(200), false, Time(0), {}}}); }));
+  assert(!store.Run([&](Database& db) { db.Store({{FailedMessage(200), false, Time(0), {}}}); }));
 }
 
 }  // namespace
@@ -268,13 +272,13 @@
 
 int main() {
   using namespace sagetally::dead_letter;
-  SqlAndMatchesFindTheSame();
-  WhatIsKeptIsReadAsItWas();
-  OnlyOneResendIsUnderWayAndItsResultCountsOnce();
-  EvictionTakesTheLeastWorthAndTheOldest();
-  RulesAreSpreadByTheirRateAndSeenOnce();
-  OlderFilesAreBroughtUpToDateAndNewerOnesRefused();
-  DamagedLockedAndMissingFilesAreSaid();
-  AFullStoreSaysSo();
+  FiltersFindInSqlWhatMatchesFinds();
+  StoredMessagesAreReadUnchanged();
+  OneRedriveIsInFlightAndItsResultCountsOnce();
+  EvictionTakesTheLowestPriorityAndTheOldest();
+  BlockedRulesAreSpreadByTheirRateAndReviewedOnce();
+  OlderSchemasAreMigratedAndNewerOnesRefused();
+  DamagedLockedAndMissingFilesAreReported();
+  AFullStoreIsReported();
   std::puts("8 passed, 0 failed");
 }
