--- a/src/policy/message_queues.h
+++ b/src/policy/message_queues.h
@@ -59,7 +59,7 @@
   state.messages.erase(message.id);
 }
 
-// The message is owed no answer any more. It is kept while its last attempt is in flight.
+// The message is owed no answer any more. It is erased once its last attempt has ended.
 inline void EndMessage(PolicyState& state, Message& message) {
   Dequeue(state, message);
   message.has_ended = true;
@@ -167,7 +167,7 @@
 inline Message* FindLeastValuable(const PolicyState& state) {
   Minimum<Message*> least;
   for (const auto& [number, destination] : state.active) {
-    // What waits ahead at the pace: a message far back is worth little more than nothing.
+    // What waits ahead at the pace: a message far back counts for little.
     const double pace = destination->endpoints.empty() ? 0.0 : destination->endpoints.front()->scope->pace;
     const double seconds_ahead = pace > 0 ? destination->waiting_count / pace : 0.0;
     for (const auto* queues : {&destination->relegated, &destination->ready}) {
--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -173,7 +173,7 @@
 
 inline void CompleteAttempt(PolicyState& state, Message& message, const AttemptCompleted& event) {
   Call& call = *std::exchange(message.call, nullptr);
-  // The messages of a call share its outcome, but may be told waits of different length.
+  // The messages of a call share its outcome, but their Retry-After may differ.
   call.at_deadline = message.deadline <= state.now + kMinAnswerTime;
   if (!call.outcome_recorded) RecordOutcome(state, call, event);
   call.outcome_recorded = true;
