--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,4 +1,4 @@
-// The example of the README: a delivery node that takes one message and asks what to do with it.
+// The example of the README: a dispatcher that accepts one message and asks the policy what to do with it.
 #include <cstdio>
 #include <variant>
 #include <vector>
@@ -14,7 +14,7 @@
   settings.max_concurrent_calls = 4;
   settings.max_pending_messages = 100;
   settings.max_attempts = 5;
-  sagetally::DispatchPolicy sender(settings, /*seed=*/1);
+  sagetally::DispatchPolicy policy(settings, /*seed=*/1);
 
   std::vector<sagetally::Event> events;
   events.push_back(
@@ -23,10 +23,10 @@
   events.push_back(sagetally::MessageAccepted{.id = "order-1", .destination = 7, .time_left = 20s});
 
   std::vector<sagetally::Action> actions;
-  sender.Process(/*now=*/0s, events, actions);
+  policy.Process(/*now=*/0s, events, actions);
   for (const sagetally::Action& action : actions) {
-    if (const auto* send = std::get_if<sagetally::StartAttempt>(&action)) {
-      std::printf("send %s to %s\n", send->id.c_str(), send->endpoint.c_str());
+    if (const auto* attempt = std::get_if<sagetally::StartAttempt>(&action)) {
+      std::printf("send %s to %s\n", attempt->id.c_str(), attempt->endpoint.c_str());
     }
   }
 }
--- a/tests/policy/growth_test.cpp
+++ b/tests/policy/growth_test.cpp
@@ -1,4 +1,5 @@
-// Guards the memory on a day on which endpoints are replaced without end: what the module keeps levels off.
+// Guards the memory on a day on which endpoints are replaced without end: what the policy remembers levels
+// off.
 #undef NDEBUG
 #include <cassert>
 #include <cstdio>
@@ -48,7 +49,7 @@
   settings.overload_multiple = 1.5;
   settings.overload_duration = 1500ms;
   settings.warm_up_time = 11s;
-  DispatchPolicy sender(settings, 1);
+  DispatchPolicy policy(settings, 1);
   Time now = 1000s;
   std::vector<Action> actions;
   const auto name = [](int i) { return "s-" + std::to_string(i); };
@@ -60,22 +61,22 @@
     if (i > 0) list.endpoints.push_back({name(i - 1), 7, 0, 0, 50, EndpointRecord::State::kRemoved});
     MessageAccepted message{std::to_string(i), 7, i % 2, 9s, "key" + std::to_string(i)};
     actions.clear();
-    sender.Process(now, std::vector<Event>{list, message}, actions);
+    policy.Process(now, std::vector<Event>{list, message}, actions);
     // Every fourth call breaks and may still run; whatever becomes of it, it ends here.
-    std::vector<Event> back;
+    std::vector<Event> outcomes;
     for (const Action& action : actions) {
-      if (const StartAttempt* send = std::get_if<StartAttempt>(&action)) {
-        AttemptCompleted ended;
-        ended.id = send->id;
-        ended.outcome = i % 4 == 0 ? Outcome::kReset : Outcome::kOk;
-        ended.message_ended = true;
-        ended.latency = 50ms;
-        back.push_back(ended);
+      if (const auto* attempt = std::get_if<StartAttempt>(&action)) {
+        AttemptCompleted completed;
+        completed.id = attempt->id;
+        completed.outcome = i % 4 == 0 ? Outcome::kReset : Outcome::kOk;
+        completed.message_ended = true;
+        completed.latency = 50ms;
+        outcomes.push_back(completed);
       }
     }
     now += 50ms;
     actions.clear();
-    sender.Process(now, back, actions);
+    policy.Process(now, outcomes, actions);
     if (i == 500) early = live_blocks;
   }
   std::printf("%ld blocks after 500 replacements, %ld after 3,000\n", early, live_blocks);
--- a/tests/policy/random_rules_test.cpp
+++ b/tests/policy/random_rules_test.cpp
@@ -1,5 +1,5 @@
-// Drives Step through long seeded sequences of legal events and checks the six rules from outside, with its
-// own books. The outcomes are scripted by chance; it simulates no servers.
+// Runs the policy on long seeded sequences of legal events and checks its promises from outside, with records
+// of its own. The outcomes are drawn by chance; no servers are simulated.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "../app/node.h"
+#include "policy_driver.h"
 
 namespace sagetally {
 namespace {
@@ -19,24 +19,24 @@
   AttemptCompleted end;
 };
 
-struct Known {  // the books on one message
-  int cls = 0, destination = 0, attempts = 0;
-  std::uint64_t taken = 0;
+struct MessageRecord {  // what the checker knows of one message
+  int message_class = 0, destination = 0, attempts = 0;
+  std::uint64_t sequence = 0;
   Time deadline{0};
   std::string key;
-  bool out = false, over = false;
-  std::optional<Time> may_have_run;
+  bool in_flight = false, has_ended = false;
+  std::optional<Time> uncertain_since;
 };
 
-class Books {
+class RuleChecker {
  public:
-  Books(std::uint64_t seed, Settings s) : s_(s), sender_(s, seed), random_(seed) {}
+  RuleChecker(std::uint64_t seed, Settings s) : settings_(s), policy_(s, seed), random_(seed) {}
 
   void Run() {
     for (int d = 0; d < 4; ++d) {
       for (int e = 0; e < 2; ++e) {
         const std::string id = "e" + std::to_string(d) + std::to_string(e);
-        entries_.push_back(At(id, d % 3, d, 4));
+        entries_.push_back(EndpointAt(id, d % 3, d, 4));
         up_[id] = true;
       }
     }
@@ -47,20 +47,20 @@
         events.push_back(
             EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot, .endpoints = entries_});
       if (Chance(0.002)) Toggle(now, events);
-      if (Chance(0.002)) mood_[Pick(4)] = Pick(4);
-      if (now < 30s && Chance(0.15)) Take(now, events);
+      if (Chance(0.002)) behaviour_[Pick(4)] = Pick(4);
+      if (now < 30s && Chance(0.15)) Accept(now, events);
       if (Chance(0.001) && !known_.empty()) Withdraw(events);
       for (auto at = flights_.begin(); at != flights_.end();) {
         if (at->due > now) {
           ++at;
           continue;
         }
-        Land(now, *at, events);
+        Complete(now, *at, events);
         at = flights_.erase(at);
       }
       for (auto& [id, m] : known_) {
-        if (!m.over) {
-          ASSERT_LE(now, m.deadline + s_.response_slack) << "no answer in time: " << id;
+        if (!m.has_ended) {
+          ASSERT_LE(now, m.deadline + settings_.response_slack) << "no answer in time: " << id;
         }
       }
       if (now >= wake) {
@@ -69,19 +69,19 @@
       }
       if (events.empty()) continue;
       std::vector<Action> actions;
-      sender_.Process(now, events, actions);
-      for (const auto& [id, t] : waits_told_) waits_[id] = std::max(waits_[id], t);
-      waits_told_.clear();
+      policy_.Process(now, events, actions);
+      for (const auto& [id, t] : new_waits_) retry_after_until_[id] = std::max(retry_after_until_[id], t);
+      new_waits_.clear();
       calls_now_.clear();
       for (const Action& action : actions) {
-        if (const auto* send = std::get_if<StartAttempt>(&action)) Check(now, *send);
-        if (const auto* refuse = std::get_if<RejectMessage>(&action)) Check(now, *refuse);
+        if (const auto* attempt = std::get_if<StartAttempt>(&action)) Check(now, *attempt);
+        if (const auto* rejection = std::get_if<RejectMessage>(&action)) Check(now, *rejection);
         if (const auto* fail = std::get_if<FailMessage>(&action)) End(now, fail->id);
-        if (const auto* cancel = std::get_if<CancelAttempt>(&action)) CallOff(now, *cancel);
+        if (const auto* cancel = std::get_if<CancelAttempt>(&action)) Cancel(now, *cancel);
         if (const auto* w = std::get_if<ScheduleTimer>(&action)) wake = std::min(wake, now + w->delay);
         if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
           CheckReach(now, probe->endpoint, false);
-          EXPECT_TRUE(s_.health_checks_allowed);
+          EXPECT_TRUE(settings_.health_checks_allowed);
           flights_.push_back({now + 50ms, {}});
           flights_.back().end.id = "probe " + probe->endpoint;
         }
@@ -90,13 +90,13 @@
     }
     EXPECT_GT(known_.size(), 300u);
     EXPECT_GT(delivered_, 50);
-    for (const auto& [id, m] : known_) EXPECT_TRUE(m.over) << id;
+    for (const auto& [id, m] : known_) EXPECT_TRUE(m.has_ended) << id;
   }
 
  private:
   bool Chance(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
   int Pick(int n) { return std::uniform_int_distribution<int>(0, n - 1)(random_); }
-  std::string LaneOf(const std::string& e) const { return e[1] == '1' ? e : e.substr(0, 2); }
+  std::string ScopeOf(const std::string& e) const { return e[1] == '1' ? e : e.substr(0, 2); }
 
   void Toggle(Time now, std::vector<Event>& events) {
     EndpointRecord entry = entries_[static_cast<std::size_t>(Pick(static_cast<int>(entries_.size())))];
@@ -104,54 +104,56 @@
     if (!up_[entry.endpoint]) {
       entry.state = Chance(0.5) ? EndpointRecord::State::kDraining : EndpointRecord::State::kRemoved;
     }
-    told_down_[entry.endpoint] = now;
+    removed_at_[entry.endpoint] = now;
     events.push_back(EndpointListUpdated{.endpoints = {entry}});
   }
 
-  void Take(Time now, std::vector<Event>& events) {
+  void Accept(Time now, std::vector<Event>& events) {
     const std::string id = "m" + std::to_string(known_.size());
-    Known m;
-    m.cls = Pick(3);
+    MessageRecord m;
+    m.message_class = Pick(3);
     m.destination = Pick(4);
-    m.taken = known_.size();
-    const Duration left = s_.classes[m.cls].deadline - milliseconds_(Chance(0.2) ? Pick(9000) : 0);
+    m.sequence = known_.size();
+    const Duration left =
+        settings_.classes[m.message_class].deadline - Milliseconds(Chance(0.2) ? Pick(9000) : 0);
     m.deadline = now + left;
-    if (s_.classes[m.cls].ordered_by_key) m.key = "k" + std::to_string(Pick(6));
-    events.push_back(Node::Taken(id, m.cls, left, m.key, m.destination));
+    if (settings_.classes[m.message_class].ordered_by_key) m.key = "k" + std::to_string(Pick(6));
+    events.push_back(PolicyDriver::Accepted(id, m.message_class, left, m.key, m.destination));
     known_[id] = m;
   }
-  static Duration milliseconds_(int n) { return std::chrono::milliseconds(n); }
+  static Duration Milliseconds(int n) { return std::chrono::milliseconds(n); }
 
   void Withdraw(std::vector<Event>& events) {
     auto at = known_.begin();
     std::advance(at, Pick(static_cast<int>(known_.size())));
-    at->second.over = true;
+    at->second.has_ended = true;
     events.push_back(MessageWithdrawn{at->first});
   }
 
-  void Land(Time now, Flight& flight, std::vector<Event>& events) {
+  void Complete(Time now, Flight& flight, std::vector<Event>& events) {
     if (flight.end.id.rfind("probe ", 0) == 0) {
       failures_[flight.end.id.substr(6)] = 0;
       reached_[flight.end.id.substr(6)].clear();
       events.push_back(HealthCheckCompleted{flight.end.id.substr(6), Outcome::kOk, 50ms, {}});
       return;
     }
-    Known& m = known_[flight.end.id];
-    m.out = false;
+    MessageRecord& m = known_[flight.end.id];
+    m.in_flight = false;
     const Outcome o = flight.end.outcome;
     if (o == Outcome::kOk) {
       answered_.emplace_back(endpoint_[flight.end.id], sent_[flight.end.id]);
-      if (!m.over) ++delivered_;
-      m.over = true;
+      if (!m.has_ended) ++delivered_;
+      m.has_ended = true;
     }
-    flight.end.message_ended = m.over;
+    flight.end.message_ended = m.has_ended;
     if (o == Outcome::kError || o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled) {
-      if (!m.may_have_run) m.may_have_run = sent_[flight.end.id];
-      if (o != Outcome::kError && !m.key.empty()) quiet_[m.key] = {now + s_.key_quiet_time, flight.end.id};
+      if (!m.uncertain_since) m.uncertain_since = sent_[flight.end.id];
+      if (o != Outcome::kError && !m.key.empty())
+        quiet_[m.key] = {now + settings_.key_quiet_time, flight.end.id};
     }
     if (flight.end.retry_after > 0ms) {
-      const std::string lane = LaneOf(endpoint_[flight.end.id]);
-      waits_told_.push_back({lane, now + flight.end.retry_after});
+      const std::string scope = ScopeOf(endpoint_[flight.end.id]);
+      new_waits_.push_back({scope, now + flight.end.retry_after});
     }
     // The call itself is over when its last member is.
     const auto call = call_of_[flight.end.id];
@@ -165,15 +167,15 @@
     events.push_back(flight.end);
   }
 
-  void CallOff(Time now, const CancelAttempt& cancel) {
-    const Known& m = known_.at(cancel.id);
-    ASSERT_TRUE(s_.cancellation_allowed && m.out);
+  void Cancel(Time now, const CancelAttempt& cancel) {
+    const MessageRecord& m = known_.at(cancel.id);
+    ASSERT_TRUE(settings_.cancellation_allowed && m.in_flight);
     ASSERT_EQ(cancel.attempt, m.attempts - 1);
     const auto later = std::ranges::count_if(answered_, [&](const auto& call) {
       return call.first == endpoint_[cancel.id] && call.second > sent_[cancel.id];
     });
-    ASSERT_GE(later, s_.classes[m.cls].idempotency == Idempotency::kNotIdempotent ? 4 : 2)
-        << "given up without evidence";
+    ASSERT_GE(later, settings_.classes[m.message_class].idempotency == Idempotency::kNotIdempotent ? 4 : 2)
+        << "cancelled without evidence";
     for (Flight& flight : flights_) {
       if (flight.end.id != cancel.id) continue;
       flight.due = now + 10ms;
@@ -183,57 +185,58 @@
   }
 
   void CheckReach(Time now, const std::string& endpoint, bool same_call) {
-    const auto wait = waits_.find(LaneOf(endpoint));
-    if (wait != waits_.end()) {
-      ASSERT_LE(wait->second, now) << "wait not heeded";
+    const auto wait = retry_after_until_.find(ScopeOf(endpoint));
+    if (wait != retry_after_until_.end()) {
+      ASSERT_LE(wait->second, now) << "Retry-After ignored";
     }
     if (!up_[endpoint]) {
-      ASSERT_LE(now, told_down_[endpoint]) << "drain not kept";
+      ASSERT_LE(now, removed_at_[endpoint]) << "sent to a draining endpoint";
     }
     ASSERT_TRUE(up_[endpoint]);
     if (same_call || failures_[endpoint] < 2) return;
-    // Fail-back: after the second failed call in a row and until a call or probe succeeds.
+    // Recovery budget: after the second failed call in a row and until a call or probe succeeds.
     // A listed endpoint's part of the rate grows while the other one of its destination is not.
     const std::string other = endpoint.substr(0, 2) + (endpoint[2] == '0' ? "1" : "0");
-    const auto changed = told_down_.find(other);
-    const bool lone = !up_[other] || (changed != told_down_.end() && now < changed->second + 6s);
-    const double rate = LaneOf(endpoint) == endpoint || lone ? 4.0 : 2.0;
-    // Of all senders: one that has all the traffic may use it all (decide_test counts them together).
-    const double budget = s_.cold_capacity_fraction * s_.overload_multiple * rate * 3.0;
+    const auto changed = removed_at_.find(other);
+    const bool lone = !up_[other] || (changed != removed_at_.end() && now < changed->second + 6s);
+    const double rate = ScopeOf(endpoint) == endpoint || lone ? 4.0 : 2.0;
+    // Of all dispatchers: one that has all the traffic may use it all (recovery_budget_test counts them
+    // together).
+    const double budget = settings_.cold_capacity_fraction * settings_.overload_multiple * rate * 3.0;
     std::vector<Time>& reached = reached_[endpoint];
     reached.push_back(now);
     const auto in_window =
         std::count_if(reached.begin(), reached.end(), [&](Time t) { return t > now - 3s; });
-    // Credit is kept by destination, and chance may send both endpoints' part to one: the rule grants three
-    // more.
+    // The budget is kept by destination, and chance may send both endpoints' part to one: the rule grants
+    // three more.
     ASSERT_LE(static_cast<double>(in_window), 1 + std::ceil(budget)) << "pushed over " << endpoint;
   }
 
-  void Check(Time now, const StartAttempt& send) {
-    Known& m = known_.at(send.id);
-    ASSERT_FALSE(m.over) << "sent after its end";
-    ASSERT_FALSE(m.out) << "two attempts out";
-    ASSERT_EQ(send.endpoint[1] - '0', m.destination);
-    const ClassSettings& c = s_.classes[m.cls];
-    if (m.may_have_run) {
+  void Check(Time now, const StartAttempt& attempt) {
+    MessageRecord& m = known_.at(attempt.id);
+    ASSERT_FALSE(m.has_ended) << "sent after its end";
+    ASSERT_FALSE(m.in_flight) << "two attempts in flight";
+    ASSERT_EQ(attempt.endpoint[1] - '0', m.destination);
+    const ClassSettings& c = settings_.classes[m.message_class];
+    if (m.uncertain_since) {
       ASSERT_NE(c.idempotency, Idempotency::kNotIdempotent) << "effect twice";
       if (c.idempotency == Idempotency::kIdempotentWithKey) {
-        ASSERT_LE(now, *m.may_have_run + c.deduplication_window) << "key forgotten";
+        ASSERT_LE(now, *m.uncertain_since + c.deduplication_window) << "key forgotten";
       }
     }
     if (!m.key.empty()) {
       for (const auto& [id, other] : known_) {
-        if (other.key == m.key && other.taken < m.taken) {
-          ASSERT_FALSE(!other.over || other.out) << "order";
+        if (other.key == m.key && other.sequence < m.sequence) {
+          ASSERT_FALSE(!other.has_ended || other.in_flight) << "order";
         }
       }
       const auto quiet = quiet_.find(m.key);
-      if (quiet != quiet_.end() && quiet->second.second != send.id) {
+      if (quiet != quiet_.end() && quiet->second.second != attempt.id) {
         ASSERT_LE(quiet->second.first, now);
       }
     }
-    const int most = s_.kinds[m.destination % 3].max_batch_size;
-    auto& [call, members] = calls_now_[send.endpoint];
+    const int most = settings_.kinds[m.destination % 3].max_batch_size;
+    auto& [call, members] = calls_now_[attempt.endpoint];
     const bool same = members > 0 && members < most;
     if (!same) {
       call = ++calls_;
@@ -241,22 +244,22 @@
       ++calls_out_;
     }
     ++members;
-    ASSERT_LE(calls_out_, s_.max_concurrent_calls) << "beyond the slots";
-    CheckReach(now, send.endpoint, same);
+    ASSERT_LE(calls_out_, settings_.max_concurrent_calls) << "beyond the call limit";
+    CheckReach(now, attempt.endpoint, same);
     if (::testing::Test::HasFatalFailure()) return;
-    m.out = true;
-    ASSERT_LE(++m.attempts, s_.max_attempts);
-    sent_[send.id] = now;
-    endpoint_[send.id] = send.endpoint;
-    call_of_[send.id] = call;
+    m.in_flight = true;
+    ASSERT_LE(++m.attempts, settings_.max_attempts);
+    sent_[attempt.id] = now;
+    endpoint_[attempt.id] = attempt.endpoint;
+    call_of_[attempt.id] = call;
     call_members_[call] += 1;
-    // One fate for a call: drawn by its first member.
-    if (!same) fate_[call] = Draw(m.destination);
-    AttemptCompleted end = fate_[call];
-    end.id = send.id;
+    // A call has one outcome: drawn with its first message.
+    if (!same) call_outcome_[call] = Draw(m.destination);
+    AttemptCompleted end = call_outcome_[call];
+    end.id = attempt.id;
     end.attempt = m.attempts - 1;
-    if (end.latency >= send.timeout) {
-      end.latency = send.timeout;
+    if (end.latency >= attempt.timeout) {
+      end.latency = attempt.timeout;
       end.outcome = Outcome::kTimeout;
       end.retry_after = 0ms;
     }
@@ -265,8 +268,8 @@
 
   AttemptCompleted Draw(int destination) {
     AttemptCompleted end;
-    end.latency = milliseconds_(20 + Pick(300));
-    switch (mood_[destination]) {
+    end.latency = Milliseconds(20 + Pick(300));
+    switch (behaviour_[destination]) {
       case 1:
         end.outcome = Chance(0.5) ? Outcome::kError : Outcome::kReset;
         break;
@@ -277,7 +280,7 @@
         if (Chance(0.5)) end.latency = 100s;
         if (Chance(0.5)) {
           end.outcome = Outcome::kRejected;
-          end.retry_after = milliseconds_(Chance(0.5) ? 0 : Pick(900));
+          end.retry_after = Milliseconds(Chance(0.5) ? 0 : Pick(900));
         }
         break;
       default:
@@ -286,31 +289,32 @@
     return end;
   }
 
-  void Check(Time now, const RejectMessage& refuse) {
-    const Known& m = known_.at(refuse.id);
-    if (m.may_have_run) {
-      ASSERT_NE(s_.classes[m.cls].idempotency, Idempotency::kNotIdempotent) << "refused what may have run";
+  void Check(Time now, const RejectMessage& rejection) {
+    const MessageRecord& m = known_.at(rejection.id);
+    if (m.uncertain_since) {
+      ASSERT_NE(settings_.classes[m.message_class].idempotency, Idempotency::kNotIdempotent)
+          << "rejected what may have run";
     }
-    End(now, refuse.id);
+    End(now, rejection.id);
   }
   void End(Time now, const std::string& id) {
-    Known& m = known_.at(id);
-    ASSERT_FALSE(m.over) << "two final answers";
-    ASSERT_FALSE(m.out) << "answered while out";
-    ASSERT_LE(now, m.deadline + s_.response_slack);
-    m.over = true;
+    MessageRecord& m = known_.at(id);
+    ASSERT_FALSE(m.has_ended) << "two final answers";
+    ASSERT_FALSE(m.in_flight) << "answered while in flight";
+    ASSERT_LE(now, m.deadline + settings_.response_slack);
+    m.has_ended = true;
   }
 
-  Settings s_;
-  DispatchPolicy sender_;
+  Settings settings_;
+  DispatchPolicy policy_;
   std::mt19937_64 random_;
   std::vector<EndpointRecord> entries_;
   std::map<std::string, bool> up_;
-  std::map<std::string, Time> told_down_, sent_, waits_;
+  std::map<std::string, Time> removed_at_, sent_, retry_after_until_;
   std::vector<std::pair<std::string, Time>> answered_;  // by which endpoint, and when the call was sent
-  std::vector<std::pair<std::string, Time>> waits_told_;
-  std::map<int, int> mood_;
-  std::map<std::string, Known> known_;
+  std::vector<std::pair<std::string, Time>> new_waits_;
+  std::map<int, int> behaviour_;
+  std::map<std::string, MessageRecord> known_;
   std::map<std::string, std::string> endpoint_;
   std::map<std::string, std::pair<Time, std::string>> quiet_;
   std::map<std::string, int> failures_;
@@ -318,51 +322,51 @@
   std::vector<Flight> flights_;
   std::map<std::string, int> call_of_;
   std::map<int, int> call_members_;
-  std::map<int, AttemptCompleted> fate_;
+  std::map<int, AttemptCompleted> call_outcome_;
   std::set<int> failed_call_;
   std::map<std::string, std::pair<int, int>> calls_now_;
   int calls_ = 0, calls_out_ = 0, delivered_ = 0;
 };
 
-class RandomRules : public ::testing::TestWithParam<int> {};
+class RandomEvents : public ::testing::TestWithParam<int> {};
 
-TEST_P(RandomRules, AreKept) {
+TEST_P(RandomEvents, KeepEveryPromise) {
   Settings s = SmallSettings();
   const auto seed = static_cast<std::uint64_t>(GetParam());
   s.dispatcher_count = 1 + GetParam() % 3;
   s.max_concurrent_calls = 2 + GetParam() % 7;
-  s.classes[kUnsafeClass].ordered_by_key = GetParam() % 2 == 0;
+  s.classes[kNotIdempotentClass].ordered_by_key = GetParam() % 2 == 0;
   s.key_quiet_time = GetParam() % 4 == 0 ? 400ms : 0ms;
   s.health_checks_allowed = GetParam() % 5 != 0;
   s.cancellation_allowed = GetParam() % 2 != 0;
-  Books(seed, s).Run();
+  RuleChecker(seed, s).Run();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomRules, ::testing::Range(1, 31));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, ::testing::Range(1, 31));
 
-TEST(Determinism, SameEventsSameActionsWhateverElseRuns) {
-  const auto play = [](Node& node, Node* other) {
-    std::string told;
+TEST(Determinism, SameEventsGiveTheSameActions) {
+  const auto play = [](PolicyDriver& policy, PolicyDriver* other) {
+    std::string actions;
     for (int i = 0; i < 200; ++i) {
       std::vector<Event> events;
       if (i == 0)
         events.push_back(EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
-                                             .endpoints = {At("e"), At("f")}});
-      for (const std::string& id : {node.Ids<StartAttempt>()}) {
-        if (!id.empty()) events.push_back(node.Ended(id, i % 3 ? Outcome::kReset : Outcome::kOk));
+                                             .endpoints = {EndpointAt("e"), EndpointAt("f")}});
+      for (const std::string& id : {policy.IdsOf<StartAttempt>()}) {
+        if (!id.empty()) events.push_back(policy.Completed(id, i % 3 ? Outcome::kReset : Outcome::kOk));
       }
-      events.push_back(Node::Taken("m" + std::to_string(i), i % 2));
-      node.Step(i * 400ms, events);
-      if (other != nullptr) other->Take(i * 400ms, "x" + std::to_string(i));
-      told +=
-          node.Ids<StartAttempt>() + "/" + node.Ids<RejectMessage>() + "/" + node.Ids<FailMessage>() + ";";
-      for (const ScheduleTimer& wake : node.All<ScheduleTimer>())
-        told += std::to_string(wake.delay.count()) + ",";
-      if (node.All<StartAttempt>().size() > 1) return told;  // the script answers one at a time
+      events.push_back(PolicyDriver::Accepted("m" + std::to_string(i), i % 2));
+      policy.Process(i * 400ms, events);
+      if (other != nullptr) other->Accept(i * 400ms, "x" + std::to_string(i));
+      actions += policy.IdsOf<StartAttempt>() + "/" + policy.IdsOf<RejectMessage>() + "/" +
+                 policy.IdsOf<FailMessage>() + ";";
+      for (const ScheduleTimer& wake : policy.ActionsOf<ScheduleTimer>())
+        actions += std::to_string(wake.delay.count()) + ",";
+      if (policy.ActionsOf<StartAttempt>().size() > 1) return actions;  // the script answers one at a time
     }
-    return told;
+    return actions;
   };
-  Node alone, beside, other;
+  PolicyDriver alone, beside, other;
   EXPECT_EQ(play(alone, nullptr), play(beside, &other));
 }
 
--- /dev/null
+++ b/tests/policy/release_test.cpp
@@ -0,0 +1,158 @@
+// Which message goes out when, to which endpoint and with which timeout.
+#include <gtest/gtest.h>
+
+#include "policy_driver.h"
+
+namespace sagetally {
+namespace {
+
+TEST(Release, KeepsTheLimitOfConcurrentCalls) {
+  Settings settings = SmallSettings();
+  settings.max_concurrent_calls = 2;
+  PolicyDriver policy(settings);
+  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2), EndpointAt("g", 0, 3)});
+  policy.Process(0s, {PolicyDriver::Accepted("a", 0, 20s, "", 1), PolicyDriver::Accepted("b", 0, 20s, "", 2),
+                      PolicyDriver::Accepted("c", 0, 20s, "", 3)});
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a b");
+  policy.Complete(100ms, "a", Outcome::kOk);
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "c");
+}
+
+TEST(Release, SendsABatchAsOneCallInOneRun) {
+  Settings settings = SmallSettings();
+  settings.max_concurrent_calls = 1;
+  PolicyDriver policy(settings);
+  policy.UpdateEndpoints(0s, {EndpointAt("e", 2)});
+  policy.Process(0s, {PolicyDriver::Accepted("a"), PolicyDriver::Accepted("b"), PolicyDriver::Accepted("c"),
+                      PolicyDriver::Accepted("d"), PolicyDriver::Accepted("f")});
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a b c d");
+}
+
+TEST(Release, SendsTheLowestPriorityValueFirstAndKeepsTheAgeOfMessages) {
+  Settings settings = SmallSettings();
+  settings.max_concurrent_calls = 1;
+  PolicyDriver policy(settings);
+  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2)});
+  policy.Accept(0s, "busy");
+  policy.Accept(1s, "young", kIdempotentClass, 20s, "", 1);
+  policy.Accept(1s, "old", kIdempotentClass, 19500ms, "", 2);  // half a second old already
+  policy.Complete(1100ms, "busy", Outcome::kOk);
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "old");
+}
+
+// Seen where one call in forty was never answered: each took one of ten concurrent calls for up to 6 s.
+TEST(Release, UsesShorterTimeoutsAtTheCallLimit) {
+  Settings settings = SmallSettings();
+  settings.max_concurrent_calls = 2;
+  PolicyDriver policy(settings);
+  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+  CompleteThreeCalls(policy, 0s);
+  policy.Accept(1s, "a");
+  const Duration patient = policy.ActionsOf<StartAttempt>().at(0).timeout;
+  policy.Accept(1s, "b");
+  policy.Accept(1s, "c");  // over the call limit
+  policy.Complete(1050ms, "a", Outcome::kOk);
+  ASSERT_EQ(policy.IdsOf<StartAttempt>(), "c");
+  EXPECT_LT(policy.ActionsOf<StartAttempt>().at(0).timeout, patient / 2);
+}
+
+// Seen where connections fell silent: what tells them from a slow destination is that calls sent later to the
+// same endpoint are answered.
+TEST(Release, CancelsAndRetriesWhatLaterCallsHaveOvertaken) {
+  struct Case {
+    int message_class;
+    bool may_cancel;
+    int max_calls;
+    int answered;   // later ones
+    Time given_up;  // 0: not
+  };
+  const Case table[] = {
+      {kIdempotentClass, true, 2, 2, 1200ms},
+      {kWithKeyClass, true, 2, 2, 1200ms},
+      {kNotIdempotentClass, true, 3, 3, 0ms},
+      {kNotIdempotentClass, true, 4, 4, 1400ms},  // its end is the message's
+      {kNotIdempotentClass, true, 9, 4, 0ms},
+      {kIdempotentClass, true, 2, 1, 0ms},
+      {kIdempotentClass, true, 9, 2, 0ms},  // not at the call limit
+      {kIdempotentClass, false, 2, 2, 0ms},
+  };
+  for (const Case& c : table) {
+    Settings settings = SmallSettings();
+    settings.cancellation_allowed = c.may_cancel;
+    settings.max_concurrent_calls = c.max_calls;
+    PolicyDriver policy(settings);
+    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+    CompleteThreeCalls(policy, 0s);
+    policy.Accept(1s, "silent", c.message_class);
+    for (int i = 0; i < c.answered; ++i) policy.Accept(1010ms, "later" + std::to_string(i));
+    for (int i = 0; i < c.answered; ++i) {
+      policy.Complete(1050ms + i * 50ms, "later" + std::to_string(i), Outcome::kOk);
+      EXPECT_EQ(policy.IdsOf<CancelAttempt>(), "");  // not yet: it may only be a longer one
+    }
+    Time given_up = 0ms;
+    for (Time now = 1150ms; now < 1500ms; now += 50ms) {
+      policy.Process(now);
+      if (policy.IdsOf<CancelAttempt>() == "silent") given_up = now;
+    }
+    EXPECT_EQ(given_up, c.given_up) << c.message_class << " " << c.max_calls << " " << c.answered;
+    if (c.given_up == 0ms) continue;
+    policy.Complete(1510ms, "silent", Outcome::kCancelled);
+    const bool again = c.message_class != kNotIdempotentClass;
+    EXPECT_EQ(policy.IdsOf<StartAttempt>(), again ? "silent" : "");
+    EXPECT_EQ(policy.IdsOf<FailMessage>(), again ? "" : "silent");
+  }
+}
+
+// A call that joins others at its endpoint takes longer and keeps its place from the rest, but not for ever.
+TEST(Release, AtTheCallLimitPrefersEndpointsWithoutCallsInFlight) {
+  struct Case {
+    Duration later;  // by which the other destination's message came
+    const char* first;
+  };
+  for (const Case& c : {Case{20ms, "free"}, Case{90ms, "free"}, Case{400ms, "queued"}}) {
+    Settings settings = SmallSettings();
+    settings.max_concurrent_calls = 2;
+    PolicyDriver policy(settings);
+    policy.UpdateEndpoints(0s, {EndpointAt("e1", 0, 1, 40), EndpointAt("e2", 0, 2, 40)});
+    CompleteThreeCalls(policy, 0s, 1);
+    CompleteThreeCalls(policy, 1s, 2);
+    policy.Accept(2s, "out1");
+    policy.Accept(2s, "out2");
+    policy.Accept(2010ms, "queued");
+    policy.Accept(2010ms + c.later, "free", kIdempotentClass, 20s, "", 2);
+    EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
+    policy.Complete(2500ms, "out1", Outcome::kOk, 100ms);
+    EXPECT_EQ(policy.IdsOf<StartAttempt>(), c.first) << c.later.count();
+  }
+}
+
+// All are slow, and answered in the order sent: nothing overtakes, and each has its whole timeout.
+TEST(Release, CancelsNothingWhereAllAreSlow) {
+  Settings settings = SmallSettings();
+  settings.cancellation_allowed = true;
+  settings.max_concurrent_calls = 3;  // reached
+  PolicyDriver policy(settings);
+  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+  CompleteThreeCalls(policy, 0s);
+  for (int i = 0; i < 4; ++i) policy.Accept(1s + 10ms * i, "m" + std::to_string(i));
+  for (int i = 0; i < 4; ++i) {
+    policy.Process(1500ms + 200ms * i);
+    EXPECT_EQ(policy.IdsOf<CancelAttempt>(), "");
+    policy.Complete(1600ms + 200ms * i, "m" + std::to_string(i), Outcome::kOk, 600ms + 190ms * i);
+    EXPECT_EQ(policy.IdsOf<CancelAttempt>(), "");
+  }
+}
+
+// Guards calls that the end of the process would cut off: one that is not idempotent would be lost.
+TEST(Release, HoldsBackCallsThatWouldNotReturnBeforeTheShutdown) {
+  PolicyDriver policy;
+  policy.UpdateEndpoints(0s, {EndpointAt("a")});
+  policy.Process(0s, {ShutdownStarted{1s}});
+  policy.Accept(100ms, "early", kNotIdempotentClass);
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "early");
+  policy.Accept(900ms, "late", kNotIdempotentClass);
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
+}
+
+}  // namespace
+}  // namespace sagetally
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -17,7 +17,7 @@
   std::string out, err;
 };
 
-std::string Slurp(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ostringstream text;
   text << std::ifstream(path).rdbuf();
   return text.str();
@@ -31,7 +31,7 @@
   const std::string command =
       std::string(SAGETALLY_SIMULATOR_ADAPTER) + " <" + base + "/in >" + base + "/out 2>" + base + "/err";
   const int status = std::system(command.c_str());
-  Reply run{WEXITSTATUS(status), Slurp(base + "/out"), Slurp(base + "/err")};
+  Reply run{WEXITSTATUS(status), ReadFile(base + "/out"), ReadFile(base + "/err")};
   for (const char* name : {"/in", "/out", "/err"}) std::remove((base + name).c_str());
   rmdir(folder);
   return run;
@@ -49,20 +49,20 @@
   return R"({"moment":5.5,"groups":[{"nodeId":")" + node + R"(","happened":[)" + events + "]}]}\n";
 }
 
-TEST(Benchlink, AnswersEmptyBatchesAndEndsWithItsInput) {
+TEST(SimulatorAdapter, AnswersEmptyBatchesAndEndsWithItsInput) {
   const Reply run = Feed("{\"moment\":1,\"groups\":[]}\n");
   EXPECT_EQ(run.code, 0);
   EXPECT_EQ(run.out, "{\"groups\":[]}\n");
   EXPECT_EQ(run.err, "");
 }
 
-TEST(Benchlink, SendsAMessage) {
+TEST(SimulatorAdapter, SendsAMessage) {
   const Reply run = Feed(Batch(std::string(kBegin) + "," + kList + "," + kOrder));
   EXPECT_EQ(run.code, 0);
   EXPECT_NE(run.out.find(R"("Forward":{"endpoint":"a:1","req":"c:x")"), std::string::npos) << run.out;
 }
 
-TEST(Benchlink, KillAndStartInOneBatchDropsEverything) {
+TEST(SimulatorAdapter, RestartInOneBatchDropsEverything) {
   const Reply run = Feed(Batch(std::string(kBegin) + "," + kList) +
                          Batch(std::string(kOrder) + R"(,{"Retire":{}},)" + kBegin + "," + kList) +
                          Batch(R"({"Alarm":{"keyBack":0}},{"Abandoned":{"req":"c:x"}},)"
@@ -71,13 +71,13 @@
   EXPECT_EQ(run.out.find("Forward"), std::string::npos);
 }
 
-TEST(Benchlink, AListNumberUsedAgainInABatchIsResolvedInOrder) {
+TEST(SimulatorAdapter, ResolvesAListNumberUsedAgainInABatchInOrder) {
   const Reply run =
       Feed(Batch(std::string(kBegin) + "," + kList + R"(,{"SnapshotRows":{"slot":0,"hosts":[]}},)" + kOrder));
   EXPECT_NE(run.out.find("Forward"), std::string::npos);
 }
 
-TEST(Benchlink, MalformedInputEndsItWithOnePlainLine) {
+TEST(SimulatorAdapter, EndsWithOneLineOnMalformedInput) {
   const std::string start = Batch(std::string(kBegin) + "," + kList);
   for (const std::string& bad : {
            std::string("not json\n"),
