--- a/tests/policy/cold_return_test.cpp
+++ b/tests/policy/cold_return_test.cpp
@@ -215,8 +215,8 @@
   std::string how;  // of the first that broke the rule
 };
 
-// Runs of every size of destination, advertised rate, load and fleet. `variant`: 1: two endpoints; 2: the outage
-// rejects; 3: two in five dispatchers are restarted just before the return.
+// Runs of every size of destination, advertised rate, load and fleet. `variant`: 1: two endpoints; 2: the
+// outage rejects; 3: two in five dispatchers are restarted just before the return.
 Sum RunAll(int variant) {
   Sum sum;
   std::uint64_t seed = static_cast<std::uint64_t>(variant) * 1000;
