--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -2,6 +2,7 @@
 
 #include <chrono>
 #include <cstdint>
+#include <optional>
 #include <string_view>
 #include <utility>
 
@@ -52,28 +53,34 @@
 
 ResponseReader::State ResponseReader::Read(evbuffer* input) {
   while (evbuffer_get_length(input) > 0) {
-    if (!response_timer_.pending()) response_timer_.Schedule(kResponseTimeout);
-    if (!parser_) {
-      if (evbuffer_get_length(input) < kStatusPrefixBytes) {
-        return MayBecomeStatusLine(input) ? State::kIncomplete : State::kInvalid;
-      }
-      StartResponse(input);
-    }
-    const ParseProgress progress = FeedParser(*parser_, input);
-    if (progress.error) return State::kInvalid;
-    evbuffer_drain(input, progress.consumed_bytes);
-    if (!AcceptHead()) return State::kInvalid;
-    if (parser_->is_done()) {
-      if (parser_->get().result_int() >= kFirstFinalStatus) return State::kComplete;
-      if (!SkipInterimResponse()) return State::kInvalid;
-    } else if (progress.consumed_bytes == 0) {
-      // A line that is too long never gets whole.
-      return progress.available_bytes >= kMaxUnparsedBytes ? State::kInvalid : State::kIncomplete;
-    }
+    if (const std::optional<State> state = ReadStep(input)) return *state;
   }
   return State::kIncomplete;
 }
 
+// Consumes what the parser takes at once. None: read on.
+std::optional<ResponseReader::State> ResponseReader::ReadStep(evbuffer* input) {
+  if (!response_timer_.pending()) response_timer_.Schedule(kResponseTimeout);
+  if (!parser_) {
+    if (evbuffer_get_length(input) < kStatusPrefixBytes) {
+      return MayBecomeStatusLine(input) ? State::kIncomplete : State::kInvalid;
+    }
+    StartResponse(input);
+  }
+  const ParseProgress progress = FeedParser(*parser_, input);
+  if (progress.error) return State::kInvalid;
+  evbuffer_drain(input, progress.consumed_bytes);
+  if (!AcceptHead()) return State::kInvalid;
+  if (parser_->is_done()) {
+    if (parser_->get().result_int() >= kFirstFinalStatus) return State::kComplete;
+    if (!SkipInterimResponse()) return State::kInvalid;
+    return std::nullopt;
+  }
+  if (progress.consumed_bytes > 0) return std::nullopt;
+  // A line that is too long never gets whole.
+  return progress.available_bytes >= kMaxUnparsedBytes ? State::kInvalid : State::kIncomplete;
+}
+
 bool ResponseReader::ReadEndOfStream() {
   if (!parser_) return false;
   boost::system::error_code error;
--- a/src/net/response_reader.h
+++ b/src/net/response_reader.h
@@ -46,6 +46,7 @@
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
 
+  std::optional<State> ReadStep(evbuffer* input);
   void StartResponse(evbuffer* input);
   bool AcceptHead();
   bool SkipInterimResponse();
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -29,22 +29,24 @@
 constexpr int kRequestTimeout = 408;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
+std::string ToString(boost::beast::string_view text) { return {text.data(), text.size()}; }
+
 std::string StatusLine(int status) {
   const auto reason = http::obsolete_reason(static_cast<http::status>(status));
-  const std::string phrase = reason.empty() ? "Other" : std::string(reason);
+  const std::string phrase = reason.empty() ? "Other" : ToString(reason);
   return "HTTP/1.1 " + std::to_string(status) + " " + phrase + "\r\n";
 }
 
 HttpHeaders HeadersOf(const RequestReader::HttpRequest& request) {
   HttpHeaders headers;
   for (const auto& field : request) {
-    headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
+    headers.emplace_back(ToString(field.name_string()), ToString(field.value()));
   }
   return headers;
 }
 
 std::string PathOf(const RequestReader::HttpRequest& request) {
-  std::string path(request.target());
+  std::string path = ToString(request.target());
   path.resize(std::min(path.find('?'), path.size()));
   return path;
 }
@@ -111,7 +113,7 @@
 void ServerConnection::SendResponse(int status, const std::string& body, const HttpHeaders& headers) {
   const bool is_last = server_.is_closing_ || !keep_alive_ || client_has_ended_;
   std::string text = StatusLine(status);
-  for (const auto& [name, value] : headers) text += name + ": " + value + "\r\n";
+  for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append("\r\n");
   if (is_last) text += "Connection: close\r\n";
   if (status != kNoContent) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   text += "\r\n" + body;
@@ -164,7 +166,7 @@
     case RequestReader::Step::kBlocked:
       return false;
     case RequestReader::Step::kExpectsContinue:
-      Write(std::string(kContinue));
+      Write(kContinue);
       return true;
     case RequestReader::Step::kComplete:
       HandleRequest();
@@ -188,7 +190,7 @@
   has_sent_requests_ = true;
   timer_.Stop();
   keep_alive_ = request.keep_alive();
-  auto exchange = std::make_shared<Exchange>(this, std::string(request.method_string()), PathOf(request),
+  auto exchange = std::make_shared<Exchange>(this, ToString(request.method_string()), PathOf(request),
                                              HeadersOf(request), std::move(request.body()));
   exchange_ = exchange;
   server_.handler_(std::move(exchange));
@@ -214,7 +216,7 @@
 // Reads what is in the buffer already: libevent reports only what is new there.
 void ServerConnection::ReadSoon() { bufferevent_trigger(buffers_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS); }
 
-void ServerConnection::Write(const std::string& text) {
+void ServerConnection::Write(std::string_view text) {
   bufferevent_write(buffers_.get(), text.data(), text.size());
 }
 
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -5,6 +5,7 @@
 #include <chrono>
 #include <memory>
 #include <string>
+#include <string_view>
 
 #include "net/event_loop.h"
 #include "net/http_server.h"
@@ -65,7 +66,7 @@
   void RejectRequest(int status);
   void CloseOnceWritten();
   void ReadSoon();
-  void Write(const std::string& text);
+  void Write(std::string_view text);
   evbuffer* input() const { return bufferevent_get_input(buffers_.get()); }
   evbuffer* output() const { return bufferevent_get_output(buffers_.get()); }
   int socket() const { return bufferevent_getfd(buffers_.get()); }
--- a/tests/net/discovery_races_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -141,8 +141,9 @@
   EventLoop loop;
   WatcherFixture pushed(loop, false);
   WatcherFixture polled(loop, true);
-  for (WatcherFixture* each : {&pushed, &polled})
+  for (WatcherFixture* each : {&pushed, &polled}) {
     each->respond = [](loadtest::Call& call) { call.StartChunks(); };
+  }
   Until(loop, [&] { return !pushed.requests.empty() && !polled.requests.empty(); });
   RunFor(loop, 2500ms);  // longer than a request may stay without a response
   for (WatcherFixture* each : {&pushed, &polled}) {
--- a/tests/net/endpoint_list_watcher_test.cpp
+++ b/tests/net/endpoint_list_watcher_test.cpp
@@ -15,6 +15,8 @@
 
 using namespace std::chrono_literals;
 
+constexpr int kWatcherCount = 20;  // run side by side
+
 void EachDelayIsBelowABoundThatDoubles() {
   for (const std::uint64_t seed : {1, 2, 3}) {
     Backoff backoff(100ms, 700ms, seed);
@@ -63,10 +65,9 @@
   }
 }
 
-// How many requests each of twenty watchers, in a fleet of that size, makes in `time` of a discovery that
-// rejects all of them; the mean.
+// How many requests each of kWatcherCount watchers, in a fleet of that size, makes in `time` of a discovery
+// that rejects all of them; the mean.
 double RequestsPerWatcher(bool on_request, int dispatcher_count, Duration time) {
-  constexpr int kWatchers = 20;
   EventLoop loop;
   int request_count = 0;
   loadtest::Listener rejecting(loop, {"127.0.0.1", 0}, [&](const std::shared_ptr<loadtest::Call>& call) {
@@ -79,14 +80,14 @@
   site.policy.max_poll_interval = 10s;
   Logger log;
   std::vector<std::unique_ptr<EndpointListWatcher>> watchers;
-  for (std::uint64_t seed = 1; seed <= kWatchers; ++seed) {
+  for (std::uint64_t seed = 1; seed <= kWatcherCount; ++seed) {
     watchers.push_back(std::make_unique<EndpointListWatcher>(
         loop, Address{"127.0.0.1", rejecting.port()}, site, 0, seed, [](const EndpointListUpdate&) {}, log));
   }
   Timer end(loop, [&] { loop.Break(); });
   end.Schedule(time);
   loop.Run();
-  return static_cast<double>(request_count) / kWatchers;
+  return static_cast<double>(request_count) / kWatcherCount;
 }
 
 void ALargeFleetRequestsListsSeldom() {
