--- a/tests/journal/property_test.cpp
+++ b/tests/journal/property_test.cpp
@@ -1,72 +1,111 @@
 // Properties of the journal under random operations, faults and restarts.
 #include <rapidcheck.h>
 
+#include <algorithm>
+#include <array>
+
 #include "journal/snapshot.h"
 #include "journal_world.h"
 
 namespace sagetally {
 namespace {
 
-// Several processes one after the other, each ended at a random call of the file system or between two; some
-// meet an error before.
-bool EachRunRecoversWhatWasKnown(std::uint64_t seed) {
-  boost::random::mt19937_64 random(seed);
-  const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
+using Random = boost::random::mt19937_64;
+
+// From 0 to `max`.
+int Draw(Random& random, int max) { return boost::random::uniform_int_distribution<int>(0, max)(random); }
+std::uint64_t DrawCount(Random& random, int max) { return static_cast<std::uint64_t>(Draw(random, max)); }
+
+JournalSettings DrawSettings(Random& random) {
   JournalSettings settings = SmallJournal();
-  settings.disk_budget = static_cast<std::uint64_t>(50'000 + draw(100'000));
-  settings.segment_bytes = static_cast<std::uint64_t>(2'000 + draw(12'000));
-  settings.reserve_disk_space = draw(3) == 0 && settings.disk_budget > 100'000;
+  settings.disk_budget = 50'000 + DrawCount(random, 100'000);
+  settings.segment_bytes = 2'000 + DrawCount(random, 12'000);
+  settings.reserve_disk_space = Draw(random, 3) == 0 && settings.disk_budget > 100'000;
+  return settings;
+}
+
+// The process ends at a random call of the file system, if it makes so many; sometimes a call fails before.
+struct FaultPlan {
+  std::uint64_t last_call = 0;
+  Fault fault = Fault::kNone;
+  std::uint64_t failing_call = UINT64_MAX;
+  int error = 0;
+
+  Step operator()(std::uint64_t call, std::string_view) const {
+    if (call == last_call) return Step{fault, 0};
+    return Step{call == failing_call ? Fault::kError : Fault::kNone, error};
+  }
+};
+
+FaultPlan DrawPlan(Random& random, std::uint64_t calls_before) {
+  constexpr std::array kEnds = {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn};
+  FaultPlan plan;
+  plan.last_call = calls_before + DrawCount(random, 900);
+  plan.fault = kEnds.at(DrawCount(random, 2));
+  if (Draw(random, 2) == 0) plan.failing_call = calls_before + 25 + DrawCount(random, 500);
+  plan.error = Draw(random, 1) == 0 ? EIO : ENOSPC;
+  return plan;
+}
+
+// How one process ended.
+struct RunResult {
+  Descriptions before;  // what was known before its last step
+  Descriptions after;   // ... and after it
+  bool recovered_all = true;
+  bool all_durable = true;
+};
+
+bool AllDurable(const JournalProcess& process) {
+  const auto& messages = process.messages.messages();
+  return process.journal.is_writable() &&
+         std::all_of(messages.begin(), messages.end(),
+                     [&](const auto& entry) { return process.journal.IsDurable(entry.second); });
+}
+
+// Runs one process until its plan ends it, or for 300 steps.
+RunResult RunProcess(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings,
+                     const FaultPlan& plan, const Descriptions& known, Random& random, int& names) {
+  RunResult result;
+  result.before = known;
+  result.after = known;
+  disk.plan = plan;
+  std::unique_ptr<JournalProcess> process;
+  try {
+    process = std::make_unique<JournalProcess>(disk, clock, settings);
+    result.recovered_all = DescribeAll(process->messages) == known;
+    for (int i = 0; result.recovered_all && i < 300; ++i) {
+      result.before = DescribeAll(process->messages);
+      RunRandomStep(*process, random, names);
+      result.after = DescribeAll(process->messages);
+    }
+  } catch (const Crash&) {
+    if (process) result.after = DescribeAll(process->messages);
+  } catch (const std::runtime_error&) {
+    assert(!process && plan.failing_call != UINT64_MAX);  // the error came at start
+  }
+  result.all_durable = !process || AllDurable(*process);
+  process.reset();
+  disk.plan = nullptr;
+  disk.Restart();
+  return result;
+}
+
+// Several processes one after the other, each with a plan of its own.
+bool EachRunRecoversWhatWasKnown(std::uint64_t seed) {
+  Random random(seed);
+  const JournalSettings settings = DrawSettings(random);
   FaultInjectingFileSystem disk;
   TestClock clock;
   Descriptions known;
   int names = 0;
   for (int run = 0; run < 4; ++run) {
-    const std::uint64_t begun = disk.calls();
-    const std::uint64_t end = begun + static_cast<std::uint64_t>(draw(900));
-    const Fault fault =
-        std::array{Fault::kCrash, Fault::kCrashAfter, Fault::kTorn}[static_cast<std::size_t>(draw(2))];
-    const std::uint64_t error_at =
-        draw(2) == 0 ? begun + 25 + static_cast<std::uint64_t>(draw(500)) : UINT64_MAX;
-    const int error = draw(1) == 0 ? EIO : ENOSPC;
-    disk.plan = [&, end, fault, error_at, error](std::uint64_t call, std::string_view) {
-      if (call == end) return Step{fault, 0};
-      return Step{call == error_at ? Fault::kError : Fault::kNone, error};
-    };
-    Descriptions before, after = known, found;
-    std::unique_ptr<JournalProcess> process;
-    bool all_durable = true;
-    try {
-      process = std::make_unique<JournalProcess>(disk, clock, settings);
-      if (DescribeAll(process->messages) != known) return false;
-      before = after = known;
-      for (int i = 0; i < 300; ++i) {
-        before = DescribeAll(process->messages);
-        RunRandomStep(*process, random, names);
-        after = DescribeAll(process->messages);
-      }
-    } catch (const Crash&) {
-      if (process) after = DescribeAll(process->messages);
-    } catch (const std::runtime_error&) {
-      assert(!process && error_at != UINT64_MAX);  // the error came at start
-    }
-    if (process) {
-      for (const auto& [number, m] : process->messages.messages())
-        all_durable = all_durable && process->journal.IsDurable(m);
-      all_durable = all_durable && process->journal.is_writable();
-    } else {
-      before = after = known;
-    }
-    process.reset();
-    disk.plan = nullptr;
-    disk.Restart();
-    {
-      JournalProcess next(disk, clock, settings);
-      found = DescribeAll(next.messages);
-    }
+    const FaultPlan plan = DrawPlan(random, disk.calls());
+    const RunResult result = RunProcess(disk, clock, settings, plan, known, random, names);
+    if (!result.recovered_all) return false;
+    known = DescribeAll(JournalProcess(disk, clock, settings).messages);
     disk.Restart();
-    if (all_durable && found != before && found != after) return false;
+    if (result.all_durable && known != result.before && known != result.after) return false;
     if (disk.Used() > settings.disk_budget) return false;
-    known = found;
   }
   return true;
 }
@@ -78,16 +117,17 @@
     TestClock clock;
     const JournalSettings settings = SmallJournal();
     boost::random::mt19937_64 random(seed);
-    int names = 0, left = 20;
+    int names = 0;
+    int interruptions_left = 20;
     JournalProcess process(disk, clock, settings);
     std::vector<Descriptions> moments;
     for (int i = 0; i < 100; ++i) RunRandomStep(process, random, names);
     // Between any two of the snapshot's calls the node does some steps.
     bool is_stepping = false;
     disk.plan = [&](std::uint64_t, std::string_view) {
-      if (!is_stepping && left > 0) {
+      if (!is_stepping && interruptions_left > 0) {
         is_stepping = true;
-        --left;
+        --interruptions_left;
         for (int i = 0; i < 5; ++i) {
           RunRandomStep(process, random, names);
           moments.push_back(DescribeAll(process.messages));
