--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -1,5 +1,5 @@
 // The program on the real file system, killed at seeded moments under traffic, most of them as its journal's
-// files change. Arguments: the program, how many kills, a seed, durability.
+// files change. Arguments: the program, how many kills, a seed, the journal's durability.
 #include <sys/inotify.h>
 
 #include <boost/random/uniform_int_distribution.hpp>
@@ -12,111 +12,160 @@
 namespace {
 
 // Calls back at the n-th change of a file in a folder.
-class Watcher {
+class FolderWatcher {
  public:
-  Watcher(EventLoop& loop, const std::string& folder, std::function<void()> reached)
-      : reached_(std::move(reached)),
-        fd_(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)),
-        event_(event_new(loop.base(), fd_.get(), EV_READ | EV_PERSIST, Heard, this)) {
-    ::inotify_add_watch(fd_.get(), folder.c_str(), IN_CREATE | IN_MOVED_TO | IN_DELETE | IN_CLOSE_WRITE);
+  FolderWatcher(EventLoop& loop, const std::string& folder, std::function<void()> on_reached)
+      : on_reached_(std::move(on_reached)),
+        descriptor_(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)),
+        event_(event_new(loop.base(), descriptor_.get(), EV_READ | EV_PERSIST, OnReadable, this)) {
+    ::inotify_add_watch(descriptor_.get(), folder.c_str(),
+                        IN_CREATE | IN_MOVED_TO | IN_DELETE | IN_CLOSE_WRITE);
     event_add(event_.get(), nullptr);
   }
-  void After(int changes) { left_ = changes; }
-  int left() const { return left_; }
+  // 0: never.
+  void CallAfter(int changes) { changes_left_ = changes; }
 
  private:
-  static void Heard(evutil_socket_t fd, short, void* self) {
-    auto* w = static_cast<Watcher*>(self);
+  static void OnReadable(evutil_socket_t descriptor, short, void* self) {
+    auto* watcher = static_cast<FolderWatcher*>(self);
     alignas(inotify_event) char bytes[4096];
-    const ssize_t n = ::read(fd, bytes, sizeof bytes);
-    for (ssize_t at = 0; at + static_cast<ssize_t>(sizeof(inotify_event)) <= n;) {
-      const auto* e = reinterpret_cast<const inotify_event*>(bytes + at);
-      at += static_cast<ssize_t>(sizeof(inotify_event) + e->len);
-      if (w->left_ > 0 && --w->left_ == 0) w->reached_();
+    const ssize_t size = ::read(descriptor, bytes, sizeof bytes);
+    for (ssize_t offset = 0; offset + static_cast<ssize_t>(sizeof(inotify_event)) <= size;) {
+      const auto* event = reinterpret_cast<const inotify_event*>(bytes + offset);
+      offset += static_cast<ssize_t>(sizeof(inotify_event) + event->len);
+      if (watcher->changes_left_ > 0 && --watcher->changes_left_ == 0) watcher->on_reached_();
     }
   }
-  const std::function<void()> reached_;
-  FileDescriptor fd_;
+  const std::function<void()> on_reached_;
+  FileDescriptor descriptor_;
   EventPtr event_;
-  int left_ = 0;
+  int changes_left_ = 0;
 };
 
-void Run(const std::string& program, int kills, std::uint64_t seed, const std::string& durability) {
-  World w(0, 24, 150);
-  Partner partner(w.loop, seed, 10s);
-  w.ports.resize(8, partner.port);
-  w.spread = true;
-  w.disk_mb = 0.45;
-  w.sockets = 1024;
-  w.rate = 2000;
-  std::ofstream(w.folder.path + "/config.json") << w.ConfigText();
-  std::ofstream(w.folder.path + "/node.json")
-      << R"({"journal":{"segment_kb":8,"durability":")" << durability << R"("}})";
-  using enum Partner::Fault;
-  partner.menu = {kFull, kRefuse, kError, kError, kReset, kReset, kSpoilt, kLate, kSilent};
-  partner.menu.resize(30, kWell);
-  std::map<std::string, std::set<std::string>> told;
-  w.agent.keep_notices = false;
-  w.agent.on_notice = [&](const std::string& id, const std::string& status) { told[id].insert(status); };
-  auto process = std::make_unique<Process>(program, w.folder.path);
-  Clients clients(
-      w.loop, [&] { return process->Port(); }, seed);
-  clients.destinations = 8;
-  clients.deadline_ms = 500;
-  boost::random::mt19937_64 random(seed);
-  const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
-  Until(w.loop, [&] { return process->Port() != 0; });
-  bool killed = false;
-  int at_changes = 0;
-  Watcher watcher(w.loop, w.folder.path + "/journal", [&] {
-    process->child.Signal(SIGKILL);
-    killed = true;
-    ++at_changes;
-  });
-  for (int kill = 0; kill < kills; ++kill) {
-    Until(w.loop, [&] { return process->Port() != 0; });
-    killed = false;
-    clients.Start(2ms);
-    if (draw(4) > 0) watcher.After(1 + draw(40));
-    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(20 + draw(900));
-    Until(w.loop, [&] { return killed || std::chrono::steady_clock::now() >= until; });
-    watcher.After(0);
-    clients.Pause();
-    process->End(SIGKILL);
-    process = std::make_unique<Process>(program, w.folder.path);
+// One node under traffic of clients, with partners that fail, and what its clients were notified of.
+class KillTest {
+ public:
+  KillTest(std::string program, std::uint64_t seed, const std::string& durability)
+      : program_(std::move(program)), partner_(world_.loop, seed, 10s), random_(seed) {
+    ConfigureNode(durability);
+    ConfigurePartner();
+    world_.agent.keep_notices = false;
+    world_.agent.on_notice = [this](const std::string& id, const std::string& status) {
+      notified_[id].insert(status);
+    };
+    process_ = std::make_unique<Process>(program_, world_.folder.path);
+    clients_ = std::make_unique<Clients>(
+        world_.loop, [this] { return process_->Port(); }, seed);
+    clients_->destinations = 8;
+    clients_->deadline_ms = 500;
   }
-  Until(w.loop, [&] { return process->Port() != 0; });
-  partner.menu = {kWell};
-  const auto taken = clients.Taken();
-  const auto open = [&] {
-    int n = 0;
-    for (const std::string& name : taken)
-      n += partner.delivered.contains(name) || told.contains(name) ? 0 : 1;
-    return n;
-  };
-  const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-  Until(w.loop, [&] { return open() == 0 || std::chrono::steady_clock::now() >= give_up; });
-  const int status = process->End(SIGTERM);
-  assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-  int two_ends = 0;
-  for (const auto& [name, statuses] : told) two_ends += statuses.size() > 1 ? 1 : 0;
-  std::printf(
-      "%d kills (%d as the journal's files changed), %d handed in, %zu taken, %zu delivered, %zu told; lost "
-      "%d, two "
-      "ends %d, forbidden repeats %d, second copies %d\n",
-      kills, at_changes, clients.posted, taken.size(), partner.delivered.size(), told.size(), open(),
-      two_ends, partner.forbidden_repeats, partner.Broken("second copy"));
-  std::fflush(stdout);
-  assert(open() == 0 && two_ends == 0 && partner.forbidden_repeats == 0);
-  assert(partner.Broken("too many attempts") == 0 && partner.most_out() <= 24 + 1);
-  assert(at_changes > kills / 4 && taken.size() > static_cast<std::size_t>(kills));
-}
+
+  void Run(int kills) {
+    WaitUntilReady();
+    FolderWatcher watcher(world_.loop, world_.folder.path + "/journal", [this] {
+      process_->child.Signal(SIGKILL);
+      is_killed_ = true;
+      ++kills_at_changes_;
+    });
+    for (int kill = 0; kill < kills; ++kill) KillUnderTraffic(watcher);
+    WaitUntilReady();
+    partner_.menu = {kWell};
+    accepted_ = clients_->Taken();
+    const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    Until(world_.loop, [&] { return CountOpen() == 0 || std::chrono::steady_clock::now() >= give_up_at; });
+    const int status = process_->End(SIGTERM);
+    assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
+    Report(kills);
+    Check(kills);
+  }
+
+ private:
+  void ConfigureNode(const std::string& durability) {
+    world_.ports.resize(8, partner_.port);
+    world_.spread = true;
+    world_.disk_mb = 0.45;
+    world_.sockets = 1024;
+    world_.rate = 2000;
+    std::ofstream(world_.folder.path + "/config.json") << world_.ConfigText();
+    std::ofstream(world_.folder.path + "/node.json")
+        << R"({"journal":{"segment_kb":8,"durability":")" << durability << R"("}})";
+  }
+
+  void ConfigurePartner() {
+    partner_.menu = {kFull, kRefuse, kError, kError, kReset, kReset, kSpoilt, kLate, kSilent};
+    partner_.menu.resize(30, kWell);
+  }
+
+  // From 0 to `max`.
+  int Draw(int max) { return boost::random::uniform_int_distribution<int>(0, max)(random_); }
+
+  void WaitUntilReady() {
+    Until(world_.loop, [this] { return process_->Port() != 0; });
+  }
+
+  // Lets clients send until the watcher or the time kills the process, and starts the next one.
+  void KillUnderTraffic(FolderWatcher& watcher) {
+    WaitUntilReady();
+    is_killed_ = false;
+    clients_->Start(2ms);
+    if (Draw(4) > 0) watcher.CallAfter(1 + Draw(40));
+    const auto kill_at = std::chrono::steady_clock::now() + std::chrono::milliseconds(20 + Draw(900));
+    Until(world_.loop, [&] { return is_killed_ || std::chrono::steady_clock::now() >= kill_at; });
+    watcher.CallAfter(0);
+    clients_->Pause();
+    process_->End(SIGKILL);
+    process_ = std::make_unique<Process>(program_, world_.folder.path);
+  }
+
+  // Accepted messages that were neither delivered nor notified.
+  int CountOpen() const {
+    return static_cast<int>(std::count_if(accepted_.begin(), accepted_.end(), [this](const auto& name) {
+      return !partner_.delivered.contains(name) && !notified_.contains(name);
+    }));
+  }
+
+  int CountTwoEnds() const {
+    return static_cast<int>(std::count_if(notified_.begin(), notified_.end(),
+                                          [](const auto& entry) { return entry.second.size() > 1; }));
+  }
+
+  void Report(int kills) {
+    std::printf(
+        "%d kills (%d as the journal's files changed), %d posted, %zu accepted, %zu delivered, %zu notified; "
+        "lost "
+        "%d, two ends %d, forbidden repeats %d, hedged requests %d\n",
+        kills, kills_at_changes_, clients_->posted, accepted_.size(), partner_.delivered.size(),
+        notified_.size(), CountOpen(), CountTwoEnds(), partner_.forbidden_repeats,
+        partner_.Broken("second copy"));
+    std::fflush(stdout);
+  }
+
+  void Check(int kills) {
+    assert(CountOpen() == 0 && CountTwoEnds() == 0 && partner_.forbidden_repeats == 0);
+    assert(partner_.Broken("too many attempts") == 0 && partner_.most_out() <= 24 + 1);
+    assert(kills_at_changes_ > kills / 4 && accepted_.size() > static_cast<std::size_t>(kills));
+  }
+
+  using enum Partner::Fault;
+
+  const std::string program_;
+  World world_{0, 24, 150};
+  Partner partner_;
+  boost::random::mt19937_64 random_;
+  std::map<std::string, std::set<std::string>> notified_;  // by id: the statuses
+  std::unique_ptr<Process> process_;
+  std::unique_ptr<Clients> clients_;
+  std::set<std::string> accepted_;
+  bool is_killed_ = false;
+  int kills_at_changes_ = 0;
+};
 
 }  // namespace
 }  // namespace sagetally
 
 int main(int argc, char** argv) {
   assert(argc == 5);
-  sagetally::Run(argv[1], std::atoi(argv[2]), std::strtoull(argv[3], nullptr, 10), argv[4]);
+  sagetally::KillTest test(argv[1], std::strtoull(argv[3], nullptr, 10), argv[4]);
+  test.Run(std::atoi(argv[2]));
   std::puts("1 passed, 0 failed");
 }
