--- a/tests/app/cloudevents_test.cpp
+++ b/tests/app/cloudevents_test.cpp
@@ -195,18 +195,19 @@
     w.Start();
     std::map<std::string, std::string> outcomes;  // by message: answer, calls, end
     for (int i = 0; i < 24; ++i) {
-      const std::string id = "m" + std::to_string(i), cls = classes[i % 3];
+      const std::string id = "m" + std::to_string(i);
+      const std::string class_name = classes[i % 3];
       const bool as_event = (i % 2 == 0) == events_first;
       // One message at a time, so that both plays meet the endpoint in the same state.
       const int variant =
           i % 4;  // 0, 2: delivered; 1: an error first, final for some classes; 3: an unknown class
       w.endpoints[0]->script.clear();
       if (variant == 1) w.endpoints[0]->script = {500};
-      const std::string named = variant == 3 ? "nosuch" : cls;
+      const std::string named = variant == 3 ? "nosuch" : class_name;
       Ask& ask = as_event ? w.PostEvent(Binary(id, named), "x") : w.Post(named, id);
       const int code = w.Code(ask);
       const std::string at_endpoint = as_event ? IdOf(id) : id;
-      const bool fails = variant == 1 && cls == "pagamento";
+      const bool fails = variant == 1 && class_name == "pagamento";
       const std::size_t expected = variant == 3 ? 0 : variant == 1 && !fails ? 2 : 1;
       const auto is_notified = [&] {
         return as_event ? results.find("\"id\":\"" + id + "\",\"status\":\"undeliverable\"") != results.npos
@@ -219,7 +220,8 @@
     RunFor(w.loop, 50ms);  // nothing more comes
     return outcomes;
   };
-  const auto one = play(true), other = play(false);
+  const auto one = play(true);
+  const auto other = play(false);
   assert(one.size() == 24 && one == other);
   std::map<std::string, int> counted;
   for (const auto& [id, outcome] : one) ++counted[outcome];
--- a/tests/app/endpoints_test.cpp
+++ b/tests/app/endpoints_test.cpp
@@ -172,13 +172,13 @@
 // A connection that only ever brought 503 may have no place in the endpoint's table, and would be rejected
 // for ever.
 void ConnectionWithOnlyRejectionsIsNotReused() {
-  const char kUnavailable[] = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
-  const char kTooManyRequests[] = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 5\r\nContent-Length: 0\r\n\r\n";
-  const std::tuple<const char*, const char*, int> table[] = {{kUnavailable, kGood, 1},
-                                                             {kTooManyRequests, kGood, 0},
-                                                             {kGood, kUnavailable, 0},
-                                                             {kTooManyRequests, kUnavailable, 0},
-                                                             {kUnavailable, kUnavailable, 2}};
+  const char unavailable[] = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
+  const char too_many_requests[] = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 5\r\nContent-Length: 0\r\n\r\n";
+  const std::tuple<const char*, const char*, int> table[] = {{unavailable, kGood, 1},
+                                                             {too_many_requests, kGood, 0},
+                                                             {kGood, unavailable, 0},
+                                                             {too_many_requests, unavailable, 0},
+                                                             {unavailable, unavailable, 2}};
   for (const auto& [first, second, closed] : table) {
     RawPool w;
     w.raw.script = {first, second, kGood};
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -102,8 +102,9 @@
 
 void DestinationKeepsItsPlannerWhileThatIsUp() {
   std::map<std::string, Instance> planners;
-  for (const char* id : {"a", "b", "c"})
+  for (const char* id : {"a", "b", "c"}) {
     planners[id] = Instance{.id = id, .host = "127.0.0.1", .status = "UP", .port = 1};
+  }
   std::map<int, std::string> before;
   std::set<std::string> used;
   for (int d = 0; d < 60; ++d) used.insert(before[d] = SelectPlanner(planners, d)->id);
--- a/tests/app/sites_test.cpp
+++ b/tests/app/sites_test.cpp
@@ -27,8 +27,9 @@
       {"zones", Json::array()},
       {"flavors", Json::array()},
       {"grades", Json::array()}};
-  for (const auto& zone : *site["net"]["zones"].as_array())
+  for (const auto& zone : *site["net"]["zones"].as_array()) {
     s["zones"].push_back(zone.value<std::string>().value());
+  }
   for (const auto& kind : *site["tier"][0]["kind"].as_array()) {
     s["flavors"].push_back((*kind.as_table())["name"].value<std::string>().value());
   }
@@ -46,7 +47,9 @@
     }
     s["grades"].push_back(grade);
   }
-  const auto allow = site["allow"], rules = site["rules"], conn = site["tier"][0]["conn"];
+  const auto allow = site["allow"];
+  const auto rules = site["rules"];
+  const auto conn = site["tier"][0]["conn"];
   s["specifics"] = {{"callsOut", LowerBound<int>(site["fam"]["least_slots"])}};
   s["caps"] = {{"mostHeld", LowerBound<int>(site["fam"]["least_open"])},
                {"maxAttempts", LowerBound<int>(allow["max_attempts"])},
