--- a/src/dead_letter/rule_evaluation.cpp
+++ b/src/dead_letter/rule_evaluation.cpp
@@ -13,7 +13,7 @@
 
 Value ValueOf(const Literal& literal) {
   if (literal.type == LiteralType::kWord || literal.type == LiteralType::kString) {
-    return std::string_view(literal.text);
+    return std::string_view{literal.text};
   }
   return literal.number;
 }
@@ -21,14 +21,14 @@
 std::optional<Value> AttributeOf(const DeadLetter& dead_letter, const std::string& name) {
   const auto attribute = dead_letter.request.attributes.find(name);
   if (attribute == dead_letter.request.attributes.end()) return std::nullopt;
-  return std::string_view(attribute->second);
+  return std::string_view{attribute->second};
 }
 
 // The value that the comparison looks at; nothing where an attribute is absent.
 std::optional<Value> ValueIn(const DeadLetter& dead_letter, const Condition& comparison, Time now) {
   switch (comparison.field) {
     case Field::kClass:
-      return std::string_view(dead_letter.class_name);
+      return std::string_view{dead_letter.class_name};
     case Field::kDestination:
       return std::int64_t{dead_letter.request.destination};
     case Field::kFailureReason:
@@ -50,9 +50,9 @@
     case Field::kBodySize:
       return static_cast<std::int64_t>(dead_letter.body_size);
     case Field::kId:
-      return std::string_view(dead_letter.request.id);
+      return std::string_view{dead_letter.request.id};
     case Field::kKey:
-      return std::string_view(dead_letter.request.idempotency_key);
+      return std::string_view{dead_letter.request.idempotency_key};
     case Field::kAttribute:
       break;
   }
--- a/src/dead_letter/rule_fields.cpp
+++ b/src/dead_letter/rule_fields.cpp
@@ -37,6 +37,7 @@
 
 std::vector<std::string> FieldNames() {
   std::vector<std::string> names;
+  names.reserve(kFields.size());
   for (const FieldInfo& info : kFields) names.emplace_back(info.name);
   return names;
 }
--- a/src/dead_letter/rule_parser.cpp
+++ b/src/dead_letter/rule_parser.cpp
@@ -35,6 +35,11 @@
 namespace x3 = boost::spirit::x3;
 using Iterator = std::string_view::const_iterator;
 
+// The grammar's rules and actions have lower-case names, as in Spirit's own grammars: BOOST_SPIRIT_DEFINE
+// finds the definition of a rule by its name, as NAME_def.
+
+// NOLINTBEGIN(readability-identifier-naming)
+
 // Tag of the context's entry that holds where the text begins, for offsets.
 struct TextBegin {};
 
@@ -292,6 +297,7 @@
 
 BOOST_SPIRIT_DEFINE(word, text, number, duration, size, literal, range, comparison, primary, negation,
                     conjunction, disjunction, rate, times, redrive, action, one_rule, file)
+// NOLINTEND(readability-identifier-naming)
 
 // Counts open parentheses outside quoted texts and comments.
 class NestingCounter {
--- a/src/dead_letter/storage/job_runner.cpp
+++ b/src/dead_letter/storage/job_runner.cpp
@@ -14,7 +14,7 @@
 
 std::string ReopeningDatabase::MoveAside() const {
   for (int number = 1; number <= kMaxDamagedFiles; ++number) {
-    const std::string path = settings_.path + ".damaged-" + std::to_string(number);
+    std::string path = settings_.path + ".damaged-" + std::to_string(number);
     if (::access(path.c_str(), F_OK) == 0) continue;
     std::rename(settings_.path.c_str(), path.c_str());
     for (const char* suffix : {"-wal", "-shm"}) ::unlink((settings_.path + suffix).c_str());
--- a/src/dead_letter/storage/operator_queries.cpp
+++ b/src/dead_letter/storage/operator_queries.cpp
@@ -26,6 +26,7 @@
 
 std::vector<NamedCount> ToNamedCounts(const std::map<std::string, std::int64_t>& counts) {
   std::vector<NamedCount> list;
+  list.reserve(counts.size());
   for (const auto& [name, count] : counts) list.push_back({name, count});
   return list;
 }
--- a/src/dead_letter/transfer_queue.cpp
+++ b/src/dead_letter/transfer_queue.cpp
@@ -39,7 +39,7 @@
   }
 }
 
-void TransferQueue::GiveUp(std::deque<PendingTransfer>::iterator pending) {
+void TransferQueue::GiveUp(const std::deque<PendingTransfer>::iterator& pending) {
   const std::uint64_t number = pending->number;
   bytes_ -= pending->bytes;
   waiting_.erase(pending);
--- a/src/dead_letter/transfer_queue.h
+++ b/src/dead_letter/transfer_queue.h
@@ -39,7 +39,7 @@
   using Entries = std::vector<Database::Entry>;
 
   void GiveUpOverLimit();
-  void GiveUp(std::deque<PendingTransfer>::iterator pending);
+  void GiveUp(const std::deque<PendingTransfer>::iterator& pending);
   std::shared_ptr<const Entries> TakeBatch();
   Database::Entry EntryOf(const Message& message, const PendingTransfer& pending) const;
   void PutBackBatch();
--- a/tests/dead_letter/golden_test.cpp
+++ b/tests/dead_letter/golden_test.cpp
@@ -102,23 +102,29 @@
   EXPECT_EQ(messages.size(), 20U);
 }
 
-TEST_F(GoldenDatabase, AMessageIsFoundByItsIdAndInItsPage) {
+TEST_F(GoldenDatabase, EveryMessageIsFoundByItsId) {
   Database database = OpenCopy();
-  const Json& messages = expected().at("messages");
-  const Database::Page page = database.List(Condition(), kReadAt, std::nullopt, 100);
-  ASSERT_EQ(page.messages.size(), messages.size());
-  for (std::size_t i = 0; i < messages.size(); ++i) {
-    const std::optional<DeadLetterId> id = ParseDeadLetterId(messages[i].at("kept").get<std::string>());
+  for (const Json& message : expected().at("messages")) {
+    const std::optional<DeadLetterId> id = ParseDeadLetterId(message.at("kept").get<std::string>());
     ASSERT_TRUE(id.has_value());
     const std::optional<DeadLetter> shown = database.Show(*id, true);
     ASSERT_TRUE(shown.has_value());
-    EXPECT_EQ(AllValues(*shown), messages[i]);
-    DeadLetter without_body = *shown;
-    without_body.request.body.clear();
-    EXPECT_EQ(page.messages[i], without_body);
+    EXPECT_EQ(AllValues(*shown), message);
   }
 }
 
+TEST_F(GoldenDatabase, APageHasEveryMessageWithoutItsBody) {
+  Database database = OpenCopy();
+  std::vector<DeadLetter> messages;
+  database.ForEach(Condition(), kReadAt, true, [&](const DeadLetter& dead_letter) {
+    messages.push_back(dead_letter);
+    messages.back().request.body.clear();
+    return true;
+  });
+  EXPECT_EQ(messages.size(), expected().at("messages").size());
+  EXPECT_TRUE(database.List(Condition(), kReadAt, std::nullopt, 100).messages == messages);
+}
+
 TEST_F(GoldenDatabase, CountsAreThoseOfTheMessages) {
   Database database = OpenCopy();
   EXPECT_EQ(database.Count(Condition(), kReadAt), expected().at("all").get<std::int64_t>());
--- a/tests/dead_letter/partner.h
+++ b/tests/dead_letter/partner.h
@@ -1,6 +1,6 @@
-// A partner that fails in every way of PROTOCOL, counts what takes effect, and remembers keys for a while.
-// Names of messages are their bodies: 'p...' must never take effect twice, 'k...' carries a key, 'a...' may
-// repeat.
+// A partner that fails in every way the protocol allows, counts what takes effect, and remembers idempotency
+// keys for a while; and clients that submit messages to it. Names of messages are their bodies: 'p...' must
+// never take effect twice, 'k...' carries a key, 'a...' may repeat.
 #ifndef SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
 #define SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
 
@@ -32,7 +32,7 @@
       loadtest::FaultSpan span;
       span.fault = menu[boost::random::uniform_int_distribution<std::size_t>(0, menu.size() - 1)(random_)];
       span.ms =
-          span.fault == Fault::kFull ? 20 : 300;  // given up by the dispatcher, and run later all the same
+          span.fault == Fault::kFull ? 20 : 300;  // timed out by the dispatcher, and run later all the same
       return span;
     };
     partner_.on_delivered = [this](const std::string& name) { ++delivered[name]; };
@@ -58,7 +58,7 @@
   int most_out() const { return checker_.most_out(); }
   int Broken(const std::string& rule) const {
     int count = 0;
-    for (const loadtest::Finding& f : checker_.findings()) count += f.rule == rule ? 1 : 0;
+    for (const loadtest::Finding& finding : checker_.findings()) count += finding.rule == rule ? 1 : 0;
     return count;
   }
   std::int64_t dropped_repeats() const { return partner_.dropped_repeats; }
@@ -87,7 +87,7 @@
   const std::uint16_t port;
 };
 
-// Clients that hand in messages named KIND + number at a steady rate, and remember what they were answered.
+// Clients that submit messages named KIND + number at a steady rate, and remember how they were answered.
 class Clients {
  public:
   Clients(EventLoop& loop, std::function<std::uint16_t()> port, std::uint64_t seed)
@@ -113,8 +113,8 @@
   template <typename F>
   std::set<std::string> Answered(F wanted) const {
     std::set<std::string> names;
-    for (const auto& [name, ask] : asks_) {
-      if (wanted(ask->code)) names.insert(name);
+    for (const auto& [name, request] : requests_) {
+      if (wanted(request->code)) names.insert(name);
     }
     return names;
   }
@@ -128,7 +128,7 @@
         {"X-Deadline", std::to_string(deadline_ms) + "m"},
         {"X-Envelope", "dest=" + std::to_string(7 + posted % static_cast<int>(destinations))},
         {"Idempotency-Key", "key-" + name}};
-    asks_[name] = std::make_unique<Ask>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
+    requests_[name] = std::make_unique<Ask>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
     next_.Schedule(every_);
   }
   EventLoop& loop_;
@@ -136,7 +136,7 @@
   boost::random::mt19937_64 random_;
   Duration every_{0};
   Timer next_;
-  std::map<std::string, std::unique_ptr<Ask>> asks_;
+  std::map<std::string, std::unique_ptr<Ask>> requests_;
 };
 
 }  // namespace sagetally
