--- a/tests/dead_letter/crash_test.cpp
+++ b/tests/dead_letter/crash_test.cpp
@@ -160,9 +160,10 @@
 
 const dead_letter::JobError kStoreIsFull = {dead_letter::StoreError::Kind::kFull, "no space", false};
 
+constexpr std::size_t kMaxPendingBytes = std::size_t{20} * 700;  // some twenty messages
+
 // What fits goes on waiting; the rest is given up and counted, lowest priority weight first.
 void DeliveryGoesOnWhileTheStoreFails() {
-  constexpr std::size_t kMaxPendingBytes = std::size_t{20} * 700;
   Environment environment;
   NodeConfig config(environment);
   config.settings.max_pending_bytes = kMaxPendingBytes;
--- a/tests/dead_letter/redrive_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -202,72 +202,109 @@
 
 // --- The planner ---
 
-void PlannerKeepsItsLimits() {
-  assert(rc::check("against a plain count", [] {
+// Drives a planner with random events and checks each grant against a plain count.
+class PlannerModel {
+ public:
+  PlannerModel() : limits_(RandomLimits()), planner_(limits_, 1, Time(0)) {
+    redrive_.rate_per_second = *rc::gen::inRange(1, 20);
+    redrive_.healthy_for = *rc::gen::element<Duration>(0s, 2s);
+  }
+
+  void Step() {
+    now_ += Duration(*rc::gen::inRange<std::int64_t>(0, 150'000));
+    const int destination = *rc::gen::inRange(0, 3);
+    switch (*rc::gen::inRange(0, 6)) {
+      case 0:
+        CompleteMessage(destination);
+        break;
+      case 1:
+        RejectCall(destination);
+        break;
+      default:
+        RequestGrant(destination);
+    }
+    RC_ASSERT(total_ == planner_.in_flight_count() && total_ <= planner_.MaxInFlight());
+    RC_ASSERT(planner_.MaxInFlight() <=
+              std::max(1.0, limits_.concurrency_fraction * limits_.max_concurrent_calls));
+  }
+
+  void CheckRates() const {
+    RC_ASSERT(Fits(granted_by_rule_, redrive_.rate_per_second));
+    for (const auto& [destination, times] : granted_) RC_ASSERT(Fits(times, limits_.destination_rate));
+  }
+
+ private:
+  static RedrivePlanner::Limits RandomLimits() {
     RedrivePlanner::Limits limits;
     limits.max_concurrent_calls = *rc::gen::inRange(1, 40);
     limits.max_pending_messages = 200;
     limits.concurrency_fraction = *rc::gen::element(0.05, 0.25, 1.0);
     limits.destination_rate = 5;
-    RedrivePlanner planner(limits, 1, Time(0));
-    RedriveAction redrive;
-    redrive.rate_per_second = *rc::gen::inRange(1, 20);
-    redrive.healthy_for = *rc::gen::element<Duration>(0s, 2s);
-    Time now(0);
-    std::map<int, int> in_flight;
-    std::map<int, Time> failed, wait;
-    std::map<int, std::vector<Time>> granted;
-    int total = 0;
-    std::vector<Time> by_rule;
-    for (int i = 0; i < 300; ++i) {
-      now += Duration(*rc::gen::inRange<std::int64_t>(0, 150'000));
-      const int d = *rc::gen::inRange(0, 3);
-      switch (*rc::gen::inRange(0, 6)) {
-        case 0:
-          if (in_flight[d] == 0) break;
-          --in_flight[d];
-          --total;
-          planner.OnMessageCompleted(d, *rc::gen::arbitrary<bool>(), now);
-          break;
-        case 1:
-          failed[d] = now;
-          wait[d] = std::max(wait[d], now + 300ms);
-          planner.OnCallCompleted(d, Outcome::kRejected, 300ms, now);
-          break;
-        default: {
-          const bool has_endpoint = *rc::gen::inRange(0, 10) > 0;
-          const RedrivePlanner::Load load{*rc::gen::inRange(0, limits.max_concurrent_calls + 1),
-                                          *rc::gen::inRange(0, 201)};
-          const auto grant = planner.RequestGrant("r", redrive, d, has_endpoint, load, now);
-          if (!grant.granted()) {
-            RC_ASSERT(grant.retry_after >= now);
-            break;
-          }
-          RC_ASSERT(has_endpoint && load.pending_messages < limits.max_pending_messages &&
-                    load.calls_in_flight < limits.max_concurrent_calls);
-          RC_ASSERT(now >= wait[d] && (!failed.contains(d) || now >= failed[d] + redrive.healthy_for));
-          ++in_flight[d];
-          ++total;
-          granted[d].push_back(now);
-          by_rule.push_back(now);
-        }
+    return limits;
+  }
+
+  // A bucket of one second's worth: never more than that and the rate over any stretch.
+  static bool Fits(const std::vector<Time>& times, double rate) {
+    for (std::size_t first = 0; first < times.size(); ++first) {
+      for (std::size_t last = first; last < times.size(); ++last) {
+        const double seconds = static_cast<double>((times[last] - times[first]).count()) / 1e6;
+        const auto count = static_cast<double>(last - first + 1);
+        if (count > std::max(1.0, rate) + rate * seconds + 1e-3) return false;
       }
-      RC_ASSERT(total == planner.in_flight_count() && total <= planner.MaxInFlight());
-      RC_ASSERT(planner.MaxInFlight() <=
-                std::max(1.0, limits.concurrency_fraction * limits.max_concurrent_calls));
     }
-    // A bucket of one second's worth: never more than that and the rate over any stretch.
-    const auto fits = [](const std::vector<Time>& times, double rate) {
-      for (std::size_t a = 0; a < times.size(); ++a) {
-        for (std::size_t b = a; b < times.size(); ++b) {
-          const double seconds = static_cast<double>((times[b] - times[a]).count()) / 1e6;
-          if (static_cast<double>(b - a + 1) > std::max(1.0, rate) + rate * seconds + 1e-3) return false;
-        }
-      }
-      return true;
-    };
-    RC_ASSERT(fits(by_rule, redrive.rate_per_second));
-    for (const auto& [d, times] : granted) RC_ASSERT(fits(times, 5));
+    return true;
+  }
+
+  void CompleteMessage(int destination) {
+    if (in_flight_[destination] == 0) return;
+    --in_flight_[destination];
+    --total_;
+    planner_.OnMessageCompleted(destination, *rc::gen::arbitrary<bool>(), now_);
+  }
+
+  void RejectCall(int destination) {
+    failed_at_[destination] = now_;
+    retry_after_[destination] = std::max(retry_after_[destination], now_ + 300ms);
+    planner_.OnCallCompleted(destination, Outcome::kRejected, 300ms, now_);
+  }
+
+  void RequestGrant(int destination) {
+    const bool has_endpoint = *rc::gen::inRange(0, 10) > 0;
+    const RedrivePlanner::Load load{*rc::gen::inRange(0, limits_.max_concurrent_calls + 1),
+                                    *rc::gen::inRange(0, 201)};
+    const auto grant = planner_.RequestGrant("r", redrive_, destination, has_endpoint, load, now_);
+    if (!grant.granted()) {
+      RC_ASSERT(grant.retry_after >= now_);
+      return;
+    }
+    RC_ASSERT(has_endpoint && load.pending_messages < limits_.max_pending_messages &&
+              load.calls_in_flight < limits_.max_concurrent_calls);
+    const bool is_healthy =
+        !failed_at_.contains(destination) || now_ >= failed_at_[destination] + redrive_.healthy_for;
+    RC_ASSERT(now_ >= retry_after_[destination] && is_healthy);
+    ++in_flight_[destination];
+    ++total_;
+    granted_[destination].push_back(now_);
+    granted_by_rule_.push_back(now_);
+  }
+
+  const RedrivePlanner::Limits limits_;
+  RedrivePlanner planner_;
+  RedriveAction redrive_;
+  Time now_{0};
+  int total_ = 0;
+  std::map<int, int> in_flight_;
+  std::map<int, Time> failed_at_;
+  std::map<int, Time> retry_after_;
+  std::map<int, std::vector<Time>> granted_;
+  std::vector<Time> granted_by_rule_;
+};
+
+void PlannerKeepsItsLimits() {
+  assert(rc::check("against a plain count", [] {
+    PlannerModel model;
+    for (int i = 0; i < 300; ++i) model.Step();
+    model.CheckRates();
   }));
 }
 
