--- a/src/frontend/cloudevents/cloudevents_frontend.cpp
+++ b/src/frontend/cloudevents/cloudevents_frontend.cpp
@@ -1,5 +1,7 @@
 #include "frontend/cloudevents/cloudevents_frontend.h"
 
+#include <fmt/format.h>
+
 #include <chrono>
 
 #include "config/json.h"
@@ -29,14 +31,15 @@
   const std::string status = is_deferred ? "deferred" : "undeliverable";
   const auto retry_after = std::chrono::duration_cast<std::chrono::milliseconds>(message.retry_after).count();
   const std::string id = QuotedAttribute(message, "ce-id");
-  std::string data = "{\"source\":" + QuotedAttribute(message, "ce-source") + ",\"id\":" + id;
-  data += ",\"status\":\"" + status + "\"";
-  if (is_deferred && retry_after > 0) data += ",\"again_ms\":" + std::to_string(retry_after);
-  data += "}";
-  return "{\"specversion\":\"1.0\",\"id\":\"" + std::to_string(message.number) + "-" +
-         std::to_string(message.ended_at.count()) + "\",\"source\":" + json::Quote("/sagetally/" + node) +
-         ",\"type\":\"sagetally." + status + "\",\"subject\":" + id +
-         ",\"datacontenttype\":\"application/json\",\"data\":" + data + "}";
+  std::string data =
+      fmt::format(R"("source":{},"id":{},"status":"{}")", QuotedAttribute(message, "ce-source"), id, status);
+  if (is_deferred && retry_after > 0) data += fmt::format(R"(,"again_ms":{})", retry_after);
+  return fmt::format(
+      R"({{"specversion":"1.0","id":"{number}-{ended_at}","source":{source},"type":"sagetally.{status}",)"
+      R"("subject":{subject},"datacontenttype":"application/json","data":{{{data}}}}})",
+      fmt::arg("number", message.number), fmt::arg("ended_at", message.ended_at.count()),
+      fmt::arg("source", json::Quote("/sagetally/" + node)), fmt::arg("status", status),
+      fmt::arg("subject", id), fmt::arg("data", data));
 }
 
 }  // namespace sagetally
