--- a/tests/fuzz/journal_fuzz.cpp
+++ b/tests/fuzz/journal_fuzz.cpp
@@ -1,5 +1,5 @@
-// libFuzzer: what stands in a journal's folder. Whatever it is, it is read without a crash, and what was read
-// can be read again to the same.
+// libFuzzer: the content of a journal's folder. Whatever it is, it is read without a crash, and states that
+// were read give the same bytes when they are encoded, decoded and encoded again.
 #include <cstdlib>
 #include <stdexcept>
 #include <string>
@@ -12,8 +12,9 @@
 
 using namespace sagetally;
 
-// Frames whose checksums hold, so that records are reached: the input says their lengths.
-std::string Sealed(std::string_view records) {
+// Puts records into frames with right checksums, so that their decoders are reached. The first byte of each
+// gives its length.
+std::string SegmentOf(std::string_view records) {
   std::string out = EncodeSegmentHeader({kJournalFormat, 1, 1, 1, 5, "n0"});
   std::uint64_t sequence = 1;
   while (!records.empty()) {
@@ -39,7 +40,7 @@
       ReadFormat1(disk, "/log", messages);
       return 0;
     }
-    disk.Put("/j/" + SegmentName(1), data[0] % 4 == 0 ? std::string(text) : Sealed(text));
+    disk.Put("/j/" + SegmentName(1), data[0] % 4 == 0 ? std::string(text) : SegmentOf(text));
     if (data[0] % 4 == 2) disk.Put("/j/MANIFEST", std::string(text));
     RecordApplier applier(messages);
     Replay(disk, "/j", applier);
--- a/tests/journal/crash_test.cpp
+++ b/tests/journal/crash_test.cpp
@@ -133,10 +133,11 @@
   return crashes;
 }
 
+constexpr std::uint64_t kCrashSeed = 3;
+
 void CrashAtAnyCallLosesNothing() {
-  constexpr std::uint64_t kSeed = 3;
   const JournalSettings settings = CrashTestJournal();
-  const Workload workload = MeasureWorkload(settings, kSeed);
+  const Workload workload = MeasureWorkload(settings, kCrashSeed);
   assert(workload.segments_dropped > 10);
   int crashes = 0;
   int within_recovery = 0;
@@ -145,7 +146,7 @@
       FaultInjectingFileSystem disk;
       TestClock clock;
       disk.plan = FaultAt(call, fault);
-      const auto known = RunUntilCrash(disk, clock, settings, kSeed, call);
+      const auto known = RunUntilCrash(disk, clock, settings, kCrashSeed, call);
       if (!known) continue;
       ++crashes;
       disk.plan = nullptr;
@@ -214,17 +215,18 @@
   return unwritable;
 }
 
+constexpr std::uint64_t kErrorSeed = 5;
+
 // An error instead: the journal continues, and once the disk works again all is on record.
 void ErrorAtAnyCallLosesNothing() {
-  constexpr std::uint64_t kSeed = 5;
   const JournalSettings settings = CrashTestJournal();
-  const Workload workload = MeasureWorkload(settings, kSeed);
+  const Workload workload = MeasureWorkload(settings, kErrorSeed);
   int runs = 0;
   int unwritable = 0;
   for (const int error : {EIO, ENOSPC, EINTR}) {
     for (const std::uint64_t lasting : {1, 6}) {
       for (std::uint64_t call = 1; call <= workload.calls; call += lasting == 1 ? 1 : 7) {
-        const auto steps = RunWithErrors(settings, kSeed, {error, call, lasting});
+        const auto steps = RunWithErrors(settings, kErrorSeed, {error, call, lasting});
         if (!steps) continue;
         ++runs;
         unwritable += *steps;
--- a/tests/journal/damage_test.cpp
+++ b/tests/journal/damage_test.cpp
@@ -44,9 +44,10 @@
 
 // The only quarantine file's size.
 std::size_t QuarantinedBytes(FaultInjectingFileSystem& disk, const std::string& folder) {
+  const std::string prefix = folder + "/";
   std::vector<std::size_t> sizes;
   for (const std::string& name : disk.List(folder).value) {
-    if (name.starts_with("quarantine-")) sizes.push_back(disk.Content(folder + "/" + name).size());
+    if (name.starts_with("quarantine-")) sizes.push_back(disk.Content(prefix + name).size());
   }
   assert(sizes.size() == 1);
   return sizes.front();
--- a/tests/journal/format1_log.h
+++ b/tests/journal/format1_log.h
@@ -1,4 +1,4 @@
-// A log as the program wrote it before there were segments.
+// A log of format 1, as the program wrote it before there were segments.
 #ifndef SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
 #define SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
 
@@ -11,8 +11,8 @@
 
 namespace sagetally {
 
-// Messages "old1", "old2", ... for destination 7, safe to repeat by their bodies' names, of which the first
-// may have run, unless its record is torn.
+// Messages "old1", "old2", ... for destination 7, idempotent by the names of their bodies. The first has an
+// attempt in flight, whose record lacks its last bytes if `torn`.
 inline std::string LegacyLog(int messages, bool torn, Time deadline = Time(99), int message_class = 2) {
   std::string log;
   const auto add = [&](const std::string& record) {
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -145,6 +145,17 @@
   return other;
 }
 
+// A successor begins an epoch and dies; `old` continues in the next one.
+void ReclaimAfterSuccessor(JournalProcess& old, FaultInjectingFileSystem& disk, TestClock& clock,
+                           const JournalSettings& settings, std::uint64_t expected_epoch) {
+  FaultInjectingFileSystem other = DiskOfSuccessor(disk, clock, settings, [&](const JournalProcess& next) {
+    assert(next.journal.epoch() == expected_epoch - 1);
+  });
+  CopyChangedFiles(disk, other);
+  assert(old.journal.Reclaim() && old.journal.epoch() == expected_epoch && old.journal.is_writable());
+  assert(old.Accept("b" + std::to_string(expected_epoch), 40) != nullptr && !old.fenced);
+}
+
 void ReclaimContinuesAfterASuccessorDied() {
   TestClock clock;
   for (const bool reserves_space : {false, true}) {
@@ -156,14 +167,8 @@
       old.Accept("a", 40, 2);
       old.StartAttempt(*old.messages.Find(1));
       assert(old.journal.Reclaim() && old.journal.epoch() == 1);  // there is no successor
-      for (const std::uint64_t epoch : {3, 5}) {                  // more than once
-        FaultInjectingFileSystem other =
-            DiskOfSuccessor(disk, clock, settings,
-                            [&](const JournalProcess& next) { assert(next.journal.epoch() == epoch - 1); });
-        CopyChangedFiles(disk, other);
-        assert(old.journal.Reclaim() && old.journal.epoch() == epoch && old.journal.is_writable());
-        assert(old.Accept("b" + std::to_string(epoch), 40) != nullptr && !old.fenced);
-      }
+      ReclaimAfterSuccessor(old, disk, clock, settings, 3);
+      ReclaimAfterSuccessor(old, disk, clock, settings, 5);
       old.FinishAttempt(*old.messages.Find(1), Outcome::kRejected);  // continues the attempt before
       for (int i = 0; i < 100; ++i) old.Accept("more", 200);
       assert(old.messages.pending_count() > 20 && !old.fenced);
@@ -236,10 +241,11 @@
   return durable;
 }
 
+constexpr int kMessages = 40;
+
 // With a reserve, all accepted messages are completed although the disk is full; new ones are rejected until
 // there is space.
 void FullDiskRejectsOnlyNewMessages() {
-  constexpr int kMessages = 40;
   for (const bool reserves_space : {false, true}) {
     JournalSettings settings = SmallJournal();
     settings.reserve_disk_space = reserves_space;
--- a/tests/journal/property_test.cpp
+++ b/tests/journal/property_test.cpp
@@ -37,8 +37,9 @@
   }
 };
 
+constexpr std::array kEnds = {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn};
+
 FaultPlan DrawPlan(Random& random, std::uint64_t calls_before) {
-  constexpr std::array kEnds = {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn};
   FaultPlan plan;
   plan.last_call = calls_before + DrawCount(random, 900);
   plan.fault = kEnds.at(DrawCount(random, 2));
