--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -69,7 +69,7 @@
     });
     for (int kill = 0; kill < kills; ++kill) KillUnderTraffic(watcher);
     WaitUntilReady();
-    partner_.menu = {kWell};
+    partner_.menu = {Fault::kWell};
     accepted_ = clients_->Taken();
     const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     Until(world_.loop, [&] { return CountOpen() == 0 || std::chrono::steady_clock::now() >= give_up_at; });
@@ -80,6 +80,8 @@
   }
 
  private:
+  using Fault = Partner::Fault;
+
   void ConfigureNode(const std::string& durability) {
     world_.ports.resize(8, partner_.port);
     world_.spread = true;
@@ -92,8 +94,9 @@
   }
 
   void ConfigurePartner() {
-    partner_.menu = {kFull, kRefuse, kError, kError, kReset, kReset, kSpoilt, kLate, kSilent};
-    partner_.menu.resize(30, kWell);
+    partner_.menu = {Fault::kFull,  Fault::kRefuse, Fault::kError, Fault::kError, Fault::kReset,
+                     Fault::kReset, Fault::kSpoilt, Fault::kLate,  Fault::kSilent};
+    partner_.menu.resize(30, Fault::kWell);
   }
 
   // From 0 to `max`.
@@ -146,8 +149,6 @@
     assert(kills_at_changes_ > kills / 4 && accepted_.size() > static_cast<std::size_t>(kills));
   }
 
-  using enum Partner::Fault;
-
   const std::string program_;
   World world_{0, 24, 150};
   Partner partner_;
