--- a/tests/net/http_server_races_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -36,7 +36,7 @@
   std::string received_;
 };
 
-// A server that answers each request with 200, or holds it, and its clients.
+// A server that answers each request with 200 or, with hold_requests, not yet; and its clients.
 struct ServerFixture {
   explicit ServerFixture(std::size_t connections = 16)
       : server(loop, {"127.0.0.1", 0}, {1024, connections},
@@ -193,7 +193,9 @@
     return "POST /aviso HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id +
            "\r\nX-Class: aviso\r\nX-Deadline: 9000m\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nok";
   };
-  Client idle(world.dispatcher->port()), half(world.dispatcher->port()), unread(world.dispatcher->port());
+  Client idle(world.dispatcher->port());
+  Client half(world.dispatcher->port());
+  Client unread(world.dispatcher->port());
   assert(idle.Send(message("idle")) && half.Send(message("half").substr(0, 40)) &&
          unread.Send(message("first")));
   Until(world.loop,
