--- a/tests/pipeline/durability_test.cpp
+++ b/tests/pipeline/durability_test.cpp
@@ -66,16 +66,22 @@
   EXPECT_EQ(node->calls.size(), 1U);
 }
 
-// The message expires while the disk is full.
-TEST_F(DurabilityTest, ClientIsNotifiedOnceAfterTheCompletionIsRecorded) {
+// A message that expires while the disk is full.
+struct FullDiskAtCompletionTest : DurabilityTest {
+  void SetUp() override {
+    node->Submit(kPagamento, "p");
+    ASSERT_EQ(node->calls.size(), 1U);
+    files.plan = [](std::uint64_t, std::string_view operation) {
+      return Step{operation == "append" ? Fault::kError : Fault::kNone, ENOSPC};
+    };
+    node->Finish(Outcome::kReset);  // may have run, so the client has to be notified
+    node->Pass(std::chrono::seconds(9));
+  }
+
   std::unique_ptr<Whole> node = MakeNode();
-  node->Submit(kPagamento, "p");
-  ASSERT_EQ(node->calls.size(), 1U);
-  files.plan = [](std::uint64_t, std::string_view operation) {
-    return Step{operation == "append" ? Fault::kError : Fault::kNone, ENOSPC};
-  };
-  node->Finish(Outcome::kReset);  // may have run, so the client has to be notified
-  node->Pass(std::chrono::seconds(9));
+};
+
+TEST_F(FullDiskAtCompletionTest, ClientIsNotifiedOnceAfterTheCompletionIsRecorded) {
   EXPECT_TRUE(node->told.empty());
   EXPECT_EQ(node->ledger.pending_count(), 0);
   EXPECT_EQ(node->ledger.size(), 1U);
