--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -17,10 +17,10 @@
   sagetally::DispatchPolicy policy(settings, /*seed=*/1);
 
   std::vector<sagetally::Event> events;
-  events.push_back(
+  events.emplace_back(
       sagetally::EndpointListUpdated{.kind = sagetally::EndpointListUpdated::Kind::kFullSnapshot,
                                      .endpoints = {{.endpoint = "192.0.2.1:443", .destination = 7}}});
-  events.push_back(sagetally::MessageAccepted{.id = "order-1", .destination = 7, .time_left = 20s});
+  events.emplace_back(sagetally::MessageAccepted{.id = "order-1", .destination = 7, .time_left = 20s});
 
   std::vector<sagetally::Action> actions;
   policy.Process(/*now=*/0s, events, actions);
--- a/tests/policy/cold_return_test.cpp
+++ b/tests/policy/cold_return_test.cpp
@@ -66,8 +66,8 @@
       } else if (due.kind == Kind::kRestart) {
         Start(due.dispatcher, now_);
       } else if (due.kind == Kind::kTimer) {
-        if (member.incarnation == due.incarnation && member.wake == now_)
-          Process(due.dispatcher, {TimerFired{}});
+        const bool is_current = member.incarnation == due.incarnation && member.wake == now_;
+        if (is_current) Process(due.dispatcher, {TimerFired{}});
       } else if (member.incarnation == due.incarnation) {
         Complete(due);
       }
@@ -133,7 +133,7 @@
       pending.sent_at = 0s;
       accepted.attempts = pending.attempts;
       accepted.first_uncertain_attempt = pending.uncertain_since;
-      events.push_back(accepted);
+      events.emplace_back(accepted);
     }
     Process(i, events);
   }
@@ -215,6 +215,18 @@
   std::string how;  // of the first that broke the rule
 };
 
+void Run(const Scenario& scenario, std::uint64_t seed, Sum& sum) {
+  ColdReturn fleet(scenario, seed);
+  const auto overload = fleet.Run();
+  ++sum.runs;
+  sum.calls += fleet.after();
+  if (!overload || 3 * overload->informed <= 2 * overload->calls) return;
+  if (++sum.broken > 1) return;
+  sum.how = std::to_string(scenario.dispatchers) + " dispatchers, capacity " +
+            std::to_string(scenario.capacity) + ": " + std::to_string(overload->calls) + " calls, " +
+            std::to_string(overload->informed) + " informed, allowed " + std::to_string(overload->allowed);
+}
+
 // Runs of every size of destination, advertised rate, load and fleet. `variant`: 1: two endpoints; 2: the
 // outage rejects; 3: two in five dispatchers are restarted just before the return.
 Sum RunAll(int variant) {
@@ -224,22 +236,14 @@
     for (const double capacity : {6.0, 15.0, 60.0}) {
       for (const double advertised : {0.6, 1.0, 1.5}) {
         for (const double load : {0.5, 1.0}) {
-          ColdReturn fleet({.dispatchers = dispatchers,
-                            .capacity = capacity,
-                            .advertised = advertised,
-                            .load = load,
-                            .endpoints = variant == 1 ? 2 : 1,
-                            .rejects = variant == 2,
-                            .restarted = variant == 3 ? 0.4 : 0.0},
-                           ++seed);
-          const auto overload = fleet.Run();
-          ++sum.runs;
-          sum.calls += fleet.after();
-          if (!overload || 3 * overload->informed <= 2 * overload->calls) continue;
-          if (++sum.broken > 1) continue;
-          sum.how = std::to_string(dispatchers) + " dispatchers, capacity " + std::to_string(capacity) +
-                    ": " + std::to_string(overload->calls) + " calls, " + std::to_string(overload->informed) +
-                    " informed, allowed " + std::to_string(overload->allowed);
+          Run({.dispatchers = dispatchers,
+               .capacity = capacity,
+               .advertised = advertised,
+               .load = load,
+               .endpoints = variant == 1 ? 2 : 1,
+               .rejects = variant == 2,
+               .restarted = variant == 3 ? 0.4 : 0.0},
+              ++seed, sum);
         }
       }
     }
--- a/tests/policy/growth_test.cpp
+++ b/tests/policy/growth_test.cpp
@@ -71,7 +71,7 @@
         completed.outcome = i % 4 == 0 ? Outcome::kReset : Outcome::kOk;
         completed.message_ended = true;
         completed.latency = 50ms;
-        outcomes.push_back(completed);
+        outcomes.emplace_back(completed);
       }
     }
     now += 50ms;
--- a/tests/policy/message_queues_test.cpp
+++ b/tests/policy/message_queues_test.cpp
@@ -101,8 +101,9 @@
       for (int i = 0; i < 10; ++i) {
         const std::string id = "f" + std::to_string(i);
         policy.Accept(1s + i * 50s, id, kIdempotentClass, 100ms);
-        if (!policy.ActionsOf<StartAttempt>().empty())
+        if (!policy.ActionsOf<StartAttempt>().empty()) {
           policy.Complete(1s + i * 50s + 1ms, id, Outcome::kRejected, 1ms);
+        }
         policy.Process(1s + i * 50s + 99ms);
       }
     }
@@ -167,8 +168,9 @@
   settings.max_pending_messages = 10;
   PolicyDriver policy(settings);
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 2, 40)});
-  for (int i = 0; i < 9; ++i)
+  for (int i = 0; i < 9; ++i) {
     policy.Accept(0s, "u" + std::to_string(i), kNotIdempotentClass);  // nowhere to go
+  }
   policy.Accept(1s, "k", kWithKeyClass, 20s, "", 2);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "k");
 }
@@ -207,8 +209,8 @@
   policy.Complete(100ms, "m", Outcome::kRejected);  // a pace there now
   std::vector<Event> events;
   for (int i = 0; i < 6; ++i) {
-    events.push_back(PolicyDriver::Accepted("b" + std::to_string(i), kIdempotentClass, 20s, "", 1));
-    events.push_back(PolicyDriver::Accepted("a" + std::to_string(i), kIdempotentClass, 20s, "", 2));
+    events.emplace_back(PolicyDriver::Accepted("b" + std::to_string(i), kIdempotentClass, 20s, "", 1));
+    events.emplace_back(PolicyDriver::Accepted("a" + std::to_string(i), kIdempotentClass, 20s, "", 2));
   }
   policy.Process(200ms, events);
   EXPECT_NE(policy.IdsOf<RejectMessage>(), "");
--- a/tests/policy/random_rules_test.cpp
+++ b/tests/policy/random_rules_test.cpp
@@ -30,7 +30,8 @@
 
 class RuleChecker {
  public:
-  RuleChecker(std::uint64_t seed, Settings s) : settings_(s), policy_(s, seed), random_(seed) {}
+  RuleChecker(std::uint64_t seed, const Settings& settings)
+      : settings_(settings), policy_(settings, seed), random_(seed) {}
 
   void Run() {
     for (int d = 0; d < 4; ++d) {
@@ -43,9 +44,10 @@
     Time wake = Time::max();
     for (Time now = 0s; now < 60s; now += 5ms) {
       std::vector<Event> events;
-      if (now == 0s)
-        events.push_back(
+      if (now == 0s) {
+        events.emplace_back(
             EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot, .endpoints = entries_});
+      }
       if (Chance(0.002)) Toggle(now, events);
       if (Chance(0.002)) behaviour_[Pick(4)] = Pick(4);
       if (now < 30s && Chance(0.15)) Accept(now, events);
@@ -64,7 +66,7 @@
         }
       }
       if (now >= wake) {
-        events.push_back(TimerFired{});
+        events.emplace_back(TimerFired{});
         wake = Time::max();
       }
       if (events.empty()) continue;
@@ -105,7 +107,7 @@
       entry.state = Chance(0.5) ? EndpointRecord::State::kDraining : EndpointRecord::State::kRemoved;
     }
     removed_at_[entry.endpoint] = now;
-    events.push_back(EndpointListUpdated{.endpoints = {entry}});
+    events.emplace_back(EndpointListUpdated{.endpoints = {entry}});
   }
 
   void Accept(Time now, std::vector<Event>& events) {
@@ -118,7 +120,7 @@
         settings_.classes[m.message_class].deadline - Milliseconds(Chance(0.2) ? Pick(9000) : 0);
     m.deadline = now + left;
     if (settings_.classes[m.message_class].ordered_by_key) m.key = "k" + std::to_string(Pick(6));
-    events.push_back(PolicyDriver::Accepted(id, m.message_class, left, m.key, m.destination));
+    events.emplace_back(PolicyDriver::Accepted(id, m.message_class, left, m.key, m.destination));
     known_[id] = m;
   }
   static Duration Milliseconds(int n) { return std::chrono::milliseconds(n); }
@@ -127,14 +129,14 @@
     auto at = known_.begin();
     std::advance(at, Pick(static_cast<int>(known_.size())));
     at->second.has_ended = true;
-    events.push_back(MessageWithdrawn{at->first});
+    events.emplace_back(MessageWithdrawn{at->first});
   }
 
   void Complete(Time now, Flight& flight, std::vector<Event>& events) {
     if (flight.end.id.rfind("probe ", 0) == 0) {
       failures_[flight.end.id.substr(6)] = 0;
       reached_[flight.end.id.substr(6)].clear();
-      events.push_back(HealthCheckCompleted{flight.end.id.substr(6), Outcome::kOk, 50ms, {}});
+      events.emplace_back(HealthCheckCompleted{flight.end.id.substr(6), Outcome::kOk, 50ms, {}});
       return;
     }
     MessageRecord& m = known_[flight.end.id];
@@ -148,12 +150,13 @@
     flight.end.message_ended = m.has_ended;
     if (o == Outcome::kError || o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled) {
       if (!m.uncertain_since) m.uncertain_since = sent_[flight.end.id];
-      if (o != Outcome::kError && !m.key.empty())
+      if (o != Outcome::kError && !m.key.empty()) {
         quiet_[m.key] = {now + settings_.key_quiet_time, flight.end.id};
+      }
     }
     if (flight.end.retry_after > 0ms) {
       const std::string scope = ScopeOf(endpoint_[flight.end.id]);
-      new_waits_.push_back({scope, now + flight.end.retry_after});
+      new_waits_.emplace_back(scope, now + flight.end.retry_after);
     }
     // The call itself is over when its last member is.
     const auto call = call_of_[flight.end.id];
@@ -164,7 +167,7 @@
       failures_[endpoint_[flight.end.id]] = 0;
       reached_[endpoint_[flight.end.id]].clear();
     }
-    events.push_back(flight.end);
+    events.emplace_back(flight.end);
   }
 
   void Cancel(Time now, const CancelAttempt& cancel) {
@@ -349,24 +352,28 @@
     std::string actions;
     for (int i = 0; i < 200; ++i) {
       std::vector<Event> events;
-      if (i == 0)
-        events.push_back(EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
-                                             .endpoints = {EndpointAt("e"), EndpointAt("f")}});
+      if (i == 0) {
+        events.emplace_back(EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
+                                                .endpoints = {EndpointAt("e"), EndpointAt("f")}});
+      }
       for (const std::string& id : {policy.IdsOf<StartAttempt>()}) {
-        if (!id.empty()) events.push_back(policy.Completed(id, i % 3 ? Outcome::kReset : Outcome::kOk));
+        if (!id.empty()) events.emplace_back(policy.Completed(id, i % 3 ? Outcome::kReset : Outcome::kOk));
       }
-      events.push_back(PolicyDriver::Accepted("m" + std::to_string(i), i % 2));
+      events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(i), i % 2));
       policy.Process(i * 400ms, events);
       if (other != nullptr) other->Accept(i * 400ms, "x" + std::to_string(i));
       actions += policy.IdsOf<StartAttempt>() + "/" + policy.IdsOf<RejectMessage>() + "/" +
                  policy.IdsOf<FailMessage>() + ";";
-      for (const ScheduleTimer& wake : policy.ActionsOf<ScheduleTimer>())
+      for (const ScheduleTimer& wake : policy.ActionsOf<ScheduleTimer>()) {
         actions += std::to_string(wake.delay.count()) + ",";
+      }
       if (policy.ActionsOf<StartAttempt>().size() > 1) return actions;  // the script answers one at a time
     }
     return actions;
   };
-  PolicyDriver alone, beside, other;
+  PolicyDriver alone;
+  PolicyDriver beside;
+  PolicyDriver other;
   EXPECT_EQ(play(alone, nullptr), play(beside, &other));
 }
 
--- a/tests/policy/rate_limiting_test.cpp
+++ b/tests/policy/rate_limiting_test.cpp
@@ -92,13 +92,15 @@
 TEST(Pace, IsDecreasedWhereMostCallsFailAndForOneBurstOnce) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 1)});
-  std::vector<Event> accepted, failed;
-  for (int i = 0; i < 4; ++i) accepted.push_back(PolicyDriver::Accepted("a" + std::to_string(i)));
+  std::vector<Event> accepted;
+  std::vector<Event> failed;
+  for (int i = 0; i < 4; ++i) accepted.emplace_back(PolicyDriver::Accepted("a" + std::to_string(i)));
   policy.Process(0s, accepted);
   ASSERT_EQ(policy.ActionsOf<StartAttempt>().size(), 4u);  // unlimited at first
-  for (int i = 0; i < 4; ++i)
-    failed.push_back(policy.Completed("a" + std::to_string(i), Outcome::kConnectFailed));
-  failed.push_back(PolicyDriver::Accepted("b"));
+  for (int i = 0; i < 4; ++i) {
+    failed.emplace_back(policy.Completed("a" + std::to_string(i), Outcome::kConnectFailed));
+  }
+  failed.emplace_back(PolicyDriver::Accepted("b"));
   policy.Process(100ms, failed);
   Time first{0};
   for (Time t = 100ms; t < 20s && first == 0s; t += 10ms) {
--- a/tests/policy/recovery_budget_test.cpp
+++ b/tests/policy/recovery_budget_test.cpp
@@ -20,19 +20,22 @@
     bool failed = false;
     for (Time t = 0s; t < 40s; t += 10ms) {
       std::vector<Event> events;
-      for (const std::string& id : in_flight)
-        events.push_back(policy.Completed(id, Outcome::kConnectFailed, 10ms));
+      for (const std::string& id : in_flight) {
+        events.emplace_back(policy.Completed(id, Outcome::kConnectFailed, 10ms));
+      }
       if (!in_flight.empty()) failed = true;
       for (const StartHealthCheck& check : policy.ActionsOf<StartHealthCheck>()) {
-        events.push_back(HealthCheckCompleted{check.endpoint, Outcome::kOk, 10ms, {}});
+        events.emplace_back(HealthCheckCompleted{check.endpoint, Outcome::kOk, 10ms, {}});
+      }
+      if (t.count() % 50000 == 0) {
+        events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(number++), message_class));
       }
-      if (t.count() % 50000 == 0)
-        events.push_back(PolicyDriver::Accepted("m" + std::to_string(number++), message_class));
       policy.Process(t, events);
       in_flight.clear();
       for (const StartAttempt& attempt : policy.ActionsOf<StartAttempt>()) in_flight.push_back(attempt.id);
-      if (failed)
+      if (failed) {
         reached.insert(reached.end(), in_flight.size() + policy.ActionsOf<StartHealthCheck>().size(), t);
+      }
     }
     ASSERT_GE(reached.size(), 6u);
     for (std::size_t i = 6; i < reached.size(); ++i) EXPECT_GE(reached[i] - reached[i - 6], 3s) << i;
@@ -61,12 +64,12 @@
       for (int i = 0; i < dispatchers; ++i) {
         std::vector<Event> events;
         for (const std::string& id : in_flight[i]) {
-          events.push_back(policies[i].Completed(id, Outcome::kConnectFailed, 10ms));
+          events.emplace_back(policies[i].Completed(id, Outcome::kConnectFailed, 10ms));
           seen[i] = true;
         }
         // Seven messages a second, a third of them at the first dispatcher.
         if (t.count() % 140000 == 0 && i == (number % 3 == 0 ? 0 : number * 7 % dispatchers)) {
-          events.push_back(PolicyDriver::Accepted("m" + std::to_string(number)));
+          events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(number)));
         }
         policies[i].Process(t, events);
         in_flight[i].clear();
@@ -99,9 +102,10 @@
     policy.Accept(0s, "m");
     for (Time t = 20ms; t < 19s; t += 20ms) {
       std::vector<Event> events;
-      for (const StartAttempt& attempt : policy.ActionsOf<StartAttempt>())
-        events.push_back(policy.Completed(attempt.id, Outcome::kRejected, 10ms));
-      if (t % 5s == 0ms) events.push_back(PolicyDriver::Accepted("m" + std::to_string(t.count())));
+      for (const StartAttempt& attempt : policy.ActionsOf<StartAttempt>()) {
+        events.emplace_back(policy.Completed(attempt.id, Outcome::kRejected, 10ms));
+      }
+      if (t % 5s == 0ms) events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(t.count())));
       policy.Process(t, events);
       if (t > 10s) reached.insert(reached.end(), policy.ActionsOf<StartAttempt>().size(), t);
     }
@@ -114,7 +118,8 @@
 // Seen in a simulated fleet: hundreds of dispatchers, rejected once each by a hung destination, came back to
 // it at their paces, together several times what it could take.
 TEST(RecoveryBudget, LimitsDispatchersThatWereRejectedOnce) {
-  std::vector<Time> seen, fresh;
+  std::vector<Time> seen;
+  std::vector<Time> fresh;
   Settings settings = SmallSettings();
   settings.dispatcher_count = 240;
   for (int i = 0; i < 100; ++i) {
@@ -156,8 +161,9 @@
   policy.Accept(1s, "b");
   for (Time t = 1s; t < 3s; t += 20ms) {
     std::vector<Event> events;
-    for (const StartAttempt& attempt : policy.ActionsOf<StartAttempt>())
-      events.push_back(policy.Completed(attempt.id, Outcome::kConnectFailed));
+    for (const StartAttempt& attempt : policy.ActionsOf<StartAttempt>()) {
+      events.emplace_back(policy.Completed(attempt.id, Outcome::kConnectFailed));
+    }
     calls += static_cast<int>(events.size());
     policy.Process(t, events);
   }
@@ -172,7 +178,7 @@
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
   std::vector<Event> events = {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
                                                    .endpoints = {EndpointAt("g", 0, 1, 4)}}};
-  for (int i = 0; i < 8; ++i) events.push_back(PolicyDriver::Accepted("m" + std::to_string(i)));
+  for (int i = 0; i < 8; ++i) events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(i)));
   policy.Process(5s, events);
   EXPECT_LE(policy.ActionsOf<StartAttempt>().size(), 1u);
 }
@@ -186,7 +192,7 @@
   EXPECT_EQ(policy.ActionsOf<StartAttempt>()[0].endpoint, "f");
   policy.Complete(200ms, "a", Outcome::kOk);
   std::vector<Event> events;
-  for (int i = 0; i < 5; ++i) events.push_back(PolicyDriver::Accepted("m" + std::to_string(i)));
+  for (int i = 0; i < 5; ++i) events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(i)));
   policy.Process(300ms, events);
   EXPECT_EQ(policy.ActionsOf<StartAttempt>().size(), 5u);
 }
