--- a/src/app/client_servers.cpp
+++ b/src/app/client_servers.cpp
@@ -16,18 +16,18 @@
 
 void ClientServers::Start(ReceivedHandover* received) {
   const bool has_platform_server = node_file_.role != Role::kPlanner;
-  const DescriptorShares shares =
-      ShareDescriptors(config_, node_file_.cloudevents.has_value(), has_platform_server);
+  const DescriptorLimits shares =
+      DivideDescriptors(config_, node_file_.cloudevents.has_value(), has_platform_server);
   if (has_platform_server) {
     platform_server_ = std::make_unique<HttpServer>(
-        loop_, config_.listen, HttpServer::HttpServerLimits{RequestValidator::kMaxBodyBytes, shares.plain},
+        loop_, config_.listen, HttpServer::Limits{RequestValidator::kMaxBodyBytes, shares.platform_connections},
         [this](const std::shared_ptr<Exchange>& exchange) { platform_frontend_.Handle(exchange); },
         received != nullptr ? std::move(received->platform_listener) : FileDescriptor());
   }
   if (node_file_.cloudevents) {
     cloudevents_server_ = std::make_unique<HttpServer>(
         loop_, node_file_.cloudevents->listen,
-        HttpServer::HttpServerLimits{shares.event_body, shares.events, CloudEventsFrontend::kMaxHeadBytes},
+        HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections, CloudEventsFrontend::kMaxHeadBytes},
         [this](const std::shared_ptr<Exchange>& exchange) { cloudevents_frontend_.Handle(exchange); },
         received != nullptr ? std::move(received->cloudevents_listener) : FileDescriptor());
     log_.Info("cloudevents.ready",
@@ -54,7 +54,7 @@
 
 std::size_t ClientServers::connections() const {
   std::size_t count = 0;
-  for (const HttpServer* server : Servers()) count += server->connections();
+  for (const HttpServer* server : Servers()) count += server->connection_count();
   return count;
 }
 
@@ -87,17 +87,17 @@
 
 void ClientServers::AddToOffer(HandoverOffer& offer) const {
   if (platform_server_) {
-    offer.platform_listener = platform_server_->listener();
+    offer.platform_listener = platform_server_->listener_descriptor();
     offer.platform_clients = platform_server_->ClientsToTransfer();
   }
   if (cloudevents_server_) {
-    offer.cloudevents_listener = cloudevents_server_->listener();
+    offer.cloudevents_listener = cloudevents_server_->listener_descriptor();
     offer.cloudevents_clients = cloudevents_server_->ClientsToTransfer();
   }
 }
 
 void ClientServers::ReleaseAll() {
-  for (HttpServer* server : Servers()) server->ReleaseAll();
+  for (HttpServer* server : Servers()) server->ReleaseTransferred();
 }
 
 }  // namespace sagetally
--- a/src/app/dead_letter_control.cpp
+++ b/src/app/dead_letter_control.cpp
@@ -61,7 +61,7 @@
   };
   const auto on_done = [this, is_write, result, respond](const dead_letter::JobError* error) {
     if (is_write) manager_.ScheduleReview();
-    respond(error == nullptr ? *result : dead_letter::ErrorLine("the store: " + error->what));
+    respond(error == nullptr ? *result : dead_letter::ErrorLine("the store: " + error->message));
   };
   dead_letter::JobRunner& runner = is_write ? writer_ : reader_;
   if (!runner.Run(job, on_done)) respond(dead_letter::ErrorLine("busy: ask again"));
@@ -73,15 +73,15 @@
   return {{"owed", manager_.pending_transfers()},
           {"resends_out", manager_.redrives_in_flight()},
           {"store_failing", manager_.store_failing()},
-          {"kept", counters.kept},
-          {"resends", counters.resends},
+          {"kept", counters.stored},
+          {"resends", counters.redrives},
           {"delivered", counters.delivered},
-          {"kept_again", counters.kept_again},
-          {"handed_in_again", counters.handed_in_again},
+          {"kept_again", counters.redrives_failed},
+          {"handed_in_again", counters.resubmitted},
           {"evicted", counters.evicted},
-          {"lost", counters.owed_dropped},
-          {"store_failures", counters.transfers_failed},
-          {"stores_begun_anew", counters.stores_begun_anew}};
+          {"lost", counters.transfers_given_up},
+          {"store_failures", counters.store_failures},
+          {"stores_begun_anew", counters.files_replaced}};
 }
 
 }  // namespace sagetally
--- a/src/app/dead_letter_service.cpp
+++ b/src/app/dead_letter_service.cpp
@@ -34,7 +34,7 @@
       settings_(settings),
       classes_(config.site.classes),
       clock_(clock),
-      folder_(MakeFolder(dead_letter::FolderOf(settings, config.state_folder))),
+      folder_(MakeFolder(dead_letter::DatabaseFolder(settings, config.state_folder))),
       socket_path_(dead_letter::SocketPath(config.state_folder)),
       result_wakeup_(loop,
                      [this] {
@@ -54,7 +54,7 @@
 void DeadLetterService::Start(MessagePipeline& pipeline, bool journal_is_new) {
   manager_.Start(
       {.accept_redrive =
-           [&pipeline](Message message) { return pipeline.admission.AcceptRedrive(std::move(message)); },
+           [&pipeline](Message message) { return pipeline.admission_controller.AcceptRedrive(std::move(message)); },
        .has_usable_endpoint =
            [&pipeline](int destination) { return pipeline.router.HasUsableEndpoint(destination); },
        .on_dead_lettered =
--- a/src/app/dead_letter_service.h
+++ b/src/app/dead_letter_service.h
@@ -45,7 +45,7 @@
   void UseRules(LoadedRules rules);
 
   DeadLetterSink* sink() { return &manager_; }
-  dead_letter::DeadLetterManager& keeper() { return manager_; }
+  dead_letter::DeadLetterManager& manager() { return manager_; }
 
  private:
   void OpenControlSocket();
--- a/src/app/dispatcher.cpp
+++ b/src/app/dispatcher.cpp
@@ -18,10 +18,10 @@
 constexpr Duration kShutdownMargin = std::chrono::milliseconds(100);
 
 EndpointPool::Limits MakePoolLimits(const Config& config, const NodeFile& node_file) {
-  const DescriptorShares shares = ShareDescriptors(config, node_file.cloudevents.has_value());
+  const DescriptorLimits shares = DivideDescriptors(config, node_file.cloudevents.has_value());
   return {config.site.connect_timeout, config.site.policy.connection_idle_timeout,
           config.site.policy.max_concurrent_calls + kSpareConnectionsPerEndpoint,
-          shares.calls - (node_file.dead_letters ? kDeadLetterDescriptors : 0)};
+          shares.endpoint_connections - (node_file.dead_letters ? kDeadLetterDescriptors : 0)};
 }
 
 std::string AddressText(const Address& address) { return address.host + ":" + std::to_string(address.port); }
@@ -53,12 +53,12 @@
                         : nullptr),
       pipeline_(config_.site, config_.seed, messages_, journal_.journal(), *this, *this, *this, clock_,
                 dead_letters_ ? dead_letters_->sink() : nullptr, &metrics_),
-      client_servers_(loop_, log_, config_, node_file_, pipeline_.validator, readiness_),
+      client_servers_(loop_, log_, config_, node_file_, pipeline_.request_validator, readiness_),
       admin_(loop_, log_, readiness_, client_servers_, metrics_, clock_, [this] { return Gauges(); }),
       shutdown_(loop_, client_servers_, [this] { return HasPendingWork(); }) {
-  endpoint_pool_.on_written = [this] { metrics_.RecordCallWritten(); };
+  endpoint_pool_.on_call_written = [this] { metrics_.RecordCallWritten(); };
   readiness_.can_record = [this] { return journal_.journal().is_writable(); };
-  pipeline_.admission.is_accepting = [this] { return readiness_.IsAccepting(clock_.Now()); };
+  pipeline_.admission_controller.is_accepting = [this] { return readiness_.IsAccepting(clock_.Now()); };
 }
 
 Dispatcher::~Dispatcher() = default;
@@ -104,20 +104,20 @@
   };
   if (!node_file_.eureka) {
     const std::int64_t known_revision =
-        predecessor_ ? received()->state.revision : config_.cached_endpoint_list.revision;
+        predecessor_ ? received()->state.endpoint_list_revision : config_.cached_endpoint_list.revision;
     endpoint_list_source_ = WatchDiscovery(loop_, log_, config_, known_revision, on_list_update);
   }
   client_servers_.Start(received());
   if (node_file_.eureka) {  // a planner registers the port at which it listens by now
     const Instance own_instance = node_file_.role == Role::kPlanner
-                                      ? MakePlannerInstance(config_.name, *node_file_.eureka, events_port())
+                                      ? MakePlannerInstance(config_.name, *node_file_.eureka, cloudevents_port())
                                       : Instance();
     endpoint_list_source_ =
         FollowRegistry(loop_, log_, config_.site, *node_file_.eureka, own_instance, on_list_update);
   }
   if (predecessor_) client_servers_.AdoptClients(*received());
   if (config_.admin) {
-    admin_.Start(config_.admin->host, std::move(admin_listener_), ShareDescriptors(config_, false).admin);
+    admin_.Start(config_.admin->host, std::move(admin_listener_), DivideDescriptors(config_, false).admin_connections);
   }
   if (CanHandOver(node_file_)) OfferHandover();
   readiness_.OnStarted();
@@ -191,9 +191,9 @@
 
 bool Dispatcher::HasPendingWork() const {
   if (handed_over()) {
-    return !endpoint_pool_.idle() || (predecessor_ && predecessor_->has_calls_in_flight());
+    return !endpoint_pool_.is_idle() || (predecessor_ && predecessor_->has_calls_in_flight());
   }
-  const bool is_notifying = !platform_notifications_.idle() || (result_events_ && !result_events_->idle());
+  const bool is_notifying = !platform_notifications_.is_idle() || (result_events_ && !result_events_->is_idle());
   return is_notifying || messages_.pending_count() != 0;
 }
 
--- a/src/app/dispatcher.h
+++ b/src/app/dispatcher.h
@@ -53,9 +53,9 @@
   const std::string& failure() const { return failure_; }
   std::uint16_t admin_port() const { return admin_.port(); }
   // Connections of clients to the platform's server.
-  std::size_t clients() const { return client_servers_.platform_connections(); }
+  std::size_t client_connections() const { return client_servers_.platform_connections(); }
   std::uint16_t port() const { return client_servers_.port(); }
-  std::uint16_t events_port() const { return client_servers_.cloudevents_port(); }
+  std::uint16_t cloudevents_port() const { return client_servers_.cloudevents_port(); }
   // Null if undeliverable messages are not stored.
   DeadLetterService* dead_letters() { return dead_letters_.get(); }
 
--- a/src/app/dispatcher_handover.cpp
+++ b/src/app/dispatcher_handover.cpp
@@ -47,7 +47,7 @@
 
 bool Dispatcher::IsSettledForHandover() {
   pipeline_.RunPolicy();
-  bool is_settled = pipeline_.IsSettled() && client_servers_.IsSettled();
+  bool is_settled = pipeline_.IsQuiescent() && client_servers_.IsSettled();
   // A call that nobody waits for any more ends here: the next process knows nothing of its message, and would
   // use its slot.
   for (const auto& [number, message] : messages_.messages()) {
--- a/src/app/endpoint_list_source.cpp
+++ b/src/app/endpoint_list_source.cpp
@@ -37,7 +37,7 @@
             [this](const Applications& applications) { OnApplications(applications); }, log) {}
 
   void Deregister() override {
-    client_.Cancel([] {});
+    client_.Deregister([] {});
   }
 
  private:
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -58,24 +58,24 @@
 Forwarder::~Forwarder() = default;
 
 void Forwarder::Start() {
-  const DescriptorShares shares = ShareDescriptors(config_, true);
+  const DescriptorLimits shares = DivideDescriptors(config_, true);
   platform_server_ = std::make_unique<HttpServer>(
-      loop_, config_.listen, HttpServer::HttpServerLimits{RequestValidator::kMaxBodyBytes, shares.plain},
+      loop_, config_.listen, HttpServer::Limits{RequestValidator::kMaxBodyBytes, shares.platform_connections},
       [this](const std::shared_ptr<Exchange>& exchange) { OnPlatformRequest(exchange); });
   cloudevents_server_ = std::make_unique<HttpServer>(
       loop_, cloudevents_address_,
-      HttpServer::HttpServerLimits{shares.event_body, shares.events, CloudEventsFrontend::kMaxHeadBytes},
+      HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections, CloudEventsFrontend::kMaxHeadBytes},
       [this](const std::shared_ptr<Exchange>& exchange) { OnCloudEventsRequest(exchange); });
   log_.Info(
       "ready",
-      {{"name", config_.name}, {"role", "forwarder"}, {"port", port()}, {"events_port", events_port()}});
+      {{"name", config_.name}, {"role", "forwarder"}, {"port", port()}, {"events_port", cloudevents_port()}});
 }
 
 std::size_t Forwarder::planners_up() const {
   const auto planners = eureka_.applications().find(planners_application_);
   if (planners == eureka_.applications().end()) return 0;
   std::size_t count = 0;
-  for (const auto& [id, planner] : planners->second) count += planner.up() ? 1 : 0;
+  for (const auto& [id, planner] : planners->second) count += planner.is_up() ? 1 : 0;
   return count;
 }
 
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -35,7 +35,7 @@
   void Shutdown();
 
   std::uint16_t port() const { return platform_server_->port(); }
-  std::uint16_t events_port() const { return cloudevents_server_->port(); }
+  std::uint16_t cloudevents_port() const { return cloudevents_server_->port(); }
   // How many planners are UP in the registry's last list.
   std::size_t planners_up() const;
 
--- a/src/app/handover_predecessor.cpp
+++ b/src/app/handover_predecessor.cpp
@@ -102,7 +102,7 @@
   calls_in_flight_ = std::move(calls);
   on_result_ = std::move(on_result);
   channel_closed_timer_ = std::make_unique<Timer>(loop, [this] { FailRemainingCalls(); });
-  channel_.OnReadable(
+  channel_.StartReceiving(
       loop, [this](const Packet& packet) { OnPacket(packet); },
       [this] { channel_closed_timer_->Schedule(kAbandonedCallDelay); });
 }
@@ -110,13 +110,13 @@
 void Predecessor::OnPacket(const Packet& packet) {
   if (KindOf(packet) != HandoverPacketKind::kCallResult) return;
   const std::optional<CallResult> result = DecodeCallResult(packet.bytes);
-  if (result && calls_in_flight_.erase(result->number) > 0) on_result_(*result);
+  if (result && calls_in_flight_.erase(result->message_number) > 0) on_result_(*result);
 }
 
 void Predecessor::FailRemainingCalls() {
   for (const std::uint64_t number : std::exchange(calls_in_flight_, {})) {
     CallResult result;
-    result.number = number;
+    result.message_number = number;
     result.outcome = Outcome::kReset;
     on_result_(result);
   }
--- a/src/app/handover_successor.cpp
+++ b/src/app/handover_successor.cpp
@@ -39,7 +39,7 @@
   }
   channel_ = std::move(channel);
   hello_timeout_.Schedule(kHandoverAnswerTimeout);
-  channel_.OnReadable(
+  channel_.StartReceiving(
       loop_, [this](const Packet& packet) { OnHello(packet); }, [] {});
 }
 
@@ -86,7 +86,7 @@
             {{"clients", offer.platform_clients.size() + offer.cloudevents_clients.size()},
              {"calls_in_flight", offer.state.in_flight_calls.size()},
              {"paused_ms", MillisecondsSince(started_at)}});
-  channel_.OnReadable(
+  channel_.StartReceiving(
       loop_, [this](const Packet& packet) { OnCancellation(packet); }, [] {});
   callbacks_.on_handed_over();
 }
--- a/src/app/handover_transfer.cpp
+++ b/src/app/handover_transfer.cpp
@@ -11,9 +11,9 @@
 std::set<std::uint64_t> MarkInFlightCalls(const HandoverState& state, MessageTable& messages) {
   std::set<std::uint64_t> in_flight;
   for (const InFlightCall& call : state.in_flight_calls) {
-    Message* message = messages.Find(call.number);
+    Message* message = messages.Find(call.message_number);
     if (message == nullptr) continue;
-    in_flight.insert(call.number);
+    in_flight.insert(call.message_number);
     message->is_in_flight = true;
     message->in_flight_endpoint = call.endpoint;
     message->in_flight_since = call.sent_at;
@@ -26,7 +26,7 @@
 EndpointListUpdate MakeFullSnapshot(const HandoverState& state) {
   EndpointListUpdate update;
   update.is_full_snapshot = true;
-  update.revision = state.revision;
+  update.revision = state.endpoint_list_revision;
   update.endpoints = state.endpoints;
   return update;
 }
@@ -37,8 +37,8 @@
                                    std::int64_t revision, const Timestamp& now) {
   HandoverState state;
   state.now = now;
-  state.classes = site.classes;
-  state.revision = revision;
+  state.class_names = site.classes;
+  state.endpoint_list_revision = revision;
   state.endpoints = pipeline.router.EndpointList();
   state.recent_attempts = pipeline.attempt_history.Recent();
   for (const auto& [number, message] : pipeline.messages.messages()) {
--- a/src/app/shutdown_sequence.cpp
+++ b/src/app/shutdown_sequence.cpp
@@ -64,7 +64,7 @@
     return;
   }
   // A request that has come is answered, and its answer read, as far as the time allows.
-  const bool may_get_requests = stop_listening_timer_.pending() || close_unused_timer_.pending();
+  const bool may_get_requests = stop_listening_timer_.is_pending() || close_unused_timer_.is_pending();
   if (may_get_requests || servers_.connections() > 0 || has_pending_work_()) return;
   exit_timer_.Schedule(kExitDelay);
 }
--- a/src/cli/dead_letter_commands.cpp
+++ b/src/cli/dead_letter_commands.cpp
@@ -123,7 +123,7 @@
 
 std::int64_t ExportTo(std::ostream& out, DeadLetterSource& source, const DeadLetterOptions& command,
                       Progress& progress) {
-  const int page_size = command.with_body ? dead_letter::kMaxBodyBytes : dead_letter::kMaxPageSize;
+  const int page_size = command.with_body ? dead_letter::kMaxPageSizeWithBodies : dead_letter::kMaxPageSize;
   std::string after;
   std::int64_t written = 0;
   do {
@@ -205,7 +205,7 @@
 
 void Try(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out,
          std::ostream& progress_out) {
-  const std::string rules = dead_letter::ReadText(command.rules);
+  const std::string rules = dead_letter::ReadTextFile(command.rules);
   Progress progress(progress_out, CountAll(source));
   const Json sum = TryAll(source, command.rules, rules, progress);
   if (command.as_json) {
--- a/src/cli/dead_letter_source.cpp
+++ b/src/cli/dead_letter_source.cpp
@@ -128,7 +128,7 @@
   if (options.config.empty()) return std::nullopt;
   const Config config = options.ReadConfiguration({.discovery = false, .state = false});
   const NodeFile node_file = options.ReadNode();
-  return dead_letter::ReviewFrom(config.site, node_file.dead_letters.value_or(DeadLetterSettings()));
+  return dead_letter::MakeReviewSettings(config.site, node_file.dead_letters.value_or(DeadLetterSettings()));
 }
 
 }  // namespace sagetally
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -81,7 +81,7 @@
     const char* overriding = environment_(variable);
     auto value = Get<std::string>(root_, key, "");
     const bool is_overridden = overriding != nullptr && *overriding != 0;
-    if (!is_overridden || (requirements_.again && !value.empty())) return value;
+    if (!is_overridden || (requirements_.is_reload && !value.empty())) return value;
     return overriding;
   }
 
@@ -144,7 +144,7 @@
 
   void ReadKnownEndpoints() {
     if (const std::optional<Value> known = Find(root_, "known")) {
-      ReadSection("known", [&] { config_.cached_endpoint_list = ReadList(*known, config_.site); });
+      ReadSection("known", [&] { config_.cached_endpoint_list = ReadEndpointList(*known, config_.site); });
     }
     config_.cached_endpoint_list.is_full_snapshot = true;
     config_.cached_endpoint_list.is_cached = true;
@@ -174,7 +174,7 @@
                     {what, "an IPv4 address in numbers and a port", std::string(text)});
 }
 
-EndpointListUpdate ReadList(Value list, const SiteSettings& site) {
+EndpointListUpdate ReadEndpointList(Value list, const SiteSettings& site) {
   EndpointListUpdate update;
   update.revision = Get<std::int64_t>(list, "rev");
   update.is_full_snapshot = Get<bool>(list, "all", false);
@@ -189,17 +189,17 @@
   return ConfigReader(json::Parse(parser, text), environment, requirements).Read();
 }
 
-DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on) {
+DescriptorLimits DivideDescriptors(const Config& config, bool events_on, bool plain_on) {
   // Journal, its compaction, discovery, notifications, gossip, and the event loop's own.
   static constexpr std::size_t kOther = 24;
   static constexpr std::size_t kMaxBatchBytes = 1024 * 1024;
   const std::size_t clients = config.socket_limit / 3;
-  DescriptorShares shares;
-  if (config.admin) shares.admin = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
-  shares.calls = config.socket_limit - clients - kOther - shares.admin;
-  if (events_on) shares.events = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
-  shares.plain = clients - shares.events;
-  if (events_on) shares.event_body = std::min(kMaxBatchBytes, config.memory_limit_bytes / 4 / shares.events);
+  DescriptorLimits shares;
+  if (config.admin) shares.admin_connections = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
+  shares.endpoint_connections = config.socket_limit - clients - kOther - shares.admin_connections;
+  if (events_on) shares.cloudevents_connections = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
+  shares.platform_connections = clients - shares.cloudevents_connections;
+  if (events_on) shares.cloudevents_body_bytes = std::min(kMaxBatchBytes, config.memory_limit_bytes / 4 / shares.cloudevents_connections);
   return shares;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -45,21 +45,21 @@
 
 // How a process divides its descriptors and its memory. Clients get a third of the descriptors, so that
 // calls, the journal and discovery always find one free.
-struct DescriptorShares {
-  std::size_t plain = 0;       // connections of clients in the platform's protocol
-  std::size_t events = 0;      // connections of clients that send CloudEvents
-  std::size_t event_body = 0;  // bytes of the body of one request with CloudEvents
-  std::size_t calls = 0;       // connections to endpoints
-  std::size_t admin = 0;       // connections to the admin server
+struct DescriptorLimits {
+  std::size_t platform_connections = 0;       // connections of clients in the platform's protocol
+  std::size_t cloudevents_connections = 0;      // connections of clients that send CloudEvents
+  std::size_t cloudevents_body_bytes = 0;  // bytes of the body of one request with CloudEvents
+  std::size_t endpoint_connections = 0;       // connections to endpoints
+  std::size_t admin_connections = 0;       // connections to the admin server
 };
 // `events_on` and `plain_on` say which frontends this process has.
-DescriptorShares ShareDescriptors(const Config& config, bool events_on, bool plain_on = true);
+DescriptorLimits DivideDescriptors(const Config& config, bool events_on, bool plain_on = true);
 
 // What the process needs the platform to configure. A planner has no discovery, a forwarder no state.
 struct ConfigRequirements {
   bool discovery = true;
   bool state = true;
-  bool again = false;  // the file is read again: it is newer than the environment and has precedence
+  bool is_reload = false;  // the file is read again: it is newer than the environment and has precedence
 };
 
 // Returns the value of an environment variable, or null if it is not set.
@@ -73,7 +73,7 @@
                    ConfigRequirements requirements = ConfigRequirements());
 
 // Reads an endpoint list in the form of the platform's discovery. Throws FormatError that names the field.
-EndpointListUpdate ReadList(json::Value list, const SiteSettings& site);
+EndpointListUpdate ReadEndpointList(json::Value list, const SiteSettings& site);
 
 }  // namespace sagetally
 
--- a/src/config/node_file.cpp
+++ b/src/config/node_file.cpp
@@ -54,8 +54,8 @@
   settings.host = section.value("host", default_host);
   settings.planners = section.value("planners", settings.planners);
   settings.partners = section.value("partners", settings.partners);
-  settings.renew = ReadMilliseconds(section, "renew_ms", settings.renew);
-  settings.fetch = ReadMilliseconds(section, "fetch_ms", settings.fetch);
+  settings.renew_interval = ReadMilliseconds(section, "renew_ms", settings.renew_interval);
+  settings.fetch_interval = ReadMilliseconds(section, "fetch_ms", settings.fetch_interval);
   return settings;
 }
 
@@ -125,7 +125,7 @@
   Json root = ParseJson(text);
   const Json schema = Json::parse(kNodeSchema);
   ApplyOverrides(schema, root, overrides);
-  Validate(schema, root);
+  ValidateAgainstSchema(schema, root);
   NodeFile file;
   const std::string role = root.value("role", "both");
   file.role = ParseRole(role);
--- a/src/config/node_file.h
+++ b/src/config/node_file.h
@@ -32,8 +32,8 @@
   std::string host;                    // this process's address as it registers itself
   std::string planners = "SAGETALLY";  // application name of the planners
   std::string partners = "PARTNERS";   // application whose instances are partner endpoints
-  Duration renew = std::chrono::seconds(30);
-  Duration fetch = std::chrono::seconds(30);
+  Duration renew_interval = std::chrono::seconds(30);
+  Duration fetch_interval = std::chrono::seconds(30);
 };
 
 // Dead letters and their redrive.
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -166,7 +166,7 @@
   }
 }
 
-void Validate(const Json& schema, const Json& document) {
+void ValidateAgainstSchema(const Json& schema, const Json& document) {
   const std::optional<Violation> violation = FindViolation(schema, document);
   if (!violation) return;
   Pointer place = violation->place;
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -14,7 +14,7 @@
 
 // Checks a document against a schema. Throws FormatError whose key is a JSON pointer: "/cloudevents/listen:
 // expected an address, found 7".
-void Validate(const nlohmann::json& schema, const nlohmann::json& document);
+void ValidateAgainstSchema(const nlohmann::json& schema, const nlohmann::json& document);
 
 // One setting of a schema: a value that is not an object with properties of its own.
 struct SettingName {
--- a/src/core/dead_letter_sink.h
+++ b/src/core/dead_letter_sink.h
@@ -23,7 +23,7 @@
   virtual void BeforeCompletion(Message& message, FinalStatus final_status) = 0;
   // The message has dead_letter_pending, has ended, has no call in flight, and its client has its answer. May
   // be called more than once for a message. Once stored, CompletionHandler::OnDeadLettered() is called.
-  virtual void TakeOver(const Message& message) = 0;
+  virtual void Store(const Message& message) = 0;
   // Whether a message that was pending when the process ended may still be sent.
   virtual bool MayContinueAfterRestart(const Message& message) = 0;
 };
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -15,7 +15,7 @@
 namespace sagetally {
 
 // The class of a message whose class is no longer configured.
-constexpr int kNoClass = -1;
+constexpr int kUnknownClass = -1;
 
 // The protocol by which a message came in, and by which its client is notified. The numbers are stored.
 enum class IngressProtocol : std::uint8_t { kPlatform = 0, kCloudEvents = 1 };
@@ -87,7 +87,7 @@
 
   FinalStatus final_status = FinalStatus::kPending;
   Duration retry_after{0};            // kRejected: when the client may submit it again
-  Time ended_at{0};                   // when the final status was set
+  Time completed_at{0};                   // when the final status was set
   bool notification_pending = false;  // the client has not acknowledged the final status
   bool client_answered = true;        // the client has the response to its request
 
@@ -120,19 +120,19 @@
 
 // A call to be made to an endpoint.
 struct CallRequest {
-  std::uint64_t number = 0;  // of the message
+  std::uint64_t message_number = 0;  // of the message
   const Request* request = nullptr;
   std::string endpoint = {};
   Duration timeout{0};
   // The last byte is written within this time or not at all; the outcome is kNotSent then. Nothing: no limit.
-  std::optional<Duration> write_within = {};
+  std::optional<Duration> write_timeout = {};
 };
 
 // The result of a call.
 struct CallResult {
-  std::uint64_t number = 0;  // of the message
+  std::uint64_t message_number = 0;  // of the message
   Outcome outcome = Outcome::kOk;
-  bool completed = false;  // the endpoint says that nobody waits for the message any more
+  bool message_expired = false;  // the endpoint says that nobody waits for the message any more
   Duration retry_after{0};
   LoadReport load_report = {};
 };
--- a/src/core/message_table.cpp
+++ b/src/core/message_table.cpp
@@ -46,7 +46,7 @@
   if (!IsPending(message)) return;
   message.final_status = final_status;
   message.retry_after = retry_after;
-  message.ended_at = now;
+  message.completed_at = now;
   // No client waits for a redrive: it was notified when the message ended for the first time.
   const bool has_waiting_client = message.redrive_number == 0;
   message.notification_pending =
@@ -104,6 +104,6 @@
   return true;
 }
 
-void MessageTable::Retain(const Message& message) { retained_.push_back({message.ended_at, message.number}); }
+void MessageTable::Retain(const Message& message) { retained_.push_back({message.completed_at, message.number}); }
 
 }  // namespace sagetally
--- a/src/dead_letter/dead_letter.cpp
+++ b/src/dead_letter/dead_letter.cpp
@@ -63,7 +63,7 @@
   dead_letter.body_size = message.request.body.size();
   dead_letter.accepted_at = message.accepted_at;
   dead_letter.deadline = message.deadline;
-  dead_letter.ended_at = message.ended_at;
+  dead_letter.ended_at = message.completed_at;
   dead_letter.final_status = message.final_status;
   dead_letter.failure_reason = message.failure_reason;
   dead_letter.attempts = message.attempts;
--- a/src/dead_letter/dead_letter_manager.cpp
+++ b/src/dead_letter/dead_letter_manager.cpp
@@ -104,7 +104,7 @@
   message.dead_letter_pending = IsToBeStored(message, status);
 }
 
-void DeadLetterManager::TakeOver(const Message& message) {
+void DeadLetterManager::Store(const Message& message) {
   if (transfers_.Contains(message.number)) return;
   Time not_before{0};
   if (message.redrive_number != 0) {
--- a/src/dead_letter/dead_letter_manager.h
+++ b/src/dead_letter/dead_letter_manager.h
@@ -57,7 +57,7 @@
   bool IsBeingRedriven(const Request& request) const override;
   void OnCallCompleted(const Message& message, const CallResult& result) override;
   void BeforeCompletion(Message& message, enum FinalStatus status) override;
-  void TakeOver(const Message& message) override;
+  void Store(const Message& message) override;
   bool MayContinueAfterRestart(const Message& message) override;
 
  private:
--- a/src/dead_letter/manager_context.h
+++ b/src/dead_letter/manager_context.h
@@ -28,15 +28,15 @@
 };
 
 struct ManagerCounters {
-  std::int64_t kept = 0;               // stored for the first time
-  std::int64_t owed_dropped = 0;       // given up while the store failed
+  std::int64_t stored = 0;               // stored for the first time
+  std::int64_t transfers_given_up = 0;       // given up while the store failed
   std::int64_t evicted = 0;            // by the store
-  std::int64_t transfers_failed = 0;   // failed jobs
-  std::int64_t resends = 0;            // redrives that were accepted
+  std::int64_t store_failures = 0;   // failed jobs
+  std::int64_t redrives = 0;            // redrives that were accepted
   std::int64_t delivered = 0;          // redrives that ended delivered
-  std::int64_t kept_again = 0;         // redrives that ended otherwise
-  std::int64_t handed_in_again = 0;    // messages that their clients resubmitted
-  std::int64_t stores_begun_anew = 0;  // damaged or vanished files
+  std::int64_t redrives_failed = 0;         // redrives that ended otherwise
+  std::int64_t resubmitted = 0;    // messages that their clients resubmitted
+  std::int64_t files_replaced = 0;  // damaged or vanished files
 };
 
 // The stages of message processing, as far as the manager needs them.
--- a/src/dead_letter/operator_request_parser.cpp
+++ b/src/dead_letter/operator_request_parser.cpp
@@ -105,7 +105,7 @@
                        OperatorRequest& result) {
   result.filter = ReadFilter(request, classes);
   result.with_body = ReadFlag(request, "body");
-  const int max_limit = result.with_body ? kMaxBodyBytes : kMaxPageSize;
+  const int max_limit = result.with_body ? kMaxPageSizeWithBodies : kMaxPageSize;
   result.limit = static_cast<int>(ReadNumber(request, "limit", {1, max_limit}, result.limit));
   result.after = ReadId(request, "after");
 }
--- a/src/dead_letter/redrive_loop.cpp
+++ b/src/dead_letter/redrive_loop.cpp
@@ -69,7 +69,7 @@
     ++context_.counters.delivered;
   } else {
     not_before = planner_.BackoffUntil(message.redrive_incarnation + 1, now);
-    ++context_.counters.kept_again;
+    ++context_.counters.redrives_failed;
   }
   // These destinations waited for a redrive to end.
   std::erase_if(blocked_destinations_, [](const auto& blocked) { return blocked.second == Time::max(); });
@@ -260,7 +260,7 @@
   if (!context_.pipeline.accept_redrive(ToMessage(*claimed, deadline))) {
     return ReturnClaim(id, destination, now.wall_time + kPipelineRetryTime);
   }
-  ++context_.counters.resends;
+  ++context_.counters.redrives;
   if (identity) redriven_identities_.insert(*identity);
 }
 
--- a/src/dead_letter/resubmission_tracker.cpp
+++ b/src/dead_letter/resubmission_tracker.cpp
@@ -40,7 +40,7 @@
 
 void ResubmissionTracker::OnRecorded(std::size_t recorded, int marked) {
   unrecorded_.erase(unrecorded_.begin(), unrecorded_.begin() + static_cast<std::ptrdiff_t>(recorded));
-  context_.counters.handed_in_again += marked;
+  context_.counters.resubmitted += marked;
   if (marked > 0) context_.log.Info("dead_letter.resubmitted", {{"messages", marked}});
 }
 
--- a/src/dead_letter/rule_files.cpp
+++ b/src/dead_letter/rule_files.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-std::string FolderOf(const DeadLetterSettings& settings, const std::string& state_folder) {
+std::string DatabaseFolder(const DeadLetterSettings& settings, const std::string& state_folder) {
   return settings.folder.empty() ? state_folder + "/kept" : settings.folder;
 }
 
@@ -29,7 +29,7 @@
   return database;
 }
 
-ReviewSettings ReviewFrom(const SiteSettings& site, const DeadLetterSettings& settings) {
+ReviewSettings MakeReviewSettings(const SiteSettings& site, const DeadLetterSettings& settings) {
   ReviewSettings review;
   review.class_names = site.classes;
   review.classes = site.policy.classes;
@@ -41,7 +41,7 @@
 DeadLetterManager::Settings MakeManagerSettings(const Config& config, const DeadLetterSettings& settings) {
   DeadLetterManager::Settings manager;
   manager.node = config.name;
-  manager.review = std::make_shared<const ReviewSettings>(ReviewFrom(config.site, settings));
+  manager.review = std::make_shared<const ReviewSettings>(MakeReviewSettings(config.site, settings));
   manager.limits.max_concurrent_calls = config.site.policy.max_concurrent_calls;
   manager.limits.max_pending_messages = config.site.policy.max_pending_messages;
   manager.limits.concurrency_fraction = settings.concurrency_fraction;
@@ -57,7 +57,7 @@
   return manager;
 }
 
-std::string ReadText(const std::string& path) {
+std::string ReadTextFile(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
@@ -67,7 +67,7 @@
 
 RuleFile ReadRuleFile(const std::string& path, const std::vector<std::string>& classes) {
   RuleFile file;
-  file.text = ReadText(path);
+  file.text = ReadTextFile(path);
   try {
     file.rules = std::make_shared<const RuleSet>(ParseRules(file.text, classes));
   } catch (const RuleError& error) {
--- a/src/dead_letter/rule_files.h
+++ b/src/dead_letter/rule_files.h
@@ -16,12 +16,12 @@
 namespace sagetally::dead_letter {
 
 // The store's folder: as configured, or `kept` in the state folder.
-std::string FolderOf(const DeadLetterSettings& settings, const std::string& state_folder);
+std::string DatabaseFolder(const DeadLetterSettings& settings, const std::string& state_folder);
 std::string DatabasePath(const std::string& folder);
 std::string SocketPath(const std::string& state_folder);
 
 Database::Settings DatabaseSettings(const DeadLetterSettings& settings, const std::string& folder);
-ReviewSettings ReviewFrom(const SiteSettings& site, const DeadLetterSettings& settings);
+ReviewSettings MakeReviewSettings(const SiteSettings& site, const DeadLetterSettings& settings);
 DeadLetterManager::Settings MakeManagerSettings(const Config& config, const DeadLetterSettings& settings);
 
 // A file that can't be read, or that has no rules in it.
@@ -34,7 +34,7 @@
 };
 
 // The whole file. Throws RuleFileError.
-std::string ReadText(const std::string& path);
+std::string ReadTextFile(const std::string& path);
 
 struct RuleFile {
   std::shared_ptr<const RuleSet> rules;
--- a/src/dead_letter/storage/job_runner.h
+++ b/src/dead_letter/storage/job_runner.h
@@ -14,7 +14,7 @@
 
 struct JobError {
   StoreError::Kind kind = StoreError::Kind::kOther;
-  std::string what;
+  std::string message;
   bool file_replaced = false;  // the file was damaged or gone, and a new one takes its place
 };
 
--- a/src/dead_letter/store_health.cpp
+++ b/src/dead_letter/store_health.cpp
@@ -14,11 +14,11 @@
 
 void StoreHealth::OnFailure(const JobError& error, std::size_t pending) {
   ++failures_in_a_row_;
-  ++context_.counters.transfers_failed;
+  ++context_.counters.store_failures;
   const Time now = context_.clock.Now();
   if (error.file_replaced) {
-    ++context_.counters.stores_begun_anew;
-    context_.log.Error("dead_letter.store_recreated", {{"why", error.what}});
+    ++context_.counters.files_replaced;
+    context_.log.Error("dead_letter.store_recreated", {{"why", error.message}});
     failures_in_a_row_ = 0;
     retry_at_ = now + kRecreationPause;
     return;
@@ -26,7 +26,7 @@
   const int doublings = std::min(failures_in_a_row_ - 1, kMaxDoublings);
   const Duration backoff = std::min(kMaxRetryTime, kJobRetryTime * (1 << doublings));
   retry_at_ = now + backoff;
-  context_.log.Warn("dead_letter.store_failed", {{"why", error.what},
+  context_.log.Warn("dead_letter.store_failed", {{"why", error.message},
                                                  {"pending", pending},
                                                  {"retry_ms", backoff / std::chrono::milliseconds(1)},
                                                  {"failures", failures_in_a_row_}});
--- a/src/dead_letter/transfer_queue.cpp
+++ b/src/dead_letter/transfer_queue.cpp
@@ -44,13 +44,13 @@
   bytes_ -= pending->bytes;
   waiting_.erase(pending);
   numbers_.erase(number);
-  ++context_.counters.owed_dropped;
+  ++context_.counters.transfers_given_up;
   if (const Message* message = context_.messages.Find(number)) {
     context_.log.Error("dead_letter.lost", {{"number", number},
                                             {"id", message->request.id},
                                             {"class", context_.ClassNameOf(*message)},
                                             {"reason", std::string(Name(message->failure_reason))},
-                                            {"lost", context_.counters.owed_dropped}});
+                                            {"lost", context_.counters.transfers_given_up}});
   }
   context_.pipeline.on_dead_lettered(number);
 }
@@ -117,7 +117,7 @@
   for (const PendingTransfer& stored : std::exchange(in_transfer_, {})) {
     bytes_ -= stored.bytes;
     numbers_.erase(stored.number);
-    if (!stored.is_redrive_result) ++context_.counters.kept;
+    if (!stored.is_redrive_result) ++context_.counters.stored;
     context_.pipeline.on_dead_lettered(stored.number);
   }
   if (evicted.total() > 0) LogEvicted(evicted);
--- a/src/frontend/cloudevents/cloudevents_frontend.cpp
+++ b/src/frontend/cloudevents/cloudevents_frontend.cpp
@@ -37,7 +37,7 @@
   return fmt::format(
       R"({{"specversion":"1.0","id":"{number}-{ended_at}","source":{source},"type":"sagetally.{status}",)"
       R"("subject":{subject},"datacontenttype":"application/json","data":{{{data}}}}})",
-      fmt::arg("number", message.number), fmt::arg("ended_at", message.ended_at.count()),
+      fmt::arg("number", message.number), fmt::arg("ended_at", message.completed_at.count()),
       fmt::arg("source", json::Quote("/sagetally/" + node)), fmt::arg("status", status),
       fmt::arg("subject", id), fmt::arg("data", data));
 }
--- a/src/frontend/http_response.cpp
+++ b/src/frontend/http_response.cpp
@@ -48,7 +48,7 @@
 
 AdmissionCallback MakeResponder(std::shared_ptr<Exchange> exchange) {
   return [exchange = std::move(exchange)](const AdmissionResult& result) {
-    if (exchange->client_gone()) return false;
+    if (exchange->is_closed()) return false;
     Respond(*exchange, result);
     return true;
   };
--- a/src/handover/handover_state.cpp
+++ b/src/handover/handover_state.cpp
@@ -111,7 +111,7 @@
 }
 
 void AppendInFlightCall(ByteWriter& writer, const InFlightCall& call) {
-  writer.AppendNumber(call.number);
+  writer.AppendNumber(call.message_number);
   writer.AppendString(call.endpoint);
   writer.AppendTime(call.sent_at);
   writer.AppendNumber(call.first_uncertain_attempt.has_value());
@@ -121,7 +121,7 @@
 
 InFlightCall ReadInFlightCall(ByteReader& reader) {
   InFlightCall call;
-  call.number = reader.ReadNumber<std::uint64_t>();
+  call.message_number = reader.ReadNumber<std::uint64_t>();
   call.endpoint = reader.ReadString();
   call.sent_at = reader.ReadTime();
   const bool has_uncertain_attempt = reader.ReadBool();
@@ -139,8 +139,8 @@
   ByteWriter writer;
   writer.AppendNumber(kHandoverVersion);
   AppendTimestamp(writer, state.now);
-  writer.AppendNumber(state.revision);
-  AppendList(writer, state.classes, AppendClass);
+  writer.AppendNumber(state.endpoint_list_revision);
+  AppendList(writer, state.class_names, AppendClass);
   AppendList(writer, state.endpoints, AppendEndpoint);
   AppendList(writer, state.recent_attempts, AppendCompletedAttempt);
   AppendList(writer, state.in_flight_calls, AppendInFlightCall);
@@ -152,8 +152,8 @@
   if (reader.ReadNumber<std::uint32_t>() != kHandoverVersion) return std::nullopt;
   HandoverState state;
   state.now = ReadTimestamp(reader);
-  state.revision = reader.ReadNumber<std::int64_t>();
-  ReadList(reader, state.classes, ReadClass);
+  state.endpoint_list_revision = reader.ReadNumber<std::int64_t>();
+  ReadList(reader, state.class_names, ReadClass);
   ReadList(reader, state.endpoints, ReadEndpoint);
   ReadList(reader, state.recent_attempts, ReadCompletedAttempt);
   ReadList(reader, state.in_flight_calls, ReadInFlightCall);
@@ -163,9 +163,9 @@
 
 std::string EncodeCallResult(const CallResult& result) {
   ByteWriter writer;
-  writer.AppendNumber(result.number);
+  writer.AppendNumber(result.message_number);
   writer.AppendNumber(static_cast<std::uint8_t>(result.outcome));
-  writer.AppendNumber(result.completed);
+  writer.AppendNumber(result.message_expired);
   writer.AppendTime(result.retry_after);
   AppendLoadReport(writer, result.load_report);
   return writer.bytes();
@@ -174,9 +174,9 @@
 std::optional<CallResult> DecodeCallResult(std::string_view bytes) {
   ByteReader reader(bytes);
   CallResult result;
-  result.number = reader.ReadNumber<std::uint64_t>();
+  result.message_number = reader.ReadNumber<std::uint64_t>();
   result.outcome = ReadOutcome(reader);
-  result.completed = reader.ReadBool();
+  result.message_expired = reader.ReadBool();
   result.retry_after = reader.ReadTime();
   result.load_report = ReadLoadReport(reader);
   if (!IsCompletelyRead(reader)) return std::nullopt;
--- a/src/handover/handover_state.h
+++ b/src/handover/handover_state.h
@@ -21,7 +21,7 @@
 
 // A call that stays with the old process, which reports its result to the new one.
 struct InFlightCall {
-  std::uint64_t number = 0;  // of the message
+  std::uint64_t message_number = 0;  // of the message
   std::string endpoint = {};
   Time sent_at{0};
   // The earliest of the message's attempts before this one that may have run.
@@ -31,8 +31,8 @@
 
 struct HandoverState {
   Timestamp now = {};
-  std::vector<std::string> classes = {};  // names of the message classes, by number
-  std::int64_t revision = 0;              // of the endpoint list
+  std::vector<std::string> class_names = {};  // names of the message classes, by number
+  std::int64_t endpoint_list_revision = 0;              // of the endpoint list
   std::vector<EndpointUpdate> endpoints = {};
   std::vector<CompletedAttempt> recent_attempts = {};  // oldest first
   std::vector<InFlightCall> in_flight_calls = {};
--- a/src/handover/state_replay.cpp
+++ b/src/handover/state_replay.cpp
@@ -91,8 +91,8 @@
 std::optional<int> FindClass(const HandoverState& state, int previous_class,
                              const std::vector<std::string>& classes) {
   const auto index = static_cast<std::size_t>(previous_class);
-  if (index >= state.classes.size()) return std::nullopt;
-  const auto found = std::find(classes.begin(), classes.end(), state.classes[index]);
+  if (index >= state.class_names.size()) return std::nullopt;
+  const auto found = std::find(classes.begin(), classes.end(), state.class_names[index]);
   if (found == classes.end()) return std::nullopt;
   return static_cast<int>(found - classes.begin());
 }
--- a/src/journal/journal_recovery.cpp
+++ b/src/journal/journal_recovery.cpp
@@ -146,7 +146,7 @@
       continue;
     }
     // Its class isn't configured any more, so it can't be sent; its client still has to be notified.
-    message.request.message_class = kNoClass;
+    message.request.message_class = kUnknownClass;
     if (message.final_status == FinalStatus::kPending) {
       log.Warn("journal.class_removed", {{"number", number}, {"id", message.request.id}});
     }
--- a/src/journal/message_codec.cpp
+++ b/src/journal/message_codec.cpp
@@ -89,7 +89,7 @@
       .AppendString(message.first_uncertain_endpoint)
       .AppendNumber(message.final_status)
       .AppendTime(message.retry_after)
-      .AppendTime(message.ended_at)
+      .AppendTime(message.completed_at)
       .AppendNumber(message.notification_pending)
       .AppendTime(message.accepted_at)
       .AppendNumber(message.failure_reason)
@@ -123,7 +123,7 @@
   message.first_uncertain_endpoint = in.ReadString();
   message.final_status = ReadFinalStatus(in, format);
   message.retry_after = in.ReadTime();
-  message.ended_at = in.ReadTime();
+  message.completed_at = in.ReadTime();
   message.notification_pending = in.ReadBool();
 }
 
--- a/src/journal/records.cpp
+++ b/src/journal/records.cpp
@@ -66,7 +66,7 @@
   ByteWriter out = BeginRecord(RecordKind::kCompletion, message.number, ordinal);
   out.AppendNumber(message.final_status)
       .AppendTime(message.retry_after)
-      .AppendTime(message.ended_at)
+      .AppendTime(message.completed_at)
       .AppendNumber(message.notification_pending)
       .AppendNumber(message.failure_reason)
       .AppendNumber(message.dead_letter_pending);
--- a/src/loadtest/commands/load_command.cpp
+++ b/src/loadtest/commands/load_command.cpp
@@ -80,7 +80,7 @@
     }
     const bool outcomes_observed = !options.observation_paths.empty();
     const RunResult result = MakeResult(name, scenario, run, recorded.observations, outcomes_observed,
-                                        Timeline(std::move(recorded.faults)));
+                                        FaultTimeline(std::move(recorded.faults)));
     PrintResult(result, std::cout);
     WriteResult(result, path);
     std::cout << "result: " << path << std::endl;
--- a/src/loadtest/commands/stub_command.cpp
+++ b/src/loadtest/commands/stub_command.cpp
@@ -50,7 +50,7 @@
       : file_(path, std::ios::trunc), flush_timer_(loop, [this] { Flush(); }) {
     if (!file_) throw std::runtime_error(path + ": can't be written");
   }
-  void Start(const StubServerSet& stubs, const Timeline& timeline) {
+  void Start(const StubServerSet& stubs, const FaultTimeline& timeline) {
     WriteObservationHeader(file_, stubs.started_us(), timeline);
     Flush();
   }
@@ -78,7 +78,7 @@
 }
 
 void LogViolations(const Checker& checker, Logger& log) {
-  for (const Finding& violation : checker.findings()) {
+  for (const Violation& violation : checker.violations()) {
     log.Error("rule.violated",
               {{"rule", violation.rule}, {"id", violation.id}, {"detail", violation.detail}});
   }
--- a/src/loadtest/demo/demo.cpp
+++ b/src/loadtest/demo/demo.cpp
@@ -124,7 +124,7 @@
 
 // Summarizes the run again and again, until no message is pending any more or the user interrupts.
 RunResult AwaitOutcomes(const DemoOptions& options, const Scenario& scenario, RunRecords& run,
-                        const StubServerThread& stubs, const Timeline& timeline) {
+                        const StubServerThread& stubs, const FaultTimeline& timeline) {
   const std::string name = options.two_levels ? "try, two levels" : "try, one dispatcher";
   while (true) {
     run.ended_us = NowUs();
@@ -138,7 +138,7 @@
 
 // Adds the checker's violations and the nodes' problems to the summary.
 void AddViolations(const Checker& checker, const std::vector<std::string>& problems, RunSummary& summary) {
-  for (const Finding& violation : checker.findings()) {
+  for (const Violation& violation : checker.violations()) {
     if (summary.violations.size() < kMaxRecordedViolations) summary.violations.push_back(violation);
   }
   summary.violation_count += checker.count();
@@ -172,7 +172,7 @@
   std::vector<FaultSpan> spans = settings.timeline.spans();
   for (FaultSpan& span : spans) span.from_ms -= static_cast<double>(offset_ms);
   RunRecords run = OfferLoad(options, scenario, out);
-  RunResult result = AwaitOutcomes(options, scenario, run, stubs, Timeline(spans));
+  RunResult result = AwaitOutcomes(options, scenario, run, stubs, FaultTimeline(spans));
   const std::vector<std::string> problems = nodes.Stop();
   const Checker& checker = stubs.Stop().checker;
   AddViolations(checker, problems, result.summary);
--- a/src/loadtest/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -42,10 +42,10 @@
 }
 
 // From the first letter of its name, as ids have it.
-Repeat IdempotencyFromCode(char code) {
-  if (code == 'n') return Repeat::kNever;
-  if (code == 'k') return Repeat::kKeyed;
-  return Repeat::kFree;
+Idempotency IdempotencyFromCode(char code) {
+  if (code == 'n') return Idempotency::kNotIdempotent;
+  if (code == 'k') return Idempotency::kIdempotentWithKey;
+  return Idempotency::kIdempotent;
 }
 
 std::int64_t Microseconds(double seconds) { return std::llround(seconds * 1e6); }
--- a/src/loadtest/load/plan.h
+++ b/src/loadtest/load/plan.h
@@ -73,7 +73,7 @@
   std::int64_t number = 0;  // of the message
   int submission = 0;       // from 0
   int destination = 0;
-  Repeat idempotency = Repeat::kFree;
+  Idempotency idempotency = Idempotency::kIdempotent;
   bool operator==(const SubmissionId&) const = default;
 };
 
--- a/src/loadtest/load/scenario.cpp
+++ b/src/loadtest/load/scenario.cpp
@@ -21,10 +21,10 @@
   }
 }
 
-Repeat IdempotencyFromName(const std::string& name) {
-  if (name == Name(Repeat::kNever)) return Repeat::kNever;
-  if (name == Name(Repeat::kKeyed)) return Repeat::kKeyed;
-  return Repeat::kFree;
+Idempotency IdempotencyFromName(const std::string& name) {
+  if (name == Name(Idempotency::kNotIdempotent)) return Idempotency::kNotIdempotent;
+  if (name == Name(Idempotency::kIdempotentWithKey)) return Idempotency::kIdempotentWithKey;
+  return Idempotency::kIdempotent;
 }
 
 CloudEventsMode EventModeFromName(const std::string& name) {
@@ -99,13 +99,13 @@
 
 }  // namespace
 
-const char* Name(Repeat idempotency) {
+const char* Name(Idempotency idempotency) {
   switch (idempotency) {
-    case Repeat::kNever:
+    case Idempotency::kNotIdempotent:
       return "never";
-    case Repeat::kKeyed:
+    case Idempotency::kIdempotentWithKey:
       return "keyed";
-    case Repeat::kFree:
+    case Idempotency::kIdempotent:
       break;
   }
   return "free";
@@ -114,7 +114,7 @@
 Json ScenarioSchema() { return Json::parse(kScenarioSchema); }
 
 Scenario ScenarioFromJson(const Json& json) {
-  Validate(ScenarioSchema(), json);
+  ValidateAgainstSchema(ScenarioSchema(), json);
   Scenario scenario;
   scenario.seed = json.value("seed", scenario.seed);
   scenario.seconds = json.value("seconds", scenario.seconds);
--- a/src/loadtest/load/scenario.h
+++ b/src/loadtest/load/scenario.h
@@ -24,7 +24,7 @@
 enum class CloudEventsMode { kBinary, kStructured, kBatched };
 
 // Whether a message may take effect twice: yes; only if the deduplication window is over; never.
-enum class Repeat { kFree, kKeyed, kNever };
+enum class Idempotency { kIdempotent, kIdempotentWithKey, kNotIdempotent };
 
 // One class of messages in the mix.
 struct MessageClass {
@@ -32,7 +32,7 @@
   double weight = 1;                   // relative frequency
   double deadline_ms = 24000;          // delivery after this is useless
   double latency_objective_ms = 2000;  // delivery should take no longer than this
-  Repeat idempotency = Repeat::kFree;
+  Idempotency idempotency = Idempotency::kIdempotent;
 };
 
 // A client that sends `fraction` of all messages for a while, to a few destinations.
@@ -100,7 +100,7 @@
 Scenario ReadScenario(const std::string& path, const Overrides& overrides);
 
 // The scenario file's name of the value: "free", "keyed" or "never".
-const char* Name(Repeat idempotency);
+const char* Name(Idempotency idempotency);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/load/wire.cpp
+++ b/src/loadtest/load/wire.cpp
@@ -29,7 +29,7 @@
       "POST /{0} HTTP/1.1\r\nHost: lab\r\nX-Request-Id: {1}\r\nX-Class: {0}\r\nX-Deadline: {2:.0f}m\r\n"
       "X-Envelope: dest={3}\r\nContent-Length: {4}\r\n",
       submission.message_class->name, id, submission.remaining_ms, message.destination, message.body_bytes);
-  if (submission.message_class->idempotency == Repeat::kKeyed)
+  if (submission.message_class->idempotency == Idempotency::kIdempotentWithKey)
     text += "Idempotency-Key: " + IdempotencyKey(run, message) + "\r\n";
   if (submission.number > 0) text += submission.after_no_answer ? "X-Retry: again\r\n" : "X-Retry: 1\r\n";
   text += "\r\n";
@@ -47,7 +47,7 @@
                           {"deadlinems", static_cast<std::int64_t>(submission.remaining_ms)},
                           {"datacontenttype", "text/plain"},
                           {"data", Body(*submission.message)}};
-  if (submission.message_class->idempotency == Repeat::kKeyed)
+  if (submission.message_class->idempotency == Idempotency::kIdempotentWithKey)
     event["idempotencykey"] = IdempotencyKey(run, *submission.message);
   return event;
 }
@@ -60,7 +60,7 @@
       "Content-Length: {}\r\n",
       id, SourceUri(*submission.message), submission.message_class->name, submission.message->destination,
       submission.remaining_ms, submission.message->body_bytes);
-  if (submission.message_class->idempotency == Repeat::kKeyed)
+  if (submission.message_class->idempotency == Idempotency::kIdempotentWithKey)
     text += "ce-idempotencykey: " + IdempotencyKey(run, *submission.message) + "\r\n";
   text += "\r\n";
   text += Body(*submission.message);
--- a/src/loadtest/report/message_record.cpp
+++ b/src/loadtest/report/message_record.cpp
@@ -25,7 +25,7 @@
   const auto json = nlohmann::json::parse(line);
   if (is_first && json.contains("standins")) {
     result.started_us = json.at("started_us");
-    result.faults = Timeline::FromJson(json.at("timeline")).spans();
+    result.faults = FaultTimeline::FromJson(json.at("timeline")).spans();
     return;
   }
   const auto kind_name = json.at("what").get<std::string>();
@@ -45,7 +45,7 @@
       << "\n";
 }
 
-void WriteObservationHeader(std::ostream& out, std::int64_t started_us, const Timeline& timeline) {
+void WriteObservationHeader(std::ostream& out, std::int64_t started_us, const FaultTimeline& timeline) {
   const nlohmann::json header = {
       {"standins", 1}, {"started_us", started_us}, {"timeline", timeline.ToJson()}};
   out << header.dump() << "\n";
--- a/src/loadtest/report/message_record.h
+++ b/src/loadtest/report/message_record.h
@@ -53,7 +53,7 @@
 };
 
 // An observation file has one JSON value a line; the first is the header.
-void WriteObservationHeader(std::ostream& out, std::int64_t started_us, const Timeline& timeline);
+void WriteObservationHeader(std::ostream& out, std::int64_t started_us, const FaultTimeline& timeline);
 void WriteObservation(std::ostream& out, const Observation& observation);
 
 // Throws std::runtime_error that names file and line. An incomplete last line is ignored: its writer may
--- a/src/loadtest/report/result.cpp
+++ b/src/loadtest/report/result.cpp
@@ -4,7 +4,7 @@
 
 RunResult MakeResult(const std::string& name, const Scenario& scenario, const RunRecords& run,
                      std::span<const Observation> observations, bool outcomes_observed,
-                     const Timeline& timeline) {
+                     const FaultTimeline& timeline) {
   RunResult result;
   result.name = name;
   result.seconds = run.partial ? static_cast<double>(run.ended_us - run.start_us) / 1e6 : scenario.seconds;
--- a/src/loadtest/report/result.h
+++ b/src/loadtest/report/result.h
@@ -31,7 +31,7 @@
 // `timeline`: relative to the run's start. See Summarize() for the others.
 RunResult MakeResult(const std::string& name, const Scenario& scenario, const RunRecords& run,
                      std::span<const Observation> observations, bool outcomes_observed,
-                     const Timeline& timeline = Timeline());
+                     const FaultTimeline& timeline = FaultTimeline());
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/report/result_file.cpp
+++ b/src/loadtest/report/result_file.cpp
@@ -70,7 +70,7 @@
 }
 
 Json FaultsToJson(const RunResult& result) {
-  Json json = Timeline(result.faults).ToJson();
+  Json json = FaultTimeline(result.faults).ToJson();
   for (std::size_t i = 0; i < result.faults.size(); ++i) {
     const FaultImpact& impact = result.summary.fault_impacts[i];
     json[i]["met"] = {{"offered", impact.offered},
@@ -118,7 +118,7 @@
   for (const auto& [number, count] : summary.destinations)
     json["destinations"][std::to_string(number)] = count;
   json["findings"] = Json::array();
-  for (const Finding& violation : summary.violations) {
+  for (const Violation& violation : summary.violations) {
     json["findings"].push_back(
         {{"rule", violation.rule}, {"id", violation.id}, {"detail", violation.detail}});
   }
@@ -166,7 +166,7 @@
 }
 
 RunResult ResultFromJson(const Json& json) {
-  Validate(Json::parse(kResultSchema), json);
+  ValidateAgainstSchema(Json::parse(kResultSchema), json);
   RunResult result;
   result.name = json.at("name");
   result.seconds = json.at("seconds");
@@ -180,7 +180,7 @@
     result.threads.push_back(
         {thread.at("wall_s"), thread.at("cpu_s"), thread.at("run_queue_s"), thread.at("clock_jumps")});
   }
-  result.faults = Timeline::FromJson(json.at("faults")).spans();
+  result.faults = FaultTimeline::FromJson(json.at("faults")).spans();
   return result;
 }
 
--- a/src/loadtest/report/run_summary.cpp
+++ b/src/loadtest/report/run_summary.cpp
@@ -141,7 +141,7 @@
     const bool is_same_submission = outcome.effect_submission == id.submission;
     outcome.effects_of_one_submission = is_same_submission ? outcome.effects_of_one_submission + 1 : 1;
     outcome.effect_submission = id.submission;
-    if (id.idempotency == Repeat::kNever && outcome.effects_of_one_submission == 2) {
+    if (id.idempotency == Idempotency::kNotIdempotent && outcome.effects_of_one_submission == 2) {
       AddViolation("took effect twice", observation.id,
                    "a message that may not be repeated took effect twice");
     }
--- a/src/loadtest/report/run_summary.h
+++ b/src/loadtest/report/run_summary.h
@@ -68,11 +68,11 @@
 };
 
 // A violated rule: something that no run may show.
-struct Finding {
+struct Violation {
   std::string rule;    // its name in logs and result files
   std::string id;      // of the message; empty: of the run
   std::string detail;  // what was observed
-  bool operator==(const Finding&) const = default;
+  bool operator==(const Violation&) const = default;
 };
 inline constexpr std::size_t kMaxRecordedViolations = 100;
 
@@ -95,7 +95,7 @@
   std::vector<TimeBucket> buckets;
   std::map<std::string, OutcomeCounts> classes;
   std::map<std::int32_t, std::int64_t> destinations;  // messages offered to each
-  std::vector<Finding> violations;                    // the first kMaxRecordedViolations
+  std::vector<Violation> violations;                    // the first kMaxRecordedViolations
   std::int64_t violation_count = 0;
   std::int64_t foreign_observations = 0;    // of messages that no sender of this run knows
   std::int64_t abandoned_observations = 0;  // of submissions that their client had given up
--- a/src/loadtest/stub/agent.cpp
+++ b/src/loadtest/stub/agent.cpp
@@ -37,14 +37,14 @@
 
 std::string Agent::ListJson() const {
   Json list = {{"rev", revision_}, {"all", true}, {"targets", Json::array()}};
-  for (const auto& [uid, endpoint] : how.stale ? initial_endpoints_ : endpoints_)
+  for (const auto& [uid, endpoint] : faults.stale ? initial_endpoints_ : endpoints_)
     list["targets"].push_back(EndpointToJson(endpoint));
   return list.dump();
 }
 
 void Agent::SendHeartbeat() {
   std::erase_if(watches_, [](const auto& call) { return call->gone(); });
-  if (!how.silent) {
+  if (!faults.silent) {
     for (const auto& call : watches_) call->Chunk("\n");
   }
   heartbeat_timer_.Schedule(kHeartbeatInterval);
@@ -53,14 +53,14 @@
 void Agent::Put(const ListedEndpoint& endpoint) {
   ++revision_;
   endpoints_[endpoint.uid] = endpoint;
-  if (watches_.empty() && asked.empty()) initial_endpoints_ = endpoints_;
-  if (how.lost || how.silent) return;
-  if (how.late_ms <= 0) {
+  if (watches_.empty() && watch_requests.empty()) initial_endpoints_ = endpoints_;
+  if (faults.lost || faults.silent) return;
+  if (faults.late_ms <= 0) {
     SendChange(endpoint);
     return;
   }
   delayed_changes_.push_back(std::make_unique<Timer>(loop_, [this, endpoint] { SendChange(endpoint); }));
-  delayed_changes_.back()->Schedule(Duration(static_cast<std::int64_t>(how.late_ms * 1000)));
+  delayed_changes_.back()->Schedule(Duration(static_cast<std::int64_t>(faults.late_ms * 1000)));
 }
 
 void Agent::SetState(const std::string& uid, const std::string& state) {
@@ -79,7 +79,7 @@
   if (was_sent && on_state_announced) on_state_announced(endpoint.uid, endpoint.state);
 }
 
-void Agent::Say(const std::string& line) {
+void Agent::SendWatchLine(const std::string& line) {
   if (watch) watch->Chunk(line + "\n");
 }
 
@@ -99,13 +99,13 @@
 }
 
 void Agent::OnListRequest(const std::shared_ptr<Call>& call) {
-  if (how.silent) return;
+  if (faults.silent) return;
   const bool is_watch = call->target.find("watch=1") != std::string::npos;
   if (!is_watch) {
     call->Answer(200, ListJson());
     return;
   }
-  asked.push_back(call->target);
+  watch_requests.push_back(call->target);
   call->StartChunks();
   std::erase_if(watches_, [](const auto& old) { return old->gone(); });
   watches_.push_back(call);
@@ -115,9 +115,9 @@
 
 void Agent::OnNotices(Call& call) {
   int status = 204;
-  if (!script.empty()) {
-    status = script.front();
-    script.pop_front();
+  if (!notice_statuses.empty()) {
+    status = notice_statuses.front();
+    notice_statuses.pop_front();
   }
   if (status == 204) {
     if (!ReadNotices(call.body)) status = 400;
--- a/src/loadtest/stub/agent.h
+++ b/src/loadtest/stub/agent.h
@@ -55,19 +55,19 @@
   std::function<void(const std::string& uid, const std::string& state)> on_state_announced;
   // Called for each notice received.
   std::function<void(const std::string& id, const std::string& status)> on_notice;
-  AgentFaults how;
+  AgentFaults faults;
 
   // For tests: writes a line to the newest watch; ends it.
-  void Say(const std::string& line);
+  void SendWatchLine(const std::string& line);
   void EndWatch();
   // Whether `line` is part of the notices received.
-  bool Told(const std::string& line) const { return notices.find(line) != std::string::npos; }
+  bool HasNotice(const std::string& line) const { return notices.find(line) != std::string::npos; }
 
   std::shared_ptr<Call> watch;     // the newest; null: none
-  std::vector<std::string> asked;  // request targets of all watches
+  std::vector<std::string> watch_requests;  // request targets of all watches
   std::string notices;             // bodies received; empty unless `keep_notices`
   bool keep_notices = true;
-  std::deque<int> script;      // statuses of the next responses to notices; then 204
+  std::deque<int> notice_statuses;      // statuses of the next responses to notices; then 204
   std::int64_t malformed = 0;  // notices
 
  private:
--- a/src/loadtest/stub/checker.cpp
+++ b/src/loadtest/stub/checker.cpp
@@ -65,16 +65,16 @@
 // Whether the message may be called again.
 void Checker::CheckRepeat(std::int64_t now_us, const CallInfo& call, const MessageState& message) {
   const auto& executed_us = message.may_have_executed_us;
-  if (call.idempotency == Repeat::kNever && executed_us) {
+  if (call.idempotency == Idempotency::kNotIdempotent && executed_us) {
     AddViolation("forbidden repeat", call.id, "called again, though it may have run and may not be repeated");
   }
-  if (call.idempotency == Repeat::kKeyed && executed_us &&
+  if (call.idempotency == Idempotency::kIdempotentWithKey && executed_us &&
       now_us - *executed_us > rules_.deduplication_window_us) {
     AddViolation(
         "repeat window over", call.id,
         fmt::format("called again {:.0f} ms after it may have run", Milliseconds(now_us - *executed_us)));
   }
-  if (message.delivered && call.idempotency == Repeat::kNever)
+  if (message.delivered && call.idempotency == Idempotency::kNotIdempotent)
     AddViolation("delivered again", call.id, "called again after it was answered as delivered");
 }
 
@@ -97,10 +97,10 @@
   }
 }
 
-void Checker::OnEffect(const std::string& id, std::optional<Repeat> idempotency) {
+void Checker::OnEffect(const std::string& id, std::optional<Idempotency> idempotency) {
   ++effect_count_;
   const int effects = ++messages_[id].effects;
-  if (effects > 1 && idempotency && *idempotency != Repeat::kFree)
+  if (effects > 1 && idempotency && *idempotency != Idempotency::kIdempotent)
     AddViolation("took effect twice", id, fmt::format("took effect {} times", effects));
 }
 
--- a/src/loadtest/stub/checker.h
+++ b/src/loadtest/stub/checker.h
@@ -35,7 +35,7 @@
   std::string endpoint;
   int destination = 0;                     // of the endpoint
   std::optional<int> message_destination;  // unknown: not checked
-  std::optional<Repeat> idempotency;       // unknown: not checked
+  std::optional<Idempotency> idempotency;       // unknown: not checked
   std::string dispatcher;                  // whose limit of concurrent calls it counts for
 };
 
@@ -55,18 +55,18 @@
   void OnCallEnded(std::int64_t now_us, std::int64_t call_number, CallOutcome outcome,
                    std::int64_t wait_us = 0);
   // The message took effect at a partner.
-  void OnEffect(const std::string& id, std::optional<Repeat> idempotency);
+  void OnEffect(const std::string& id, std::optional<Idempotency> idempotency);
   void OnDrainingAnnounced(std::int64_t now_us, const std::string& endpoint);
   void OnInServiceAnnounced(const std::string& endpoint) { draining_since_us_.erase(endpoint); }
   // The dispatcher was restarted: it has forgotten all waits, and its calls have ended.
   void OnDispatcherRestarted(const std::string& dispatcher);
 
   std::int64_t count() const { return count_; }                         // of violations
-  const std::vector<Finding>& findings() const { return violations_; }  // the first kMaxRecordedViolations
+  const std::vector<Violation>& violations() const { return violations_; }  // the first kMaxRecordedViolations
   std::int64_t calls() const { return next_call_number_; }
   std::int64_t effects() const { return effect_count_; }
-  int most_out() const { return max_in_flight_; }              // calls of one dispatcher at once
-  std::size_t out() const { return in_flight_calls_.size(); }  // calls now
+  int max_in_flight() const { return max_in_flight_; }              // calls of one dispatcher at once
+  std::size_t in_flight() const { return in_flight_calls_.size(); }  // calls now
 
  private:
   struct InFlightCall {
@@ -93,7 +93,7 @@
   std::int64_t count_ = 0;
   std::int64_t effect_count_ = 0;
   int max_in_flight_ = 0;
-  std::vector<Finding> violations_;
+  std::vector<Violation> violations_;
   std::map<std::int64_t, InFlightCall> in_flight_calls_;  // by number
   std::map<std::string, int> in_flight_by_dispatcher_;
   std::map<std::string, MessageState> messages_;           // by id
--- a/src/loadtest/stub/frontend.cpp
+++ b/src/loadtest/stub/frontend.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-StubFrontend::StubFrontend(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
+StubFrontend::StubFrontend(EventLoop& loop, const Address& at, const FaultTimeline& timeline, Random random,
                            std::int64_t started_us)
     : timeline_(timeline),
       random_(random),
@@ -30,10 +30,10 @@
 
 bool StubFrontend::AnswerWithFault(Call& call, const FaultSpan& fault) {
   switch (fault.fault) {
-    case Fault::kRefuse:
+    case Fault::kServiceUnavailable:
       call.Answer(503);
       return true;
-    case Fault::kFull:
+    case Fault::kTooManyRequests:
       call.Answer(429, "", {{"Retry-After", fmt::format("{:.3f}", fault.ms / 1000)}});
       return true;
     case Fault::kError:
@@ -42,15 +42,15 @@
     case Fault::kReset:
       call.Reset();
       return true;
-    case Fault::kSpoilt:
+    case Fault::kMalformedResponse:
       call.Raw("HTTP/1.1 202 Accepted\r\nContent-Length: -7\r\n\r\nzzzz");
       return true;
-    case Fault::kHalf:
+    case Fault::kTruncatedResponse:
       call.Raw("HTTP/1.1 202 Acc");
       call.Close();
       return true;
-    case Fault::kSilent:
-    case Fault::kLate:
+    case Fault::kNoResponse:
+    case Fault::kLateExecution:
       return true;
     default:
       return false;
@@ -64,7 +64,7 @@
   for (const std::string& id : SubmittedIds(*call)) {
     if (!on_accepted) break;
     on_accepted(id);
-    if (fault.fault == Fault::kTwice) on_accepted(id);
+    if (fault.fault == Fault::kDoubleExecution) on_accepted(id);
   }
   call->Answer(202);
 }
--- a/src/loadtest/stub/frontend.h
+++ b/src/loadtest/stub/frontend.h
@@ -19,7 +19,7 @@
   static constexpr const char* kUid = "front";
 
   // `timeline` outlives the frontend; `started_us` is its time 0.
-  StubFrontend(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
+  StubFrontend(EventLoop& loop, const Address& at, const FaultTimeline& timeline, Random random,
                std::int64_t started_us);
 
   std::uint16_t port() const { return listener_.port(); }
@@ -34,7 +34,7 @@
   // Returns false if the fault leaves the call to be accepted.
   static bool AnswerWithFault(Call& call, const FaultSpan& fault);
 
-  const Timeline& timeline_;
+  const FaultTimeline& timeline_;
   Random random_;
   Listener listener_;
   ListenerFaultSchedule fault_schedule_;
--- a/src/loadtest/stub/listener_fault_schedule.cpp
+++ b/src/loadtest/stub/listener_fault_schedule.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-ListenerFaultSchedule::ListenerFaultSchedule(EventLoop& loop, Listener& listener, const Timeline& timeline,
+ListenerFaultSchedule::ListenerFaultSchedule(EventLoop& loop, Listener& listener, const FaultTimeline& timeline,
                                              std::string endpoint, int destination, std::int64_t started_us)
     : listener_(listener),
       timeline_(timeline),
--- a/src/loadtest/stub/listener_fault_schedule.h
+++ b/src/loadtest/stub/listener_fault_schedule.h
@@ -14,7 +14,7 @@
  public:
   // The references outlive the schedule. `endpoint`, `destination`: by which the timeline addresses the
   // listener. `started_us`: time 0 of the timeline, on the monotonic clock.
-  ListenerFaultSchedule(EventLoop& loop, Listener& listener, const Timeline& timeline, std::string endpoint,
+  ListenerFaultSchedule(EventLoop& loop, Listener& listener, const FaultTimeline& timeline, std::string endpoint,
                         int destination, std::int64_t started_us);
 
   double NowMs() const;  // since the timeline's time 0
@@ -25,7 +25,7 @@
   void ApplyFaults();
 
   Listener& listener_;
-  const Timeline& timeline_;
+  const FaultTimeline& timeline_;
   const std::string endpoint_;
   const int destination_;
   const std::int64_t started_us_;
--- a/src/loadtest/stub/partner.cpp
+++ b/src/loadtest/stub/partner.cpp
@@ -26,7 +26,7 @@
   return identity;
 }
 
-Partner::Partner(EventLoop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker,
+Partner::Partner(EventLoop& loop, PartnerSettings settings, const FaultTimeline& timeline, Checker& checker,
                  Random random, std::int64_t started_us)
     : loop_(loop),
       settings_(std::move(settings)),
@@ -38,7 +38,7 @@
       listener_(loop, settings_.listen, [this](const std::shared_ptr<Call>& call) { OnRequest(call); }),
       fault_schedule_(loop, listener_, timeline, settings_.uid, settings_.destination, started_us) {
   listener_.max_connections = settings_.max_connections;
-  decide = [this](const Call&) {
+  choose_fault = [this](const Call&) {
     return timeline_.Draw(NowMs(), settings_.uid, settings_.destination, random_);
   };
 }
@@ -71,7 +71,7 @@
   pending->call = call;
   pending->identity = identify(*call);
   pending->key = call->Header("Idempotency-Key");
-  pending->fault = decide(*call);
+  pending->fault = choose_fault(*call);
   CallInfo info;
   info.id = pending->identity.id;
   info.endpoint = settings_.uid;
@@ -86,21 +86,21 @@
 
 void Partner::ApplyFault(const PendingCallPtr& pending) {
   const Fault fault = pending->fault.fault;
-  const bool is_ambiguous = fault == Fault::kError || fault == Fault::kReset || fault == Fault::kSilent;
+  const bool is_ambiguous = fault == Fault::kError || fault == Fault::kReset || fault == Fault::kNoResponse;
   if (is_ambiguous) {
     executes_ambiguous_ = !executes_ambiguous_;
     if (executes_ambiguous_) RecordEffect(*pending);
   }
   switch (fault) {
-    case Fault::kWell:
+    case Fault::kNone:
     case Fault::kSlow:
-    case Fault::kTwice:
+    case Fault::kDoubleExecution:
     case Fault::kPause:
-    case Fault::kShut:
+    case Fault::kConnectionRefused:
       return Admit(pending);
-    case Fault::kRefuse:
+    case Fault::kServiceUnavailable:
       return Reject(pending, 503, 0);
-    case Fault::kFull:
+    case Fault::kTooManyRequests:
       return Reject(pending, 429, pending->fault.ms);
     case Fault::kError:
       EndCall(pending, CallOutcome::kMayHaveExecuted);
@@ -108,17 +108,17 @@
       return;
     case Fault::kReset:
       return pending->call->Reset();
-    case Fault::kSpoilt:
+    case Fault::kMalformedResponse:
       RecordEffect(*pending);
       pending->call->Raw("HTTP/1.1 500 nonsense\r\nContent-Length: -7\r\n\r\nzzzz");
       return;
-    case Fault::kHalf:
+    case Fault::kTruncatedResponse:
       RecordEffect(*pending);
       pending->call->Raw("HTTP/1.1 500 Internal Server Error\r\nContent-Le");
       return pending->call->Close();
-    case Fault::kLate:
+    case Fault::kLateExecution:
       return RunAfter(pending->fault.ms, [this, pending] { RecordEffect(*pending); });
-    case Fault::kSilent:
+    case Fault::kNoResponse:
       return;
   }
 }
@@ -163,7 +163,7 @@
 void Partner::FinishWork(const PendingCallPtr& pending) {
   --active_calls_;
   RecordEffect(*pending);
-  if (pending->fault.fault == Fault::kTwice) RecordEffect(*pending);
+  if (pending->fault.fault == Fault::kDoubleExecution) RecordEffect(*pending);
   if (!pending->call->gone()) {
     ++delivered;
     EndCall(pending, CallOutcome::kDelivered);
@@ -178,7 +178,7 @@
 }
 
 void Partner::ForgetOldKeys(std::int64_t now_us) {
-  const auto memory_us = static_cast<std::int64_t>(settings_.key_memory_ms * 1000);
+  const auto memory_us = static_cast<std::int64_t>(settings_.key_retention_ms * 1000);
   while (!executed_keys_by_age_.empty()) {
     const ExecutedKey& oldest = executed_keys_by_age_.front();
     if (oldest.at_us + memory_us > now_us) return;
@@ -191,8 +191,8 @@
 void Partner::RecordEffect(const PendingCall& pending) {
   const std::int64_t now_us = NowUs();
   ForgetOldKeys(now_us);
-  const Repeat idempotency = pending.identity.idempotency.value_or(Repeat::kKeyed);
-  if (!pending.key.empty() && idempotency == Repeat::kKeyed) {
+  const Idempotency idempotency = pending.identity.idempotency.value_or(Idempotency::kIdempotentWithKey);
+  if (!pending.key.empty() && idempotency == Idempotency::kIdempotentWithKey) {
     if (executed_keys_.contains(pending.key)) {
       ++dropped_repeats;
       return;
--- a/src/loadtest/stub/partner.h
+++ b/src/loadtest/stub/partner.h
@@ -35,14 +35,14 @@
   std::size_t max_connections = 100'000;
   double warm_up_ms = 0;          // after each start
   double warm_up_slowdown = 4;    // by which work takes longer while warming up
-  double key_memory_ms = 10'000;  // repeats of an idempotency key are answered and not executed again
+  double key_retention_ms = 10'000;  // repeats of an idempotency key are answered and not executed again
 };
 
 // What the partner knows of a call's message.
 struct Identity {
   std::string id;
   std::optional<int> message_destination;
-  std::optional<Repeat> idempotency;
+  std::optional<Idempotency> idempotency;
   std::string dispatcher;
 };
 
@@ -53,7 +53,7 @@
  public:
   // `timeline` and `checker` outlive the partner; `started_us` is time 0 of the timeline. Throws
   // std::runtime_error if it can't listen.
-  Partner(EventLoop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker,
+  Partner(EventLoop& loop, PartnerSettings settings, const FaultTimeline& timeline, Checker& checker,
           Random random, std::int64_t started_us);
   ~Partner();
   Partner(const Partner&) = delete;
@@ -65,7 +65,7 @@
 
   // Replaceable: how a call is identified, and which fault it gets (by default the timeline's).
   std::function<Identity(const Call&)> identify = IdentifyBySubmissionId;
-  std::function<FaultSpan(const Call&)> decide;
+  std::function<FaultSpan(const Call&)> choose_fault;
 
   // Called with the message's id when it takes effect, and when 200 is written.
   std::function<void(const std::string& id)> on_effect;
@@ -101,7 +101,7 @@
 
   EventLoop& loop_;
   const PartnerSettings settings_;
-  const Timeline& timeline_;
+  const FaultTimeline& timeline_;
   Checker& checker_;
   Random random_;
   int active_calls_ = 0;
--- a/src/loadtest/stub/registry.cpp
+++ b/src/loadtest/stub/registry.cpp
@@ -65,7 +65,7 @@
 }
 
 void Registry::OnRequest(Call& call) {
-  if (keep_asked) asked.push_back(call.method + " " + call.target);
+  if (keep_requests) requests.push_back(call.method + " " + call.target);
   if (silent) return;
   if (!call.target.starts_with(kBasePath)) {
     call.Answer(404);
--- a/src/loadtest/stub/registry.h
+++ b/src/loadtest/stub/registry.h
@@ -25,8 +25,8 @@
   void Remove(const std::string& app, const std::string& id);
   std::size_t InstanceCount(const std::string& app) const;
 
-  std::vector<std::string> asked;  // "METHOD target" of all requests; empty unless `keep_asked`
-  bool keep_asked = true;
+  std::vector<std::string> requests;  // "METHOD target" of all requests; empty unless `keep_asked`
+  bool keep_requests = true;
   bool forgetful = false;  // answers the next renewal with 404
   bool silent = false;     // answers nothing
   bool stale = false;      // answers with the full list as it was when it became so, as after a restart
--- a/src/loadtest/stub/stub_server_set.cpp
+++ b/src/loadtest/stub/stub_server_set.cpp
@@ -42,7 +42,7 @@
   agent = std::make_unique<Agent>(loop_, *settings.agent);
   agent->keep_notices = false;
   for (const ListedEndpoint& endpoint : ListedEndpoints()) agent->Put(endpoint);
-  agent->how = settings.agent_faults;
+  agent->faults = settings.agent_faults;
   agent->on_notice = [this](const std::string& id, const std::string& status) {
     AddObservation(status == "deferred" ? ObservationKind::kDeferred : ObservationKind::kUndeliverable, id);
   };
@@ -62,7 +62,7 @@
 
 void StubServerSet::StartRegistry(const Address& address) {
   registry = std::make_unique<Registry>(loop_, address);
-  registry->keep_asked = false;
+  registry->keep_requests = false;
   for (const ListedEndpoint& endpoint : ListedEndpoints()) {
     registry->Put(kPartnerApplication, endpoint.uid, ParseAddress(endpoint.address, "endpoint").port,
                   fmt::format(R"(,"metadata":{{"destination":"{}","rate":"{}"}})", endpoint.destination,
--- a/src/loadtest/stub/stub_server_set.h
+++ b/src/loadtest/stub/stub_server_set.h
@@ -53,7 +53,7 @@
 
   EventLoop& loop_;
   const std::vector<PartnerSettings> listed_partners_;
-  const Timeline timeline_;
+  const FaultTimeline timeline_;
   const std::int64_t started_us_;
   std::vector<std::unique_ptr<Timer>> state_change_timers_;
 };
--- a/src/loadtest/stub/stub_server_settings.cpp
+++ b/src/loadtest/stub/stub_server_settings.cpp
@@ -32,7 +32,7 @@
   partner.max_connections = json.value("connections", partner.max_connections);
   partner.warm_up_ms = json.value("cold_ms", 0.0);
   partner.warm_up_slowdown = json.value("cold_times", partner.warm_up_slowdown);
-  partner.key_memory_ms = json.value("key_memory_ms", partner.key_memory_ms);
+  partner.key_retention_ms = json.value("key_memory_ms", partner.key_retention_ms);
   return partner;
 }
 
@@ -54,7 +54,7 @@
 Json StubServerSchema() { return Json::parse(kStubServerSchema); }
 
 StubServerSettings StubServerSettingsFromJson(const Json& json) {
-  Validate(StubServerSchema(), json);
+  ValidateAgainstSchema(StubServerSchema(), json);
   StubServerSettings settings;
   settings.seed = json.value("seed", settings.seed);
   if (json.contains("rules")) settings.rules = RulesFromJson(json["rules"]);
@@ -66,7 +66,7 @@
       throw std::runtime_error(fmt::format("/partners/{}: {}", number, error.what()));
     }
   }
-  settings.timeline = Timeline::FromJson(json.value("timeline", Json::array()));
+  settings.timeline = FaultTimeline::FromJson(json.value("timeline", Json::array()));
   settings.agent = ListenAddress(json, "agent");
   settings.registry = ListenAddress(json, "registry");
   settings.sink = ListenAddress(json, "sink");
--- a/src/loadtest/stub/stub_server_settings.h
+++ b/src/loadtest/stub/stub_server_settings.h
@@ -28,7 +28,7 @@
   std::uint64_t seed = 1;  // of all random numbers
   Rules rules;
   std::vector<PartnerSettings> partners;
-  Timeline timeline;
+  FaultTimeline timeline;
   // Where the others listen; none: not started.
   std::optional<Address> agent;
   std::optional<Address> registry;
--- a/src/loadtest/stub/timeline.cpp
+++ b/src/loadtest/stub/timeline.cpp
@@ -24,7 +24,7 @@
   return std::nullopt;
 }
 
-Timeline Timeline::FromJson(const nlohmann::json& list) {
+FaultTimeline FaultTimeline::FromJson(const nlohmann::json& list) {
   std::vector<FaultSpan> spans;
   for (const auto& json : list) {
     FaultSpan span;
@@ -38,10 +38,10 @@
     span.times = json.value("times", span.times);
     spans.push_back(span);
   }
-  return Timeline(std::move(spans));
+  return FaultTimeline(std::move(spans));
 }
 
-nlohmann::json Timeline::ToJson() const {
+nlohmann::json FaultTimeline::ToJson() const {
   nlohmann::json list = nlohmann::json::array();
   for (const FaultSpan& span : spans_) {
     list.push_back({{"fault", Name(span.fault)},
@@ -56,7 +56,7 @@
   return list;
 }
 
-FaultSpan Timeline::Draw(double now_ms, const std::string& endpoint, int destination, Random& random) const {
+FaultSpan FaultTimeline::Draw(double now_ms, const std::string& endpoint, int destination, Random& random) const {
   for (const FaultSpan& span : spans_) {
     if (span.AffectsListener() || !span.Covers(now_ms, endpoint, destination)) continue;
     if (span.share >= 1 || boost::random::uniform_01<>()(random) < span.share) return span;
--- a/src/loadtest/stub/timeline.h
+++ b/src/loadtest/stub/timeline.h
@@ -14,19 +14,19 @@
 namespace sagetally::loadtest {
 
 enum class Fault {
-  kWell,    // none
+  kNone,    // none
   kSlow,    // takes `times` as long
-  kSilent,  // no response; every second call is executed
-  kLate,    // no response; executed `ms` later all the same
-  kRefuse,  // 503
-  kFull,    // 429 with a wait of `ms`
+  kNoResponse,  // no response; every second call is executed
+  kLateExecution,    // no response; executed `ms` later all the same
+  kServiceUnavailable,  // 503
+  kTooManyRequests,    // 429 with a wait of `ms`
   kError,   // 500; every second call is executed
   kReset,   // the connection is reset; every second call is executed
-  kSpoilt,  // executed; the response is malformed
-  kHalf,    // executed; the response is truncated
-  kTwice,   // executed twice: the partner's own fault
+  kMalformedResponse,  // executed; the response is malformed
+  kTruncatedResponse,    // executed; the response is truncated
+  kDoubleExecution,   // executed twice: the partner's own fault
   kPause,   // connections are neither accepted nor read until it is over
-  kShut     // connections are refused, open ones are reset
+  kConnectionRefused     // connections are refused, open ones are reset
 };
 
 // The timeline's name of the fault, and back; none if it is unknown.
@@ -35,7 +35,7 @@
 
 // One fault for some time. Times are in milliseconds since the start of its servers, or of a run.
 struct FaultSpan {
-  Fault fault = Fault::kWell;
+  Fault fault = Fault::kNone;
   double from_ms = 0;
   double for_ms = 0;
   std::string endpoint;            // empty: any
@@ -50,16 +50,16 @@
            (!destination || *destination == at_destination);
   }
   // Whether it affects a listener as a whole rather than single calls.
-  bool AffectsListener() const { return fault == Fault::kPause || fault == Fault::kShut; }
+  bool AffectsListener() const { return fault == Fault::kPause || fault == Fault::kConnectionRefused; }
 };
 
-class Timeline {
+class FaultTimeline {
  public:
-  Timeline() = default;
-  explicit Timeline(std::vector<FaultSpan> spans) : spans_(std::move(spans)) {}
+  FaultTimeline() = default;
+  explicit FaultTimeline(std::vector<FaultSpan> spans) : spans_(std::move(spans)) {}
 
   // `list`: valid by the schema of stub servers.
-  static Timeline FromJson(const nlohmann::json& list);
+  static FaultTimeline FromJson(const nlohmann::json& list);
   nlohmann::json ToJson() const;
 
   const std::vector<FaultSpan>& spans() const { return spans_; }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -44,7 +44,7 @@
 // A configuration that can't be used is one line in the log, and the old one stays.
 template <typename Node>
 void ReloadConfiguration(Node& node, Logger& log, const Options& options, ConfigRequirements requirements) {
-  requirements.again = true;
+  requirements.is_reload = true;
   try {
     node.Reload(options.ReadConfiguration(requirements));
   } catch (const std::exception& error) {
--- a/src/net/control_server.cpp
+++ b/src/net/control_server.cpp
@@ -47,7 +47,7 @@
     throw ListenError("control socket " + path_ + ": " + std::strerror(error_number), path_, error_number);
   }
   listener_.reset(evconnlistener_new(loop_.base(), OnAccepted, this,
-                                     LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kMostConnections,
+                                     LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kMaxConnections,
                                      socket.get()));
   if (!listener_) throw ListenError("control socket " + path_ + ": can't listen", path_, errno);
   socket.Release();
@@ -64,7 +64,7 @@
 
 void ControlServer::OnAccepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
   auto* server = static_cast<ControlServer*>(self);
-  if (server->clients_.size() >= kMostConnections) {
+  if (server->clients_.size() >= kMaxConnections) {
     ::close(socket);
     return;
   }
--- a/src/net/control_server.h
+++ b/src/net/control_server.h
@@ -18,7 +18,7 @@
 // On the event loop's thread, the handler too.
 class ControlServer {
  public:
-  static constexpr std::size_t kMostConnections = 8;
+  static constexpr std::size_t kMaxConnections = 8;
   // Sends the answer, without its line's end. Only the first call counts; the client may have gone.
   using Responder = std::function<void(std::string line)>;
   // Handles a request, without its line's end. A connection's next request waits for the answer.
--- a/src/net/endpoint_call_codec.cpp
+++ b/src/net/endpoint_call_codec.cpp
@@ -52,7 +52,7 @@
   text += HeaderLine("Host", host);
   text += HeaderLine(kMessageIdHeader, request.id);
   if (!request.idempotency_key.empty()) text += HeaderLine(kIdempotencyKeyHeader, request.idempotency_key);
-  text += HeaderLine(kDeadlineHeader, DeadlineText(call.timeout));
+  text += HeaderLine(kDeadlineHeader, FormatDeadline(call.timeout));
   for (const auto& [name, value] : request.attributes) text += HeaderLine(name, value);
   text += HeaderLine("Content-Length", std::to_string(request.body.size()));
   return text + "\r\n" + request.body;
@@ -60,7 +60,7 @@
 
 CallResult DecodeCallResult(const EndpointResponse& response) {
   CallResult result;
-  result.load_report = ReadLoad(FieldValue(response, kLoadHeader));
+  result.load_report = ParseLoadReport(FieldValue(response, kLoadHeader));
   switch (const unsigned status = response.result_int()) {
     case 429:
       result.outcome = Outcome::kRejected;
@@ -75,7 +75,7 @@
       break;
     case 410:
       result.outcome = Outcome::kNotSent;
-      result.completed = true;
+      result.message_expired = true;
       break;
     default:
       result.outcome = status >= 200 && status < 300 ? Outcome::kOk : Outcome::kError;
@@ -83,7 +83,7 @@
   return result;
 }
 
-LoadReport ReadLoad(std::string_view text) {
+LoadReport ParseLoadReport(std::string_view text) {
   LoadReport report;
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(','), text.size());
@@ -100,7 +100,7 @@
   return report;
 }
 
-std::string DeadlineText(Duration time_left) {
+std::string FormatDeadline(Duration time_left) {
   const std::int64_t milliseconds = std::chrono::floor<std::chrono::milliseconds>(time_left).count();
   return std::to_string(std::max<std::int64_t>(1, milliseconds)) + "m";
 }
--- a/src/net/endpoint_call_codec.h
+++ b/src/net/endpoint_call_codec.h
@@ -21,10 +21,10 @@
 CallResult DecodeCallResult(const EndpointResponse& response);
 
 // Parses an X-Load header ("x0=0.4,x1=25"). Empty report if any part of it is malformed.
-LoadReport ReadLoad(std::string_view text);
+LoadReport ParseLoadReport(std::string_view text);
 
 // Formats the X-Deadline header: whole milliseconds, rounded down, at least 1 ("250m").
-std::string DeadlineText(Duration time_left);
+std::string FormatDeadline(Duration time_left);
 
 }  // namespace sagetally
 
--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -65,7 +65,7 @@
 }
 
 void EndpointConnection::StartCall(const CallRequest& call) {
-  message_number_ = call.number;
+  message_number_ = call.message_number;
   has_call_ = true;
   is_write_reported_ = false;
   responded_early_ = false;
@@ -74,9 +74,9 @@
   unsent_call_ = EncodeCall(call, address_text_);
   call_timer_.Schedule(call.timeout);
   write_deadline_ = std::chrono::steady_clock::time_point::max();
-  if (call.write_within) {
-    write_deadline_ = std::chrono::steady_clock::now() + *call.write_within;
-    write_timer_.Schedule(*call.write_within);
+  if (call.write_timeout) {
+    write_deadline_ = std::chrono::steady_clock::now() + *call.write_timeout;
+    write_timer_.Schedule(*call.write_timeout);
   }
   if (is_connected_) WriteCall();
 }
@@ -149,7 +149,7 @@
   // The endpoint may have given the call up as well, so a response to an abandoned call may count for nothing
   // there. Only its time to wait is passed on.
   if (abandoned_as_) result.outcome = *abandoned_as_;
-  result.number = message_number_;
+  result.message_number = message_number_;
   owner_.OnCallFinished(*this, result, end);
 }
 
--- a/src/net/endpoint_list_watcher.cpp
+++ b/src/net/endpoint_list_watcher.cpp
@@ -145,7 +145,7 @@
   try {
     json::Value value;
     if (parser_.parse(text).get(value) != simdjson::SUCCESS) json::Malformed("no JSON");
-    update = ReadList(value, site_);
+    update = ReadEndpointList(value, site_);
   } catch (const std::exception& error) {
     log_.Warn("discovery.unreadable", {{"reason", error.what()}});
     return OnWatchLost("unreadable");
@@ -154,7 +154,7 @@
   if (update.revision < revision_ && !accepts_older_revision_) {
     // It would bring back endpoints that are draining. Its changes up to our revision come by
     // themselves, or never.
-    if (older_revision_timer_.pending()) return;
+    if (older_revision_timer_.is_pending()) return;
     log_.Warn("discovery.behind", {{"revision", update.revision}, {"known_revision", revision_}});
     return older_revision_timer_.Schedule(kOlderRevisionPatience);
   }
--- a/src/net/endpoint_pool.cpp
+++ b/src/net/endpoint_pool.cpp
@@ -52,10 +52,10 @@
 
 void EndpointPool::StartCall(const CallRequest& call) {
   CallResult not_started;
-  not_started.number = call.number;
+  not_started.message_number = call.message_number;
   not_started.outcome = Outcome::kConnectFailed;
   const auto found = endpoints_.find(call.endpoint);
-  if (found == endpoints_.end() || connections_by_message_.contains(call.number)) {
+  if (found == endpoints_.end() || connections_by_message_.contains(call.message_number)) {
     return ReportSoon(not_started);
   }
   PooledEndpoint& endpoint = found->second;
@@ -64,7 +64,7 @@
     if (!HasCapacity(endpoint)) return ReportSoon(not_started);
     connection = OpenConnection(endpoint);
   }
-  connections_by_message_[call.number] = connection;
+  connections_by_message_[call.message_number] = connection;
   connection->StartCall(call);
 }
 
@@ -140,7 +140,7 @@
 }
 
 void EndpointPool::OnCallWritten() {
-  if (on_written) on_written();
+  if (on_call_written) on_call_written();
 }
 
 void EndpointPool::OnCallFinished(EndpointConnection& connection, const CallResult& result,
@@ -167,7 +167,7 @@
 
 void EndpointPool::ReportSettled(const CallResult& result) {
   settling_results_.push_back({std::chrono::steady_clock::now() + kCloseSettleTime, result});
-  if (!settling_timer_.pending()) settling_timer_.Schedule(kCloseSettleTime);
+  if (!settling_timer_.is_pending()) settling_timer_.Schedule(kCloseSettleTime);
 }
 
 void EndpointPool::ReportImmediateResults() {
--- a/src/net/endpoint_pool.h
+++ b/src/net/endpoint_pool.h
@@ -49,14 +49,14 @@
   void UpdateEndpoint(const EndpointUpdate& update) override;
   void RemoveEndpoint(const std::string& endpoint) override;
   // The last byte of a call was written; may be empty.
-  std::function<void()> on_written;
+  std::function<void()> on_call_written;
   // No calls come any more: connections close as soon as they are idle.
   void Shutdown();
   // No result is owed.
-  bool idle() const {
+  bool is_idle() const {
     return connections_by_message_.empty() && immediate_results_.empty() && settling_results_.empty();
   }
-  std::size_t endpoints() const { return endpoints_.size(); }
+  std::size_t endpoint_count() const { return endpoints_.size(); }
 
  private:
   struct SettlingResult {
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -46,7 +46,7 @@
   // Fires `delay` from now, at once if it is negative; replaces an earlier Schedule().
   void Schedule(Duration delay);
   void Stop() { event_del(event_.get()); }
-  bool pending() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
+  bool is_pending() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
 
  private:
   std::function<void()> on_fired_;
--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -45,7 +45,7 @@
 GossipTransport::~GossipTransport() = default;
 
 bool GossipTransport::Broadcast(const std::string& body) {
-  if (body.size() > kMostBytes || config_.broadcast_peer.empty() || socket_.get() < 0) return false;
+  if (body.size() > kMaxMessageBytes || config_.broadcast_peer.empty() || socket_.get() < 0) return false;
   const sockaddr_in address = ParseSocketAddress(config_.broadcast_peer);
   const ssize_t sent = ::sendto(socket_.get(), body.data(), body.size(), 0,
                                 reinterpret_cast<const sockaddr*>(&address), sizeof address);
--- a/src/net/gossip_transport.h
+++ b/src/net/gossip_transport.h
@@ -15,7 +15,7 @@
 // thread.
 class GossipTransport {
  public:
-  static constexpr std::size_t kMostBytes = 256;  // of a message; the platform forbids longer ones
+  static constexpr std::size_t kMaxMessageBytes = 256;  // of a message; the platform forbids longer ones
 
   // `inherited`: the bound socket of another process, used if there is one. `config` must outlive this.
   // Throws ListenError, or std::runtime_error if an address is malformed.
--- a/src/net/handover_channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -161,7 +161,7 @@
   return std::nullopt;
 }
 
-void HandoverChannel::OnReadable(EventLoop& loop, std::function<void(Packet)> on_packet,
+void HandoverChannel::StartReceiving(EventLoop& loop, std::function<void(Packet)> on_packet,
                                  std::function<void()> on_ended) {
   on_packet_ = std::move(on_packet);
   on_ended_ = std::move(on_ended);
--- a/src/net/handover_channel.h
+++ b/src/net/handover_channel.h
@@ -39,7 +39,7 @@
 
   // From now on calls `on_packet` for each packet as it comes, and `on_ended` once the other side is gone.
   // This object must not be moved any more.
-  void OnReadable(EventLoop& loop, std::function<void(Packet)> on_packet, std::function<void()> on_ended);
+  void StartReceiving(EventLoop& loop, std::function<void(Packet)> on_packet, std::function<void()> on_ended);
   void Close();
 
  private:
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -28,7 +28,7 @@
 
 class HttpClient::PendingCall {
  public:
-  PendingCall(HttpClient& client, const Address& address, Done done)
+  PendingCall(HttpClient& client, const Address& address, ResultCallback done)
       : client_(client),
         done_(std::move(done)),
         connection_(OpenHttpConnection(client.loop_, address, {kMaxResponseBytes, kMaxResponseBytes})),
@@ -67,7 +67,7 @@
   }
 
   HttpClient& client_;
-  Done done_;
+  ResultCallback done_;
   ConnectionPtr connection_;
   WriteObserver write_observer_;
   Timer timer_;
@@ -78,7 +78,7 @@
 HttpClient::~HttpClient() = default;
 
 void HttpClient::Send(const Address& address, evhttp_cmd_type method, const std::string& path,
-                      const HttpHeaders& headers, const std::string& body, Duration timeout, Done done) {
+                      const HttpHeaders& headers, const std::string& body, Duration timeout, ResultCallback done) {
   auto owned = std::make_unique<PendingCall>(*this, address, std::move(done));
   PendingCall* call = owned.get();
   evhttp_request* request = evhttp_request_new(PendingCall::OnResponse, call);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -24,14 +24,14 @@
 // On the event loop's thread. Its destructor drops the requests that are in flight without a result.
 class HttpClient {
  public:
-  using Done = std::function<void(const HttpResult&)>;
+  using ResultCallback = std::function<void(const HttpResult&)>;
 
   explicit HttpClient(EventLoop& loop);
   ~HttpClient();
 
   // `done` is called once: with the response, or with status code 0 if there is none within `timeout`.
   void Send(const Address& address, evhttp_cmd_type method, const std::string& path,
-            const HttpHeaders& headers, const std::string& body, Duration timeout, Done done);
+            const HttpHeaders& headers, const std::string& body, Duration timeout, ResultCallback done);
 
  private:
   class PendingCall;
--- a/src/net/http_exchange.cpp
+++ b/src/net/http_exchange.cpp
@@ -14,7 +14,7 @@
 }
 
 bool Exchange::Respond(int code, const std::string& body, const Headers& headers) {
-  if (client_gone()) return false;
+  if (is_closed()) return false;
   std::exchange(client_, nullptr)->SendResponse(code, body, headers);
   return true;
 }
--- a/src/net/http_exchange.h
+++ b/src/net/http_exchange.h
@@ -31,7 +31,7 @@
   const Headers& headers() const { return headers_; }
   const std::string& body() const { return body_; }
   // It was answered, or its connection has closed: nothing can be answered any more.
-  bool client_gone() const { return client_ == nullptr; }
+  bool is_closed() const { return client_ == nullptr; }
   // Sends the response; at most once. False if client_gone(). Content-Length and Connection are added to
   // `headers`.
   bool Respond(int code, const std::string& body = "", const Headers& headers = {});
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -56,13 +56,13 @@
 
 }  // namespace
 
-HttpServer::HttpServer(EventLoop& loop, const Address& address, HttpServerLimits limits, Handler handler,
+HttpServer::HttpServer(EventLoop& loop, const Address& address, Limits limits, Handler handler,
                        FileDescriptor inherited)
     : loop_(loop),
       limits_(limits),
       handler_(std::move(handler)),
       listener_(OpenListener(address, std::move(inherited))),
-      port_(LocalPort(listener())),
+      port_(LocalPort(listener_descriptor())),
       accept_again_timer_(loop,
                           [this] {
                             if (listener_) evconnlistener_enable(listener_.get());
@@ -164,7 +164,7 @@
   return transferable;
 }
 
-void HttpServer::ReleaseAll() {
+void HttpServer::ReleaseTransferred() {
   listener_.reset();
   is_closing_ = true;
   std::vector<ServerConnection*> transferred;
@@ -185,7 +185,7 @@
   if (!listener_) return;
   evconnlistener_disable(listener_.get());
   while (true) {
-    const int socket = ::accept4(listener(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    const int socket = ::accept4(listener_descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (socket < 0) break;
     OnAccepted(listener_.get(), socket, nullptr, 0, this);
   }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -26,7 +26,7 @@
   // Answers the exchange now or later.
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
-  struct HttpServerLimits {
+  struct Limits {
     std::size_t max_body_bytes = 64 * 1024;  // of one request
     std::size_t max_connections = 64;        // at once
     std::size_t max_head_bytes = 16 * 1024;  // of one request
@@ -49,12 +49,12 @@
 
   // `inherited`: a listening socket of another process, used if it listens at that address. Throws
   // ListenError.
-  HttpServer(EventLoop& loop, const Address& address, HttpServerLimits limits, Handler handler,
+  HttpServer(EventLoop& loop, const Address& address, Limits limits, Handler handler,
              FileDescriptor inherited = FileDescriptor());
   ~HttpServer();
 
   std::uint16_t port() const { return port_; }
-  std::size_t connections() const { return clients_.size(); }
+  std::size_t connection_count() const { return clients_.size(); }
   // Every response from now on ends its connection, and idle connections are closed;
   // `include_unused`: also those that have sent nothing.
   void CloseBetweenRequests(bool include_unused = false);
@@ -64,13 +64,13 @@
   void StopListening();
   std::function<void()> on_closed;  // after each connection; may be empty
   // Descriptor of the listener, -1 without one; stays the server's.
-  int listener() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
+  int listener_descriptor() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
   // No response is owed to a client, or still to be written.
   bool IsSettled() const;
   // The connections that another process can go on with.
   std::vector<ClientToTransfer> ClientsToTransfer() const;
   // ClientsToTransfer() and the listener have been passed on: closes this process's descriptors of them.
-  void ReleaseAll();
+  void ReleaseTransferred();
   // Goes on with a connection of another process.
   void Adopt(TransferredClient client);
 
@@ -88,7 +88,7 @@
   void Close(ServerConnection& client, Ending ending = Ending::kClosed);
 
   EventLoop& loop_;
-  const HttpServerLimits limits_;
+  const Limits limits_;
   Handler handler_;
   EventListenerPtr listener_;
   std::uint16_t port_ = 0;
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -57,7 +57,7 @@
 
 void NotificationClient::Notify(const Message& message) {
   pending_[message.number] = encoding_.line(message);
-  if (in_flight_.empty() && !post_timer_.pending()) post_timer_.Schedule(Duration(0));
+  if (in_flight_.empty() && !post_timer_.is_pending()) post_timer_.Schedule(Duration(0));
 }
 
 void NotificationClient::ChangeAddress(const Address& address) {
@@ -116,7 +116,7 @@
 
 void NotificationClient::OnResponse(evhttp_request* request, void* self) {
   auto* client = static_cast<NotificationClient*>(self);
-  if (!client->response_timer_.pending()) return;  // the batch was given up
+  if (!client->response_timer_.is_pending()) return;  // the batch was given up
   client->OnStatus(request == nullptr ? 0 : evhttp_request_get_response_code(request));
 }
 
--- a/src/net/notification_client.h
+++ b/src/net/notification_client.h
@@ -43,7 +43,7 @@
   // Drops the notification of a message, if it is pending.
   void Forget(std::uint64_t number) { pending_.erase(number); }
   // Everything was acknowledged.
-  bool idle() const { return pending_.empty(); }
+  bool is_idle() const { return pending_.empty(); }
   // What was not acknowledged yet goes to another address.
   void ChangeAddress(const Address& address);
   // Drops what is pending: another process sends it.
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -60,7 +60,7 @@
 
 // Consumes what the parser takes at once. None: read on.
 std::optional<ResponseReader::State> ResponseReader::ReadStep(evbuffer* input) {
-  if (!response_timer_.pending()) response_timer_.Schedule(kResponseTimeout);
+  if (!response_timer_.is_pending()) response_timer_.Schedule(kResponseTimeout);
   if (!parser_) {
     if (evbuffer_get_length(input) < kStatusPrefixBytes) {
       return MayBecomeStatusLine(input) ? State::kIncomplete : State::kInvalid;
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -128,7 +128,7 @@
 
 std::shared_ptr<Exchange> ServerConnection::open_exchange() const {
   auto exchange = exchange_.lock();
-  return exchange && !exchange->client_gone() ? exchange : nullptr;
+  return exchange && !exchange->is_closed() ? exchange : nullptr;
 }
 
 bool ServerConnection::HasUnreadBytes() const {
--- a/src/pipeline/attempt_sender.cpp
+++ b/src/pipeline/attempt_sender.cpp
@@ -40,7 +40,7 @@
   CallRequest call{message.number, &message.request, endpoint, timeout};
   const ClassSettings& settings = classes_.at(static_cast<std::size_t>(message.request.message_class));
   if (message.first_uncertain_attempt && settings.idempotency == Idempotency::kIdempotentWithKey) {
-    call.write_within = *message.first_uncertain_attempt + settings.deduplication_window - clock_.Now();
+    call.write_timeout = *message.first_uncertain_attempt + settings.deduplication_window - clock_.Now();
   }
   endpoint_client_.StartCall(call);
 }
@@ -68,7 +68,7 @@
 
 void AttemptSender::ReportNotSent(std::uint64_t number) {
   CallResult result;
-  result.number = number;
+  result.message_number = number;
   result.outcome = Outcome::kNotSent;
   on_not_sent_(result);
 }
--- a/src/pipeline/completion_handler.cpp
+++ b/src/pipeline/completion_handler.cpp
@@ -33,7 +33,7 @@
   const bool is_due = message.dead_letter_pending && message.final_status != FinalStatus::kPending &&
                       message.client_answered && !message.is_in_flight;
   // Without a store the message waits in the journal until dead letters are switched on again.
-  if (is_due && dead_letters_ != nullptr) dead_letters_->TakeOver(message);
+  if (is_due && dead_letters_ != nullptr) dead_letters_->Store(message);
   messages_.RemoveIfFinished(message);
 }
 
--- a/src/pipeline/message_pipeline.cpp
+++ b/src/pipeline/message_pipeline.cpp
@@ -14,9 +14,9 @@
       router(DispatchPolicy(site.policy, seed), messages, attempt_sender, completion_handler, endpoint_client,
              scheduler, clock),
       outcome_handler(messages, journal, router, completion_handler, clock, dead_letters, attempt_history),
-      admission(messages, journal, router, completion_handler, clock, site.policy.max_pending_messages,
+      admission_controller(messages, journal, router, completion_handler, clock, site.policy.max_pending_messages,
                 dead_letters, metrics),
-      validator(site, messages, router, admission, dead_letters),
+      request_validator(site, messages, router, admission_controller, dead_letters),
       messages_(messages),
       dead_letters_(dead_letters) {}
 
@@ -38,23 +38,23 @@
 }
 
 bool MessagePipeline::MayContinueAfterRestart(const Message& message) const {
-  if (message.request.message_class == kNoClass) return false;
+  if (message.request.message_class == kUnknownClass) return false;
   return dead_letters_ == nullptr || dead_letters_->MayContinueAfterRestart(message);
 }
 
 void MessagePipeline::OnJournalProgress() {
   attempt_sender.OnJournalProgress();
   completion_handler.OnJournalProgress();
-  admission.AnswerWaitingClients();
+  admission_controller.AnswerWaitingClients();
 }
 
 void MessagePipeline::RunPolicy() {
   router.RunPolicy();
-  admission.AnswerWaitingClients();
+  admission_controller.AnswerWaitingClients();
 }
 
-bool MessagePipeline::IsSettled() const {
-  return !admission.has_waiting_clients() && !attempt_sender.has_waiting_attempts() &&
+bool MessagePipeline::IsQuiescent() const {
+  return !admission_controller.has_waiting_clients() && !attempt_sender.has_waiting_attempts() &&
          !completion_handler.has_waiting_completions();
 }
 
--- a/src/pipeline/message_pipeline.h
+++ b/src/pipeline/message_pipeline.h
@@ -49,15 +49,15 @@
   // Processes all queued events and carries out the policy's decisions.
   void RunPolicy();
   // Whether nothing waits for durable records.
-  bool IsSettled() const;
+  bool IsQuiescent() const;
 
   AttemptHistory attempt_history;
   CompletionHandler completion_handler;
   AttemptSender attempt_sender;
   Router router;
   OutcomeHandler outcome_handler;
-  AdmissionController admission;
-  RequestValidator validator;
+  AdmissionController admission_controller;
+  RequestValidator request_validator;
 
  private:
   bool MayContinueAfterRestart(const Message& message) const;
--- a/src/pipeline/outcome_handler.cpp
+++ b/src/pipeline/outcome_handler.cpp
@@ -5,7 +5,7 @@
 namespace sagetally {
 
 void OutcomeHandler::OnCallResult(const CallResult& result) {
-  Message* message = messages_.Find(result.number);
+  Message* message = messages_.Find(result.message_number);
   if (message == nullptr || !message->is_in_flight) return;
   UpdateMessage(*message, result);
   if (dead_letters_ != nullptr) dead_letters_->OnCallCompleted(*message, result);
@@ -13,7 +13,7 @@
 
   AttemptCompleted event = ToPolicyEvent(*message, result);
   const bool had_ended = message->final_status != FinalStatus::kPending;
-  const bool ends_now = !had_ended && (result.outcome == Outcome::kOk || result.completed);
+  const bool ends_now = !had_ended && (result.outcome == Outcome::kOk || result.message_expired);
   event.message_ended = had_ended || ends_now;
   if (!event.message_ended) journal_.AppendOutcome(*message, result.outcome);
   router_.QueueEvent(std::move(event));
--- a/src/service_registry/eureka_client.cpp
+++ b/src/service_registry/eureka_client.cpp
@@ -35,7 +35,7 @@
 EurekaClient::~EurekaClient() = default;
 
 void EurekaClient::SendRequest(evhttp_cmd_type method, const std::string& path, const std::string& body,
-                               HttpClient::Done done) {
+                               HttpClient::ResultCallback done) {
   std::vector<std::pair<std::string, std::string>> headers = {{"Accept", "application/json"}};
   if (!body.empty()) headers.emplace_back("Content-Type", "application/json");
   http_client_.Send(settings_.registry, method, settings_.path + path, headers, body, kRequestTimeout,
@@ -51,7 +51,7 @@
 }
 
 void EurekaClient::Register() {
-  const std::chrono::seconds renewal = std::chrono::ceil<std::chrono::seconds>(settings_.renew);
+  const std::chrono::seconds renewal = std::chrono::ceil<std::chrono::seconds>(settings_.renew_interval);
   const std::string body = FormatRegistration(own_, {renewal, kLeaseRenewals * renewal});
   SendRequest(EVHTTP_REQ_POST, "/apps/" + own_.app, body,
               [this](const HttpResult& result) { OnRegistered(result.status_code); });
@@ -63,7 +63,7 @@
   if (HasAnswered(status_code) && !is_registered_) {
     log_.Warn("eureka.not_registered", {{"answer", status_code}});
   }
-  renew_timer_.Schedule(settings_.renew);
+  renew_timer_.Schedule(settings_.renew_interval);
 }
 
 void EurekaClient::Renew() {
@@ -83,7 +83,7 @@
     Renew();
     return;
   }
-  renew_timer_.Schedule(settings_.renew);
+  renew_timer_.Schedule(settings_.renew_interval);
 }
 
 void EurekaClient::Fetch() {
@@ -94,7 +94,7 @@
 
 void EurekaClient::OnFetched(const HttpResult& result, bool is_delta) {
   SetReachable(HasAnswered(result.status_code));
-  fetch_timer_.Schedule(settings_.fetch);
+  fetch_timer_.Schedule(settings_.fetch_interval);
   if (result.status_code != kOk) {
     // Deltas may be switched off; the next fetch is a full one.
     if (HasAnswered(result.status_code)) has_full_list_ = false;
@@ -126,7 +126,7 @@
   changed_(applications_);
 }
 
-void EurekaClient::Cancel(std::function<void()> done) {
+void EurekaClient::Deregister(std::function<void()> done) {
   is_cancelled_ = true;
   renew_timer_.Stop();
   fetch_timer_.Stop();
--- a/src/service_registry/eureka_client.h
+++ b/src/service_registry/eureka_client.h
@@ -28,12 +28,12 @@
 
   // Removes this process from the registry and stops fetching. Calls `done` once the registry has answered or
   // can't be reached.
-  void Cancel(std::function<void()> done);
+  void Deregister(std::function<void()> done);
   const Applications& applications() const { return applications_; }
 
  private:
   void SendRequest(evhttp_cmd_type method, const std::string& path, const std::string& body,
-                   HttpClient::Done done);
+                   HttpClient::ResultCallback done);
   std::string OwnPath() const;
   // Logs when the registry becomes unreachable or reachable.
   void SetReachable(bool is_reachable);
--- a/src/service_registry/eureka_format.h
+++ b/src/service_registry/eureka_format.h
@@ -22,7 +22,7 @@
   std::uint16_t port = 0;   // 0: none
   Metadata metadata = {};
 
-  bool up() const { return status == "UP"; }
+  bool is_up() const { return status == "UP"; }
   bool operator==(const Instance&) const = default;
 };
 
--- a/src/service_registry/planner_selection.cpp
+++ b/src/service_registry/planner_selection.cpp
@@ -66,7 +66,7 @@
   const Instance* selected = nullptr;
   std::uint64_t highest_weight = 0;
   for (const auto& [id, planner] : planners) {
-    if (!planner.up() || !HasUsableAddress(planner)) continue;
+    if (!planner.is_up() || !HasUsableAddress(planner)) continue;
     const std::uint64_t weight = Hash(id + "#" + std::to_string(destination));
     if (selected != nullptr && weight <= highest_weight) continue;
     selected = &planner;
@@ -97,7 +97,7 @@
     update.record.rate = ReadRate(partner);
     update.record.kind = ReadNumberOf(partner, kKindKey, site.kinds);
     update.record.zone = ReadNumberOf(partner, kZoneKey, site.zones);
-    update.record.state = partner.up() ? EndpointRecord::State::kUp : EndpointRecord::State::kDraining;
+    update.record.state = partner.is_up() ? EndpointRecord::State::kUp : EndpointRecord::State::kDraining;
     list.endpoints.push_back(std::move(update));
   }
   return list;
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -13,12 +13,12 @@
   // Sends one request line and returns the whole response.
   std::string SendAdminLine(const std::string& line) {
     RawClient client(loop, dispatcher->admin_port(), line);
-    Until(loop, [&] { return client.closed; });
-    return client.got;
+    RunUntil(loop, [&] { return client.closed; });
+    return client.received;
   }
   int HealthStatus() {
-    sagetally::Ask request(loop, dispatcher->port(), "/healthz", {}, "", EVHTTP_REQ_GET);
-    return Code(request);
+    sagetally::ClientRequest request(loop, dispatcher->port(), "/healthz", {}, "", EVHTTP_REQ_GET);
+    return AwaitStatus(request);
   }
   std::uint64_t Metric(const std::string& name) {
     const std::string metrics = SendAdminLine("METRICS\n");
@@ -53,7 +53,7 @@
   std::size_t open = 0;
   for (const auto& client : crowd) open += client->closed ? 0 : 1;
   assert(open <=
-         ShareDescriptors(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false).admin);
+         DivideDescriptors(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false).admin_connections);
   for (const char* noise : {"status\n", "\n", "STATUS\nSTATUS\n", "\xff\xff\n", "PAUSE \n"}) {
     assert(w.SendAdminLine(noise).starts_with("error "));
   }
@@ -61,63 +61,63 @@
   assert(w.HealthStatus() == 200);  // none of these was a pause
   // A line in pieces, and a client that leaves before its response.
   RawClient pieces(w.loop, w.dispatcher->admin_port(), "STA");
-  Until(w.loop, [&] { return crowd.back()->closed || true; });
+  RunUntil(w.loop, [&] { return crowd.back()->closed || true; });
   pieces.Write("TUS\r");
   assert(w.SendAdminLine("STATUS\n") == "done ready\n");
   pieces.Write("\n");
-  Until(w.loop, [&] { return pieces.closed; });
-  assert(pieces.got == "done ready\n");
+  RunUntil(w.loop, [&] { return pieces.closed; });
+  assert(pieces.received == "done ready\n");
   { const RawClient leaves(w.loop, w.dispatcher->admin_port(), "METRICS\n"); }
   assert(w.SendAdminLine("STATUS\n") == "done ready\n");
 }
 
 void PausedDispatcherDrainsAndResumes() {
   AdminWorld w;
-  w.endpoints[0]->otherwise = 0;
+  w.endpoints[0]->default_status = 0;
   w.Start();
   RawClient idle(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
   RawClient half(w.loop, w.dispatcher->port(), RequestHead("half") + "12");
   RawClient asking(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
-  Until(w.loop, [&] { return !idle.got.empty() && !asking.got.empty(); });
-  assert(w.Code(w.Post("aviso", "before")) == 202);
-  Until(w.loop, [&] { return w.Calls() == 1; });
+  RunUntil(w.loop, [&] { return !idle.received.empty() && !asking.received.empty(); });
+  assert(w.AwaitStatus(w.Post("aviso", "before")) == 202);
+  RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
   const auto paused_at = std::chrono::steady_clock::now();
   const auto time_since_pause = [&] { return std::chrono::steady_clock::now() - paused_at; };
   assert(w.SendAdminLine("PAUSE\n") == "done draining\n");
   assert(w.HealthStatus() == 503 && w.SendAdminLine("STATUS\n") == "error draining\n");
   // A request on an open connection is still accepted, and its response is the last one on that connection.
-  asking.got.clear();
+  asking.received.clear();
   asking.Write(RequestHead("open") + "1234");
-  Until(w.loop, [&] { return asking.closed; });
-  assert(asking.got.find(" 202 ") != std::string::npos &&
-         asking.got.find("Connection: close") != std::string::npos);
+  RunUntil(w.loop, [&] { return asking.closed; });
+  assert(asking.received.find(" 202 ") != std::string::npos &&
+         asking.received.find("Connection: close") != std::string::npos);
   assert(w.SendAdminLine("PAUSE\n") == "done draining\n");
-  Until(w.loop, [&] { return idle.closed; });
+  RunUntil(w.loop, [&] { return idle.closed; });
   assert(time_since_pause() >= Readiness::kIdleCloseDelay && !half.closed);
   half.Write("34");
-  Until(w.loop, [&] { return half.closed; });
-  assert(half.got.find(" 202 ") != std::string::npos);
+  RunUntil(w.loop, [&] { return half.closed; });
+  assert(half.received.find(" 202 ") != std::string::npos);
   // A client that ignores all this is rejected in the end, with a Retry-After.
-  Until(w.loop, [&] { return time_since_pause() > Readiness::kAcceptDuration + 200ms; });
-  Ask& late = w.Post("aviso", "late");
-  assert(w.Code(late) == 503 && HeaderOf(late.headers, "Retry-After") == "1.000");
+  RunUntil(w.loop, [&] { return time_since_pause() > Readiness::kAcceptDuration + 200ms; });
+  ClientRequest& late = w.Post("aviso", "late");
+  assert(w.AwaitStatus(late) == 503 && HeaderValue(late.headers, "Retry-After") == "1.000");
   // Pending messages are delivered: the drain rejected none of them.
   assert(w.Metric("in_progress") == 3 && w.Metric("dropped.aviso") == 1);
   w.endpoints[0]->Release();
-  Until(w.loop, [&] { return w.CallsOf("open") == 1 && w.CallsOf("half") == 1; });
-  Until(w.loop, [&] { return w.SendAdminLine("STATUS\n") == "error drained\n"; });
+  RunUntil(w.loop, [&] { return w.CountCallsOf("open") == 1 && w.CountCallsOf("half") == 1; });
+  RunUntil(w.loop, [&] { return w.SendAdminLine("STATUS\n") == "error drained\n"; });
   assert(w.Metric("passed.aviso") == 3 && w.Metric("upstream_tries") == 3);
   assert(w.SendAdminLine("RESUME\n") == "done ready\n" && w.HealthStatus() == 200 &&
          w.SendAdminLine("RESUME\n") == "done ready\n");
-  assert(w.Code(w.Post("aviso", "after")) == 202);
+  assert(w.AwaitStatus(w.Post("aviso", "after")) == 202);
   RawClient keep_alive(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
-  Until(w.loop, [&] { return !keep_alive.got.empty(); });
-  assert(keep_alive.got.find("Connection: close") == std::string::npos);
+  RunUntil(w.loop, [&] { return !keep_alive.received.empty(); });
+  assert(keep_alive.received.find("Connection: close") == std::string::npos);
   // A drain that is resumed before its idle connections are closed closes none.
   w.SendAdminLine("PAUSE\n");
   w.SendAdminLine("RESUME\n");
   const auto resumed = std::chrono::steady_clock::now();
-  Until(w.loop,
+  RunUntil(w.loop,
         [&] { return std::chrono::steady_clock::now() - resumed > Readiness::kIdleCloseDelay + 200ms; });
   assert(!keep_alive.closed);
 }
@@ -125,10 +125,10 @@
 // A pause is not stored: the next process serves. A paused process shuts down cleanly.
 void PauseDoesNotOutliveTheProcess() {
   AdminWorld w;
-  w.endpoints[0]->otherwise = 0;
+  w.endpoints[0]->default_status = 0;
   w.Start();
-  assert(w.Code(w.Post("aviso", "held")) == 202);
-  Until(w.loop, [&] { return w.Calls() == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "held")) == 202);
+  RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
   w.SendAdminLine("PAUSE\n");
   w.Kill();
   w.Start();
@@ -142,27 +142,27 @@
 
 void MetricsCountEveryFinalStatus() {
   AdminWorld w;
-  w.most_held = 4;
+  w.max_pending_messages = 4;
   w.endpoints[0]->script = {200, 500, 200, -1};
-  w.endpoints[0]->otherwise = 200;
+  w.endpoints[0]->default_status = 200;
   w.Start();
   assert(w.Metric("known_endpoints") == 1 && w.Metric("skipped_endpoints") == 0);
-  assert(w.Code(w.Post("aviso", "a")) == 202);
-  Until(w.loop, [&] { return w.Metric("passed.aviso") == 1; });
-  assert(w.Code(w.Post("aviso", "b")) == 202);  // 500 first, then delivered
-  Until(w.loop, [&] { return w.Metric("passed.aviso") == 2; });
-  assert(w.Code(w.Post("pagamento", "c")) == 202);  // the connection breaks: it may have run
-  Until(w.loop, [&] { return w.Metric("bad_gateway.pagamento") == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "a")) == 202);
+  RunUntil(w.loop, [&] { return w.Metric("passed.aviso") == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "b")) == 202);  // 500 first, then delivered
+  RunUntil(w.loop, [&] { return w.Metric("passed.aviso") == 2; });
+  assert(w.AwaitStatus(w.Post("pagamento", "c")) == 202);  // the connection breaks: it may have run
+  RunUntil(w.loop, [&] { return w.Metric("bad_gateway.pagamento") == 1; });
   assert(w.Metric("upstream_tries") == 4 && w.Metric("in_progress") == 0);
-  w.endpoints[0]->otherwise = 0;
+  w.endpoints[0]->default_status = 0;
   int rejected = 0;
-  for (int i = 0; i < 8; ++i) rejected += w.Code(w.Post("pedido", "p" + std::to_string(i))) == 429 ? 1 : 0;
+  for (int i = 0; i < 8; ++i) rejected += w.AwaitStatus(w.Post("pedido", "p" + std::to_string(i))) == 429 ? 1 : 0;
   assert(rejected > 0 && w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
   assert(w.Metric("in_progress") + w.Metric("dropped.pedido") == 8);
   const std::uint64_t written = w.Metric("upstream_tries");
-  assert(written == w.Calls());
+  assert(written == w.CountCalls());
   w.Post("nothing", "x");  // malformed: counts for no class
-  assert(w.Code(*w.asks.back()) == 400 && w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
+  assert(w.AwaitStatus(*w.client_requests.back()) == 400 && w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
 }
 
 }  // namespace
--- a/tests/admin/golden_test.cpp
+++ b/tests/admin/golden_test.cpp
@@ -62,7 +62,7 @@
     RecordCompletions(metrics, i, FinalStatus::kFailed, 2, 21 + i);
     metrics.RecordRejection(i);
   }
-  RecordCompletions(metrics, kNoClass, FinalStatus::kDelivered, 1, 1);  // counts nowhere
+  RecordCompletions(metrics, kUnknownClass, FinalStatus::kDelivered, 1, 1);  // counts nowhere
   for (int i = 0; i < 1234; ++i) metrics.RecordCallWritten();
   ExpectSameBytes(metrics.FormatStatsd(kGauges), ReadGolden("metrics.txt"));
 }
--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -33,7 +33,7 @@
       case 4:
         return Draw(3) == 0 ? Restart() : SubmitNew(1);
       case 5:
-        return node_->Pass(std::chrono::milliseconds(1 << Draw(13)));  // up to beyond every deadline
+        return node_->AdvanceTime(std::chrono::milliseconds(1 << Draw(13)));  // up to beyond every deadline
       case 6:
         return AcknowledgeNotification();
       case 7:
@@ -45,7 +45,7 @@
   }
 
   void Check() {
-    const std::string text = node_->figures.FormatStatsd({});
+    const std::string text = node_->metrics.FormatStatsd({});
     const auto counter = [&](const std::string& name, int message_class) {
       const std::string prefix = "balancer." + name + "." + names_[message_class] + ":";
       return std::stoull(text.substr(text.find(prefix) + prefix.size()));
@@ -60,7 +60,7 @@
     }
     std::size_t pending = 0;
     for (const auto& [id, state] : messages_) pending += state.accepted && !state.completed ? 1 : 0;
-    assert(node_->ledger.pending_count() == static_cast<int>(pending));
+    assert(node_->messages.pending_count() == static_cast<int>(pending));
   }
 
   int completions = 0;
@@ -81,10 +81,10 @@
     disk_.Restart();
     expected_ = ExpectedCounts();
     ++restarts;
-    node_ = std::make_unique<Whole>(disk_, clock_, config_, SmallJournal(),
+    node_ = std::make_unique<PipelineNode>(disk_, clock_, config_, SmallJournal(),
                                     [this](const Message& message) { OnNotified(message); });
-    node_->chain.admission.is_accepting = [this] { return !draining_; };
-    node_->Settle();
+    node_->pipeline.admission_controller.is_accepting = [this] { return !draining_; };
+    node_->RunPending();
   }
   void OnNotified(const Message& message) {
     KnownMessage& known = messages_.at(message.request.id);
@@ -94,9 +94,9 @@
     ++(is_rejected ? expected_.rejected : expected_.failed)[known.message_class];
   }
   void AcknowledgeNotification() {
-    if (node_->told.empty()) return;
-    const int last = static_cast<int>(node_->told.size()) - 1;
-    node_->chain.completion_handler.OnNotificationAcknowledged(node_->told[Draw(last)]);
+    if (node_->notified.empty()) return;
+    const int last = static_cast<int>(node_->notified.size()) - 1;
+    node_->pipeline.completion_handler.OnNotificationAcknowledged(node_->notified[Draw(last)]);
   }
 
   Request MakeRequest(const std::string& id, int message_class) {
@@ -117,13 +117,13 @@
       ids.push_back(request.id);
     }
     const bool client_leaves = Draw(6) == 0;
-    node_->chain.validator.Submit(std::move(requests),
+    node_->pipeline.request_validator.Submit(std::move(requests),
                                   [this, ids, client_leaves](const AdmissionResult& result) {
                                     for (const std::string& id : ids)
                                       OnAdmission(messages_.at(id), result, client_leaves);
                                     return !client_leaves;
                                   });
-    node_->Settle();
+    node_->RunPending();
   }
   void OnAdmission(KnownMessage& known, const AdmissionResult& result, bool client_left) {
     if (result.status == AdmissionStatus::kInvalid) return;
@@ -156,7 +156,7 @@
       Request request = MakeRequest(id, known.message_class);
       request.destination = 7;
       const bool was_draining = std::exchange(draining_, false);
-      const Message* earlier = node_->ledger.FindDuplicate(request);
+      const Message* earlier = node_->messages.FindDuplicate(request);
       if (earlier != nullptr && earlier->final_status != FinalStatus::kRejected) Submit({request});
       draining_ = was_draining;
       return;
@@ -175,15 +175,15 @@
       ++completions;
       ++(is_expired ? expected_.failed : expected_.delivered)[known.message_class];
     }
-    node_->Finish(outcome, is_expired);
+    node_->CompleteCall(outcome, is_expired);
   }
 
-  const Config config_ = OneEndpoint();
+  const Config config_ = ConfigWithOneEndpoint();
   const std::vector<std::string> names_ = config_.site.classes;
   FaultInjectingFileSystem disk_;
   TestClock clock_;
   boost::random::mt19937_64 random_;
-  std::unique_ptr<Whole> node_;
+  std::unique_ptr<PipelineNode> node_;
   ExpectedCounts expected_;
   std::map<std::string, KnownMessage> messages_;
   int next_ = 0;
--- a/tests/admin/readiness_test.cpp
+++ b/tests/admin/readiness_test.cpp
@@ -119,7 +119,7 @@
   metrics.RecordCompletion(message);
   metrics.RecordRejection(0);
   metrics.RecordRejection(7);  // no such class
-  message.request.message_class = kNoClass;
+  message.request.message_class = kUnknownClass;
   metrics.RecordCompletion(message);
   metrics.RecordCallWritten();
   assert(metrics.FormatStatsd({3, 5, 2}) ==
--- a/tests/app/clients_test.cpp
+++ b/tests/app/clients_test.cpp
@@ -55,12 +55,12 @@
       "Content-Length: 0\r\n\r\n"};  // a destination that no list has named
   for (const std::string& text : malformed_requests) {
     RawClient bad(w.loop, w.dispatcher->port(), text);
-    Until(w.loop, [&] { return bad.failed(); });
-    assert(bad.got.find(" 202 ") == std::string::npos);
+    RunUntil(w.loop, [&] { return bad.failed(); });
+    assert(bad.received.find(" 202 ") == std::string::npos);
   }
-  assert(w.Code(w.Post("aviso", "good")) == 202);
-  Until(w.loop, [&] { return w.Calls() > 0; });
-  assert(w.Calls() == 1 && w.CallsOf("good") == 1);
+  assert(w.AwaitStatus(w.Post("aviso", "good")) == 202);
+  RunUntil(w.loop, [&] { return w.CountCalls() > 0; });
+  assert(w.CountCalls() == 1 && w.CountCallsOf("good") == 1);
 }
 
 // Guards against clients that never complete a request: their connections are closed within a fixed time.
@@ -72,10 +72,10 @@
   RawClient unused(w.loop, w.dispatcher->port(), "");
   RawClient idle(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
   const auto start = std::chrono::steady_clock::now();
-  Until(w.loop, [&] { return half.failed() && body.failed() && unused.failed(); });
+  RunUntil(w.loop, [&] { return half.failed() && body.failed() && unused.failed(); });
   assert(std::chrono::steady_clock::now() - start < 3s);
-  Until(w.loop, [&] { return idle.closed; });  // an idle connection is closed in the end
-  assert(idle.got.starts_with("HTTP/1.1 200") && std::chrono::steady_clock::now() - start > 2s);
+  RunUntil(w.loop, [&] { return idle.closed; });  // an idle connection is closed in the end
+  assert(idle.received.starts_with("HTTP/1.1 200") && std::chrono::steady_clock::now() - start > 2s);
 }
 
 // Guards the descriptors: unused and idle connections are closed when clients with requests need them.
@@ -88,8 +88,8 @@
     crowd.push_back(std::make_unique<RawClient>(w.loop, w.dispatcher->port(),
                                                 i % 2 == 0 ? "" : "GET /healthz HTTP/1.1\r\n\r\n"));
   }
-  for (int i = 0; i < 20; ++i) assert(w.Code(w.Post("aviso", "a" + std::to_string(i))) == 202);
-  Until(w.loop, [&] { return w.Calls() == 20; });
+  for (int i = 0; i < 20; ++i) assert(w.AwaitStatus(w.Post("aviso", "a" + std::to_string(i))) == 202);
+  RunUntil(w.loop, [&] { return w.CountCalls() == 20; });
   std::size_t open = 0;
   for (const auto& client : crowd) open += client->closed ? 0 : 1;
   assert(open <= 96 / 3);
@@ -111,14 +111,14 @@
   while (written < slow_text.size() || connections < 1200) {
     // A message, and a crowd behind it: as long as fewer connections come between two bytes of the slow one
     // than the table has places, the slow one is not the longest silent.
-    Ask& ask = w.Post("aviso", "m" + std::to_string(messages++));
+    ClientRequest& ask = w.Post("aviso", "m" + std::to_string(messages++));
     for (int i = 0; i < 6; ++i, ++connections) {
       crowd.push_back(std::make_unique<RawClient>(
           w.loop, w.dispatcher->port(),
           connections % 8 == 0 ? "" : Message("half", "Content-Length: 9\r\n\r\nhalf")));
       if (crowd.size() > 400) crowd.pop_front();
     }
-    assert(w.Code(ask) == 202);
+    assert(w.AwaitStatus(ask) == 202);
     RunFor(w.loop, 15ms);
     const std::size_t due = slow_text.size() * (std::chrono::steady_clock::now() - started_at) / 2100ms;
     if (written < std::min(due, slow_text.size())) {
@@ -126,10 +126,10 @@
       written = due;
     }
   }
-  Until(w.loop, [&] { return slow.got.find(" 202 ") != std::string::npos || slow.closed; });
-  assert(slow.got.find(" 202 ") != std::string::npos && w.dispatcher->clients() <= 128 / 3);
-  Until(w.loop,
-        [&] { return w.CallsOf("slow") == 1 && w.Calls() == static_cast<std::size_t>(messages) + 1; });
+  RunUntil(w.loop, [&] { return slow.received.find(" 202 ") != std::string::npos || slow.closed; });
+  assert(slow.received.find(" 202 ") != std::string::npos && w.dispatcher->client_connections() <= 128 / 3);
+  RunUntil(w.loop,
+        [&] { return w.CountCallsOf("slow") == 1 && w.CountCalls() == static_cast<std::size_t>(messages) + 1; });
 }
 
 // Thousands of connections at once, at half of each of the platform's limits: a message on a new connection
@@ -154,19 +154,19 @@
     }
     for (int i = 0; i < 10; ++i) {
       const auto started_at = std::chrono::steady_clock::now();
-      Ask& ask = w.Post("aviso", "m" + std::to_string(i));
+      ClientRequest& ask = w.Post("aviso", "m" + std::to_string(i));
       RawClient operator_client(w.loop, w.dispatcher->admin_port(), "STATUS\n");
-      assert(w.Code(ask) == 202);
-      Until(w.loop, [&] { return operator_client.closed; });
-      assert(operator_client.got == "done ready\n");
+      assert(w.AwaitStatus(ask) == 202);
+      RunUntil(w.loop, [&] { return operator_client.closed; });
+      assert(operator_client.received == "done ready\n");
       // The crowd's own end, and its accepts, come first in this one thread.
       if (i > 0 && kTimesAreMeaningful) assert(std::chrono::steady_clock::now() - started_at < 400ms);
-      assert(w.dispatcher->clients() <= static_cast<std::size_t>(sockets) / 3);
+      assert(w.dispatcher->client_connections() <= static_cast<std::size_t>(sockets) / 3);
     }
-    Until(w.loop, [&] { return w.Calls() == 10; });
+    RunUntil(w.loop, [&] { return w.CountCalls() == 10; });
     // Each of the crowd soon gets an error, or its connection is closed.
     const auto started_at = std::chrono::steady_clock::now();
-    Until(w.loop, [&] { return std::ranges::all_of(crowd, [](const auto& c) { return c->failed(); }); });
+    RunUntil(w.loop, [&] { return std::ranges::all_of(crowd, [](const auto& c) { return c->failed(); }); });
     assert(std::chrono::steady_clock::now() - started_at < 3s);
   }
 }
@@ -178,12 +178,12 @@
   for (int i = 0; i < 200; ++i) all += "GET /healthz HTTP/1.1\r\n\r\n";
   all += Message("m", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n");
   RawClient client(w.loop, w.dispatcher->port(), all);
-  Until(w.loop, [&] { return client.got.ends_with("100 Continue\r\n\r\n"); });
+  RunUntil(w.loop, [&] { return client.received.ends_with("100 Continue\r\n\r\n"); });
   client.Write("2\r\nhi\r\n0\r\n\r\n");
-  Until(w.loop, [&] { return client.got.find(" 202 ") != std::string::npos && w.Calls() == 1; });
+  RunUntil(w.loop, [&] { return client.received.find(" 202 ") != std::string::npos && w.CountCalls() == 1; });
   assert(w.endpoints[0]->calls[0].body == "hi");
   std::size_t answers = 0;
-  for (std::size_t at = 0; (at = client.got.find(" 200 ", at)) != std::string::npos; ++at) ++answers;
+  for (std::size_t at = 0; (at = client.received.find(" 200 ", at)) != std::string::npos; ++at) ++answers;
   assert(answers == 200);
 }
 
--- a/tests/app/cloudevents_test.cpp
+++ b/tests/app/cloudevents_test.cpp
@@ -78,31 +78,31 @@
   World w;
   w.Start();
   const std::string body("\0\1x", 3);
-  assert(w.Code(w.PostEvent(Binary("e1", "pedido"), body)) == 202);
-  Until(w.loop, [&] { return w.Calls() == 1; });
-  const Seen& call = w.endpoints[0]->calls[0];
+  assert(w.AwaitStatus(w.PostEvent(Binary("e1", "pedido"), body)) == 202);
+  RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
+  const ReceivedCall& call = w.endpoints[0]->calls[0];
   assert(call.body == body && call.key == "k-e1" && call.id == IdOf("e1"));
-  assert(HeaderOf(call.headers, "ce-id") == "e1" && HeaderOf(call.headers, "ce-source") == "/shop");
-  assert(HeaderOf(call.headers, "Content-Type") == "text/plain");
+  assert(HeaderValue(call.headers, "ce-id") == "e1" && HeaderValue(call.headers, "ce-source") == "/shop");
+  assert(HeaderValue(call.headers, "Content-Type") == "text/plain");
 }
 
 void DuplicateEventIsDeliveredOnce() {
   World w;
-  w.endpoints[0]->otherwise = 0;
+  w.endpoints[0]->default_status = 0;
   w.Start();
   for (int i = 0; i < 2; ++i)
-    assert(w.Code(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // while it is pending
-  Until(w.loop, [&] { return w.Calls() == 1; });
+    assert(w.AwaitStatus(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // while it is pending
+  RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
   w.endpoints[0]->Release();
-  assert(w.Code(w.PostEvent(Binary("e2", "aviso"), "x")) == 202);
-  Until(w.loop, [&] { return w.CallsOf(IdOf("e2")) == 1; });
-  assert(w.Code(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // after its end
+  assert(w.AwaitStatus(w.PostEvent(Binary("e2", "aviso"), "x")) == 202);
+  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf("e2")) == 1; });
+  assert(w.AwaitStatus(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // after its end
   w.Kill();
   w.Start();
-  assert(w.Code(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // and after a restart
-  assert(w.Code(w.PostEvent(Binary("e3", "aviso"), "x")) == 202);
-  Until(w.loop, [&] { return w.CallsOf(IdOf("e3")) == 1; });
-  assert(w.CallsOf(IdOf("e1")) == 1);
+  assert(w.AwaitStatus(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // and after a restart
+  assert(w.AwaitStatus(w.PostEvent(Binary("e3", "aviso"), "x")) == 202);
+  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf("e3")) == 1; });
+  assert(w.CountCallsOf(IdOf("e1")) == 1);
 }
 
 // Guards against remembered ends that fill the journal: the oldest are forgotten, and new messages are
@@ -114,26 +114,26 @@
   for (int i = 0; i < 60; ++i) {
     Headers headers = Binary("e" + std::to_string(i), "aviso");
     headers.emplace_back("ce-note", std::string(20000, 'n'));
-    assert(w.Code(w.PostEvent(headers, "x")) == 202);
-    Until(w.loop, [&] { return w.Calls() == static_cast<std::size_t>(i) + 1; });
+    assert(w.AwaitStatus(w.PostEvent(headers, "x")) == 202);
+    RunUntil(w.loop, [&] { return w.CountCalls() == static_cast<std::size_t>(i) + 1; });
   }
 }
 
 void RejectedEventIsAcceptedAsNewMessage() {
   World w(1, 1, 3);
-  w.endpoints[0]->otherwise = 0;
+  w.endpoints[0]->default_status = 0;
   w.Start();
   std::string rejected;
   for (int i = 0; rejected.empty(); ++i) {
     const std::string id = "e" + std::to_string(i);
-    if (w.Code(w.PostEvent(Binary(id, "aviso"), "x")) == 429) rejected = id;
+    if (w.AwaitStatus(w.PostEvent(Binary(id, "aviso"), "x")) == 429) rejected = id;
   }
   w.endpoints[0]->Release();
-  Until(w.loop, [&] { return w.Calls() >= 2; });
+  RunUntil(w.loop, [&] { return w.CountCalls() >= 2; });
   int code = 429;
-  while (code == 429) code = w.Code(w.PostEvent(Binary(rejected, "aviso"), "x"));
+  while (code == 429) code = w.AwaitStatus(w.PostEvent(Binary(rejected, "aviso"), "x"));
   assert(code == 202);
-  Until(w.loop, [&] { return w.CallsOf(IdOf(rejected)) == 1; });
+  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf(rejected)) == 1; });
 }
 
 void BatchIsAcceptedWholeOrNotAtAll() {
@@ -143,14 +143,14 @@
   const std::string good = "[" + Event("a", "aviso") + "," + Event("b", "pagamento") + "]";
   for (const std::string& bad : {"[" + Event("x", "aviso") + "," + Event("y", "nosuch") + "]",
                                  std::string("[") + Event("x", "aviso")}) {
-    assert(w.Code(w.PostEvent(type, bad)) == 400);
+    assert(w.AwaitStatus(w.PostEvent(type, bad)) == 400);
   }
   std::string many;
   for (int i = 0; i < 7; ++i) many += (i == 0 ? "" : ",") + Event("x" + std::to_string(i), "aviso");
-  assert(w.Code(w.PostEvent(type, "[" + many + "]")) == 429);
-  assert(w.Code(w.PostEvent(type, good)) == 202);
-  Until(w.loop, [&] { return w.Calls() == 2; });
-  assert(w.CallsOf(IdOf("a")) == 1 && w.CallsOf(IdOf("b")) == 1);
+  assert(w.AwaitStatus(w.PostEvent(type, "[" + many + "]")) == 429);
+  assert(w.AwaitStatus(w.PostEvent(type, good)) == 202);
+  RunUntil(w.loop, [&] { return w.CountCalls() == 2; });
+  assert(w.CountCallsOf(IdOf("a")) == 1 && w.CountCallsOf(IdOf("b")) == 1);
 }
 
 // Events of one batch follow their own classes, and the sink is notified of their ends until it acknowledges
@@ -160,23 +160,23 @@
   std::string received;
   int request_count = 0;
   w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0},
-                                        HttpServer::HttpServerLimits{1 << 20, 200},
+                                        HttpServer::Limits{1 << 20, 200},
                                         [&](const std::shared_ptr<Exchange>& e) {
                                           if (request_count++ == 0) return void(e->Respond(503));
                                           received += e->body();
                                           e->Respond(200);
                                         });
-  w.endpoints[0]->otherwise = 500;
+  w.endpoints[0]->default_status = 500;
   w.Start();
   const std::string batch = "[" + Event("a", "aviso") + "," + Event("p", "pagamento") + "]";
-  assert(w.Code(w.PostEvent({{"Content-Type", kBatchType}}, batch)) == 202);
-  Until(w.loop, [&] { return received.find("sagetally.undeliverable") != std::string::npos; });
+  assert(w.AwaitStatus(w.PostEvent({{"Content-Type", kBatchType}}, batch)) == 202);
+  RunUntil(w.loop, [&] { return received.find("sagetally.undeliverable") != std::string::npos; });
   const auto events = ParseCloudEvents({{"Content-Type", kBatchType}}, received);
   assert(events[0].attributes.at("subject") == "p");
   assert(events[0].data == R"({"source":"/shop","id":"p","status":"undeliverable"})");
   w.endpoints[0]->Release();
-  Until(w.loop, [&] { return w.CallsOf(IdOf("a")) >= 2; });
-  assert(w.CallsOf(IdOf("p")) == 1);
+  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf("a")) >= 2; });
+  assert(w.CountCallsOf(IdOf("p")) == 1);
 }
 
 // The same messages, each sent once through either frontend under the same conditions, have the same
@@ -187,7 +187,7 @@
     World w(1, 4, 40);
     std::string results;
     w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0},
-                                          HttpServer::HttpServerLimits{1 << 20, 200},
+                                          HttpServer::Limits{1 << 20, 200},
                                           [&](const std::shared_ptr<Exchange>& e) {
                                             results += e->body();
                                             e->Respond(200);
@@ -204,17 +204,17 @@
       w.endpoints[0]->script.clear();
       if (variant == 1) w.endpoints[0]->script = {500};
       const std::string named = variant == 3 ? "nosuch" : class_name;
-      Ask& ask = as_event ? w.PostEvent(Binary(id, named), "x") : w.Post(named, id);
-      const int code = w.Code(ask);
+      ClientRequest& ask = as_event ? w.PostEvent(Binary(id, named), "x") : w.Post(named, id);
+      const int code = w.AwaitStatus(ask);
       const std::string at_endpoint = as_event ? IdOf(id) : id;
       const bool fails = variant == 1 && class_name == "pagamento";
       const std::size_t expected = variant == 3 ? 0 : variant == 1 && !fails ? 2 : 1;
       const auto is_notified = [&] {
         return as_event ? results.find("\"id\":\"" + id + "\",\"status\":\"undeliverable\"") != results.npos
-                        : w.agent.Told("\"id\":\"" + id + "\",\"status\":\"undeliverable\"");
+                        : w.agent.HasNotice("\"id\":\"" + id + "\",\"status\":\"undeliverable\"");
       };
-      Until(w.loop, [&] { return w.CallsOf(at_endpoint) >= expected && (!fails || is_notified()); });
-      outcomes[id] = std::to_string(code) + " calls " + std::to_string(w.CallsOf(at_endpoint)) +
+      RunUntil(w.loop, [&] { return w.CountCallsOf(at_endpoint) >= expected && (!fails || is_notified()); });
+      outcomes[id] = std::to_string(code) + " calls " + std::to_string(w.CountCallsOf(at_endpoint)) +
                      (is_notified() ? " undeliverable" : "");
     }
     RunFor(w.loop, 50ms);  // nothing more comes
--- a/tests/app/endpoints_test.cpp
+++ b/tests/app/endpoints_test.cpp
@@ -70,13 +70,13 @@
     RawWorld w;
     w.raw.script = {text, kGood};
     const std::string id = "p" + std::to_string(n++);
-    assert(w.Code(w.Post("pagamento", id)) == 202);
-    Until(w.loop, [&] { return w.raw.closed_connections == 1; });
+    assert(w.AwaitStatus(w.Post("pagamento", id)) == 202);
+    RunUntil(w.loop, [&] { return w.raw.closed_connections == 1; });
     if (!delivered) {
-      Until(w.loop, [&] { return w.agent.Told("\"" + id + "\",\"status\":\"undeliverable\""); });
+      RunUntil(w.loop, [&] { return w.agent.HasNotice("\"" + id + "\",\"status\":\"undeliverable\""); });
     }
-    assert(w.Code(w.Post("aviso", "next")) == 202);
-    Until(w.loop, [&] { return w.CallsOf("next") == 1; });
+    assert(w.AwaitStatus(w.Post("aviso", "next")) == 202);
+    RunUntil(w.loop, [&] { return w.CallsOf("next") == 1; });
     assert(w.CallsOf(id) == 1 && w.raw.calls[0].connection != w.raw.calls[1].connection);
     assert(w.agent.notices.empty() == delivered);
   }
@@ -88,10 +88,10 @@
                               "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n") +
                       "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
                   std::string("HTTP/1.1 103 Early Hints\r\n\r\n") + kGood};
-  assert(w.Code(w.Post("aviso", "a")) == 202);
-  Until(w.loop, [&] { return w.CallsOf("a") == 2; });  // the 500 was received
-  assert(w.Code(w.Post("aviso", "b")) == 202);
-  Until(w.loop, [&] { return w.CallsOf("b") == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "a")) == 202);
+  RunUntil(w.loop, [&] { return w.CallsOf("a") == 2; });  // the 500 was received
+  assert(w.AwaitStatus(w.Post("aviso", "b")) == 202);
+  RunUntil(w.loop, [&] { return w.CallsOf("b") == 1; });
   assert(w.CallsOf("a") == 2 && w.raw.closed_connections == 0);
 }
 
@@ -99,10 +99,10 @@
 void BytesBehindAResponseAreNotTheNextResponse() {
   RawWorld w;
   w.raw.script = {std::string(kGood) + kGood, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", kGood};
-  assert(w.Code(w.Post("aviso", "a")) == 202);
-  Until(w.loop, [&] { return w.raw.closed_connections == 1; });
-  assert(w.Code(w.Post("aviso", "b")) == 202);
-  Until(w.loop, [&] { return w.CallsOf("b") == 2; });  // its own answer was a 500
+  assert(w.AwaitStatus(w.Post("aviso", "a")) == 202);
+  RunUntil(w.loop, [&] { return w.raw.closed_connections == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "b")) == 202);
+  RunUntil(w.loop, [&] { return w.CallsOf("b") == 2; });  // its own answer was a 500
   assert(w.CallsOf("a") == 1);
 }
 
@@ -113,16 +113,16 @@
   RawEndpoint other(w.loop);
   other.script = {kGood};
   w.raw.answers_by_itself = false;
-  assert(w.Code(w.Post("aviso", "a")) == 202);
-  Until(w.loop, [&] { return w.CallsOf("a") == 1 && w.agent.watch != nullptr; });
+  assert(w.AwaitStatus(w.Post("aviso", "a")) == 202);
+  RunUntil(w.loop, [&] { return w.CallsOf("a") == 1 && w.agent.watch != nullptr; });
   w.ports[0] = other.port;
-  w.agent.Say("{\"rev\":42,\"all\":false,\"targets\":[" + w.Entry(0) + "]}");
-  assert(w.Code(w.Post("aviso", "b")) == 202);
-  Until(w.loop, [&] { return other.calls.size() == 1; });
+  w.agent.SendWatchLine("{\"rev\":42,\"all\":false,\"targets\":[" + w.Entry(0) + "]}");
+  assert(w.AwaitStatus(w.Post("aviso", "b")) == 202);
+  RunUntil(w.loop, [&] { return other.calls.size() == 1; });
   w.raw.Answer(0);
-  Until(w.loop, [&] { return w.raw.closed_connections == 1; });
-  assert(w.Code(w.Post("aviso", "c")) == 202);
-  Until(w.loop, [&] { return other.calls.size() == 2; });
+  RunUntil(w.loop, [&] { return w.raw.closed_connections == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "c")) == 202);
+  RunUntil(w.loop, [&] { return other.calls.size() == 2; });
   assert(w.raw.calls.size() == 1);
 }
 
@@ -132,7 +132,7 @@
   std::vector<std::uint64_t> outcomes;
   EndpointPool pool(loop, {1s, 15s, 8, 2}, [&](const CallResult& r) {
     assert(r.outcome == Outcome::kOk);
-    outcomes.push_back(r.number);
+    outcomes.push_back(r.message_number);
   });
   std::vector<std::unique_ptr<RawEndpoint>> all;
   Request request;
@@ -145,11 +145,11 @@
     update.address = At(all.back()->port);
     pool.UpdateEndpoint(update);
     pool.StartCall({i, &request, update.record.endpoint, 5s});
-    Until(loop, [&] { return outcomes.size() == i; });
+    RunUntil(loop, [&] { return outcomes.size() == i; });
   }
   assert(all[0]->closed_connections + all[1]->closed_connections + all[2]->closed_connections == 3);
   for (int i = 1; i <= 5; ++i) pool.RemoveEndpoint("s-" + std::to_string(i));
-  assert(pool.endpoints() == 0);
+  assert(pool.endpoint_count() == 0);
 }
 
 // A pool with one endpoint, without a dispatcher.
@@ -164,7 +164,7 @@
   void Call(std::uint64_t number) { pool.StartCall({number, &request, "s", 5s}); }
   EventLoop loop;
   std::map<std::uint64_t, Outcome> outcomes;
-  EndpointPool pool{loop, {1s, 15s, 8, 8}, [this](const CallResult& r) { outcomes[r.number] = r.outcome; }};
+  EndpointPool pool{loop, {1s, 15s, 8, 8}, [this](const CallResult& r) { outcomes[r.message_number] = r.outcome; }};
   RawEndpoint raw{loop};
   Request request;
 };
@@ -184,9 +184,9 @@
     w.raw.script = {first, second, kGood};
     for (std::uint64_t i = 1; i <= 3; ++i) {
       w.Call(i);
-      Until(w.loop, [&] { return w.outcomes.contains(i); });
+      RunUntil(w.loop, [&] { return w.outcomes.contains(i); });
     }
-    Until(w.loop, [&, n = closed] { return w.raw.closed_connections == n; });
+    RunUntil(w.loop, [&, n = closed] { return w.raw.closed_connections == n; });
     assert((w.raw.calls[0].connection != w.raw.calls[1].connection) == (closed > 0));
     assert((w.raw.calls[1].connection != w.raw.calls[2].connection) == (closed > 1));
   }
@@ -201,13 +201,13 @@
   w.Call(1);
   w.pool.CancelCallIfUnsent(1);  // connecting
   w.pool.CancelCallIfUnsent(7);  // not there
-  Until(w.loop, [&] { return w.outcomes.contains(1); });
+  RunUntil(w.loop, [&] { return w.outcomes.contains(1); });
   assert(w.outcomes[1] == Outcome::kNotSent && w.raw.calls.empty());
   w.Call(2);
-  Until(w.loop, [&] { return w.raw.calls.size() == 1; });
+  RunUntil(w.loop, [&] { return w.raw.calls.size() == 1; });
   w.pool.CancelCallIfUnsent(2);
   w.raw.Answer(0);
-  Until(w.loop, [&] { return w.outcomes.contains(2); });
+  RunUntil(w.loop, [&] { return w.outcomes.contains(2); });
   assert(w.outcomes[2] == Outcome::kOk && w.raw.calls.size() == 1);
 }
 
@@ -215,14 +215,14 @@
 void TruncatedResponseFreesItsSlotSoon() {
   RawWorld w;
   w.raw.script = {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort"};
-  assert(w.Code(w.Post("aviso", "short")) == 202);
-  Until(w.loop, [&] { return w.raw.calls.size() == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "short")) == 202);
+  RunUntil(w.loop, [&] { return w.raw.calls.size() == 1; });
   const auto started_at = std::chrono::steady_clock::now();
-  Until(w.loop, [&] { return w.raw.closed_connections == 1; });
+  RunUntil(w.loop, [&] { return w.raw.closed_connections == 1; });
   assert(std::chrono::steady_clock::now() - started_at < 800ms);  // a malformed one may take a second
   w.raw.script = {kGood};
-  assert(w.Code(w.Post("aviso", "next")) == 202);
-  Until(w.loop, [&] { return w.CallsOf("next") == 1; });
+  assert(w.AwaitStatus(w.Post("aviso", "next")) == 202);
+  RunUntil(w.loop, [&] { return w.CallsOf("next") == 1; });
   assert(w.CallsOf("short") == 1);
 }
 
@@ -233,11 +233,11 @@
   w.endpoints[0]->script = {0};
   w.Start();
   const auto started_at = std::chrono::steady_clock::now();
-  Ask& silent = w.Post("aviso", "silent");
-  Until(w.loop, [&] { return w.CallsOf("silent") == 1; });
+  ClientRequest& silent = w.Post("aviso", "silent");
+  RunUntil(w.loop, [&] { return w.CountCallsOf("silent") == 1; });
   for (int i = 0; i < 20; ++i) w.Post("aviso", "m" + std::to_string(i));
-  Until(w.loop, [&] { return w.CallsOf("silent") == 2 && w.Calls() == 22; });
-  assert(std::chrono::steady_clock::now() - started_at < 800ms && w.Code(silent) == 202);
+  RunUntil(w.loop, [&] { return w.CountCallsOf("silent") == 2 && w.CountCalls() == 22; });
+  assert(std::chrono::steady_clock::now() - started_at < 800ms && w.AwaitStatus(silent) == 202);
 }
 
 }  // namespace
--- a/tests/app/fleet_test.cpp
+++ b/tests/app/fleet_test.cpp
@@ -44,10 +44,10 @@
   World w;
   SmallTable table(w.loop, 4);
   w.ports[0] = table.port;
-  std::vector<std::unique_ptr<Folder>> folders;
+  std::vector<std::unique_ptr<TemporaryFolder>> folders;
   std::vector<std::unique_ptr<Dispatcher>> nodes;
   for (int i = 0; i < kNodes; ++i) {
-    folders.push_back(std::make_unique<Folder>());
+    folders.push_back(std::make_unique<TemporaryFolder>());
     std::string text = w.ConfigText();
     const std::string settings = "\"settings\":{";
     text.replace(text.find(settings), settings.size(), settings + "\"balancers\":100,");
@@ -63,17 +63,17 @@
   for (const char* name : classes) {
     for (auto& node : nodes) {
       const std::string id = std::string(name) + std::to_string(submitted++);
-      w.asks.push_back(std::make_unique<Ask>(w.loop, node->port(), "/" + std::string(name),
+      w.client_requests.push_back(std::make_unique<ClientRequest>(w.loop, node->port(), "/" + std::string(name),
                                              Headers{{"X-Request-Id", id},
                                                      {"X-Class", name},
                                                      {"X-Deadline", "9000m"},
                                                      {"X-Envelope", "dest=7"},
                                                      {"Idempotency-Key", "k-" + id}},
                                              "x"));
-      assert(w.Code(*w.asks.back()) == 202);
+      assert(w.AwaitStatus(*w.client_requests.back()) == 202);
     }
     // If idle connections kept their places for 15 s, eight of the twelve would never have one.
-    Until(w.loop, [&] { return static_cast<int>(table.delivered.size()) == submitted; });
+    RunUntil(w.loop, [&] { return static_cast<int>(table.delivered.size()) == submitted; });
   }
   assert(w.agent.notices.empty());
   for (const auto& [id, times] : table.delivered) assert(times == 1);
--- a/tests/app/http_test_clients.h
+++ b/tests/app/http_test_clients.h
@@ -25,7 +25,7 @@
 }
 
 // Empty if there is no such header.
-inline std::string HeaderOf(const Headers& headers, const std::string& name) {
+inline std::string HeaderValue(const Headers& headers, const std::string& name) {
   for (const auto& [header, value] : headers) {
     if (evutil_ascii_strcasecmp(header.c_str(), name.c_str()) == 0) return value;
   }
@@ -33,9 +33,9 @@
 }
 
 // One request on a connection of its own.
-class Ask {
+class ClientRequest {
  public:
-  Ask(EventLoop& loop, std::uint16_t port, const std::string& path, const Headers& request_headers,
+  ClientRequest(EventLoop& loop, std::uint16_t port, const std::string& path, const Headers& request_headers,
       const std::string& body, evhttp_cmd_type method = EVHTTP_REQ_POST)
       : connection_(evhttp_connection_base_new(loop.base(), nullptr, "127.0.0.1", port)) {
     evhttp_connection_set_retries(connection_.get(), 0);
@@ -49,18 +49,18 @@
     evhttp_make_request(connection_.get(), request, method, path.c_str());
   }
 
-  int code = -1;  // the answer's status; -1: none yet; 0: the connection failed
-  std::string text;
+  int status_code = -1;  // the answer's status; -1: none yet; 0: the connection failed
+  std::string body;
   Headers headers;  // of the answer
 
  private:
   static void OnDone(evhttp_request* request, void* self) {
-    auto* ask = static_cast<Ask*>(self);
-    ask->code = request == nullptr ? 0 : evhttp_request_get_response_code(request);
-    if (request == nullptr || ask->code == 0) return;
+    auto* ask = static_cast<ClientRequest*>(self);
+    ask->status_code = request == nullptr ? 0 : evhttp_request_get_response_code(request);
+    if (request == nullptr || ask->status_code == 0) return;
     evbuffer* input = evhttp_request_get_input_buffer(request);
-    ask->text.assign(evbuffer_get_length(input), '\0');
-    evbuffer_copyout(input, ask->text.data(), ask->text.size());
+    ask->body.assign(evbuffer_get_length(input), '\0');
+    evbuffer_copyout(input, ask->body.data(), ask->body.size());
     const evkeyvalq* input_headers = evhttp_request_get_input_headers(request);
     for (const evkeyval* header = input_headers->tqh_first; header != nullptr;
          header = header->next.tqe_next) {
@@ -86,14 +86,14 @@
   }
   void Write(const std::string& text) { bufferevent_write(connection_.get(), text.data(), text.size()); }
   // Whether an error was answered or the connection was closed.
-  bool failed() const { return closed || (got.starts_with("HTTP/1.1 ") && (got[9] == '4' || got[9] == '5')); }
+  bool failed() const { return closed || (received.starts_with("HTTP/1.1 ") && (received[9] == '4' || received[9] == '5')); }
 
-  std::string got;  // all bytes that came
+  std::string received;  // all bytes that came
   bool closed = false;
 
  private:
   static void OnReadable(bufferevent* connection, void* self) {
-    static_cast<RawClient*>(self)->got += DrainInput(connection);
+    static_cast<RawClient*>(self)->received += DrainInput(connection);
   }
   static void OnEvent(bufferevent*, short events, void* self) {
     if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) static_cast<RawClient*>(self)->closed = true;
--- a/tests/app/loopback.h
+++ b/tests/app/loopback.h
@@ -25,7 +25,7 @@
 
 // Runs the loop until `is_done()`; a minute without it is a failure.
 template <typename Condition>
-void Until(EventLoop& loop, Condition is_done) {
+void RunUntil(EventLoop& loop, Condition is_done) {
   const auto give_up_at = std::chrono::steady_clock::now() + 60s;
   while (!is_done()) {
     assert(std::chrono::steady_clock::now() < give_up_at);
@@ -39,7 +39,7 @@
   bool is_over = false;
   Timer timer(loop, [&is_over] { is_over = true; });
   timer.Schedule(duration);
-  Until(loop, [&is_over] { return is_over; });
+  RunUntil(loop, [&is_over] { return is_over; });
 }
 
 // A listener on a free port of loopback, which is stored in `port`.
@@ -58,16 +58,16 @@
 }
 
 // A folder of its own, removed with all that is in it.
-class Folder {
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     char name[] = "/tmp/sagetally-node-XXXXXX";
     assert(mkdtemp(name) != nullptr);
     path = name;
   }
-  ~Folder() { std::filesystem::remove_all(path); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   std::string path;
 };
 
--- a/tests/app/node.h
+++ b/tests/app/node.h
@@ -60,9 +60,9 @@
 }
 
 // Classes of SmallSettings: idempotent, idempotent with key, not idempotent.
-constexpr int kSafeClass = 0;
-constexpr int kKeyedClass = 1;
-constexpr int kUnsafeClass = 2;
+constexpr int kIdempotentClass = 0;
+constexpr int kIdempotentWithKeyClass = 1;
+constexpr int kNotIdempotentClass = 2;
 
 class Node {
  public:
@@ -70,26 +70,26 @@
       : policy_(std::move(settings), seed) {}
 
   // Runs the policy; its actions are in `actions`.
-  void Step(Time now, std::vector<Event> events = {}) {
+  void Process(Time now, std::vector<Event> events = {}) {
     actions.clear();
     policy_.Process(now, events, actions);
     for (const StartAttempt& attempt : All<StartAttempt>()) attempts_[attempt.id] += 1;
   }
   // A full snapshot of the endpoint list.
-  void List(Time now, std::vector<EndpointRecord> entries) {
-    Step(now, {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
+  void UpdateEndpointList(Time now, std::vector<EndpointRecord> entries) {
+    Process(now, {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
                                    .endpoints = std::move(entries)}});
   }
-  static MessageAccepted Taken(std::string id, int message_class = kSafeClass, Duration time_left = 20s,
+  static MessageAccepted Accepted(std::string id, int message_class = kIdempotentClass, Duration time_left = 20s,
                                std::string key = "", int destination = 1) {
     return {std::move(id), destination, message_class, time_left, std::move(key)};
   }
-  void Take(Time now, std::string id, int message_class = kSafeClass, Duration time_left = 20s,
+  void Accept(Time now, std::string id, int message_class = kIdempotentClass, Duration time_left = 20s,
             std::string key = "", int destination = 1) {
-    Step(now, {Taken(std::move(id), message_class, time_left, std::move(key), destination)});
+    Process(now, {Accepted(std::move(id), message_class, time_left, std::move(key), destination)});
   }
   // The completion of the last attempt of a message.
-  AttemptCompleted Ended(const std::string& id, Outcome outcome, Duration latency = 100ms,
+  AttemptCompleted Completed(const std::string& id, Outcome outcome, Duration latency = 100ms,
                          Duration retry_after = 0ms) const {
     AttemptCompleted event;
     event.id = id;
@@ -100,9 +100,9 @@
     event.retry_after = retry_after;
     return event;
   }
-  void End(Time now, const std::string& id, Outcome outcome, Duration latency = 100ms,
+  void Complete(Time now, const std::string& id, Outcome outcome, Duration latency = 100ms,
            Duration retry_after = 0ms) {
-    Step(now, {Ended(id, outcome, latency, retry_after)});
+    Process(now, {Completed(id, outcome, latency, retry_after)});
   }
 
   // The actions of one type, in order.
--- a/tests/app/parsers_test.cpp
+++ b/tests/app/parsers_test.cpp
@@ -33,7 +33,7 @@
       {"x0=0.4,x1=", 0, 0},      {"x0=0.4,x1=-3", 0, 0},     {"x1=nan", 0, 0},  {"x1=25x", 0, 0},
       {"x1=1e999", 0, 0},        {"\xff\xfe", 0, 0},         {"x1=25,,", 0, 0}, {"cpu=0.5,x1=3", 0, 3}};
   for (const auto& [text, left, limit] : table) {
-    const LoadReport load = ReadLoad(text);
+    const LoadReport load = ParseLoadReport(text);
     assert(load.quota_left == left && load.rate_limit == limit);
   }
 }
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -27,14 +27,14 @@
     deploy.eureka = EurekaSettings{};
     deploy.eureka->registry = {"127.0.0.1", registry->port()};
     deploy.eureka->host = "127.0.0.1";
-    deploy.eureka->renew = deploy.eureka->fetch = 20ms;
+    deploy.eureka->renew_interval = deploy.eureka->fetch_interval = 20ms;
     return deploy;
   }
   void StartPlanner(int i) {
     Config config = ParseWithoutVariables(w.ConfigText());
     config.name = "planner" + std::to_string(i);
     config.cached_endpoint_list.endpoints.clear();
-    folders.push_back(std::make_unique<Folder>());
+    folders.push_back(std::make_unique<TemporaryFolder>());
     config.state_folder = folders.back()->path;
     this->planners.push_back(std::make_unique<Dispatcher>(w.loop, w.log, config, Deploy(Role::kPlanner)));
     this->planners.back()->Start();
@@ -42,10 +42,10 @@
   void StartForwarder(std::size_t planners_up) {
     forwarder = std::make_unique<Forwarder>(w.loop, w.log, config, Deploy(Role::kForwarder));
     forwarder->Start();
-    Until(w.loop, [&] { return forwarder->planners_up() == planners_up; });
+    RunUntil(w.loop, [&] { return forwarder->planners_up() == planners_up; });
   }
-  Ask& Plain(const std::string& id, int destination) {
-    asks.push_back(std::make_unique<Ask>(w.loop, forwarder->port(), "/aviso",
+  ClientRequest& Plain(const std::string& id, int destination) {
+    asks.push_back(std::make_unique<ClientRequest>(w.loop, forwarder->port(), "/aviso",
                                          Headers{{"X-Request-Id", id},
                                                  {"X-Class", "aviso"},
                                                  {"X-Deadline", "9000m"},
@@ -53,18 +53,18 @@
                                          "x"));
     return *asks.back();
   }
-  Ask& Events(const Headers& headers, const std::string& body) {
-    asks.push_back(std::make_unique<Ask>(w.loop, forwarder->events_port(), "/", headers, body));
+  ClientRequest& Events(const Headers& headers, const std::string& body) {
+    asks.push_back(std::make_unique<ClientRequest>(w.loop, forwarder->cloudevents_port(), "/", headers, body));
     return *asks.back();
   }
 
   World w;
   const Config config = ParseWithoutVariables(w.ConfigText());
   std::unique_ptr<loadtest::Registry> registry;
-  std::vector<std::unique_ptr<Folder>> folders;
+  std::vector<std::unique_ptr<TemporaryFolder>> folders;
   std::vector<std::unique_ptr<Dispatcher>> planners;
   std::unique_ptr<Forwarder> forwarder;
-  std::vector<std::unique_ptr<Ask>> asks;
+  std::vector<std::unique_ptr<ClientRequest>> asks;
 };
 
 std::string Member(const std::string& id, int destination) {
@@ -135,64 +135,64 @@
 
 void ForwarderAndPlannersDeliverToPartners() {
   ForwarderAndPlanners nodes(2);
-  for (int d = 0; d < 10; ++d) assert(nodes.w.Code(nodes.Plain("p" + std::to_string(d), d)) == 202);
-  assert(nodes.w.Code(nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) ==
+  for (int d = 0; d < 10; ++d) assert(nodes.w.AwaitStatus(nodes.Plain("p" + std::to_string(d), d)) == 202);
+  assert(nodes.w.AwaitStatus(nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) ==
          202);
-  assert(nodes.w.Code(nodes.Events(kBatch, "[" + Member("b1", 3) + "," + Member("b2", 3) + "]")) == 202);
-  Until(nodes.w.loop, [&] { return nodes.w.Calls() == 13; });
-  assert(nodes.w.CallsOf("/s|e") == 1 && nodes.w.CallsOf("/sagetally/plain|p0") == 1);
+  assert(nodes.w.AwaitStatus(nodes.Events(kBatch, "[" + Member("b1", 3) + "," + Member("b2", 3) + "]")) == 202);
+  RunUntil(nodes.w.loop, [&] { return nodes.w.CountCalls() == 13; });
+  assert(nodes.w.CountCallsOf("/s|e") == 1 && nodes.w.CountCallsOf("/sagetally/plain|p0") == 1);
   // A duplicate: its planner knows it, and makes no second call.
-  assert(nodes.w.Code(nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) ==
+  assert(nodes.w.AwaitStatus(nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) ==
          202);
   std::string all;
   for (int d = 0; d < 10; ++d) all += (d == 0 ? "" : ",") + Member("x" + std::to_string(d), d);
-  assert(nodes.w.Code(nodes.Events(kBatch, "[" + all + "]")) ==
+  assert(nodes.w.AwaitStatus(nodes.Events(kBatch, "[" + all + "]")) ==
          400);  // it can't be accepted whole by several planners
-  assert(nodes.w.Code(nodes.Events(kBatch, "[" + Member("x", 1) + ",{}]")) == 400);
+  assert(nodes.w.AwaitStatus(nodes.Events(kBatch, "[" + Member("x", 1) + ",{}]")) == 400);
   RunFor(nodes.w.loop, 30ms);
-  assert(nodes.w.Calls() == 13);
+  assert(nodes.w.CountCalls() == 13);
 }
 
 void PlannerShutdownMovesItsDestinationsAndRegistryLossIsSurvived() {
   ForwarderAndPlanners nodes(2);
   nodes.registry->forgetful = true;  // an unknown renewal: the planner registers again
   const auto posts = [&] {
-    return std::count_if(nodes.registry->asked.begin(), nodes.registry->asked.end(),
+    return std::count_if(nodes.registry->requests.begin(), nodes.registry->requests.end(),
                          [](const std::string& a) { return a.starts_with("POST"); });
   };
-  Until(nodes.w.loop, [&] { return posts() == 3; });
+  RunUntil(nodes.w.loop, [&] { return posts() == 3; });
   nodes.planners[0]->Shutdown();
-  Until(nodes.w.loop, [&] { return nodes.forwarder->planners_up() == 1; });
-  for (int d = 0; d < 10; ++d) assert(nodes.w.Code(nodes.Plain("p" + std::to_string(d), d)) == 202);
+  RunUntil(nodes.w.loop, [&] { return nodes.forwarder->planners_up() == 1; });
+  for (int d = 0; d < 10; ++d) assert(nodes.w.AwaitStatus(nodes.Plain("p" + std::to_string(d), d)) == 202);
   nodes.registry.reset();
   RunFor(nodes.w.loop, 60ms);
-  assert(nodes.forwarder->planners_up() == 1 && nodes.w.Code(nodes.Plain("late", 4)) == 202);
-  Until(nodes.w.loop, [&] { return nodes.w.Calls() == 11; });
+  assert(nodes.forwarder->planners_up() == 1 && nodes.w.AwaitStatus(nodes.Plain("late", 4)) == 202);
+  RunUntil(nodes.w.loop, [&] { return nodes.w.CountCalls() == 11; });
 }
 
 void UnreachablePlannerIsRejectionOnlyIfNothingWasWritten() {
   ForwarderAndPlanners nodes(0);
-  assert(nodes.w.Code(nodes.Plain("a", 1)) == 503);  // no planner is up
+  assert(nodes.w.AwaitStatus(nodes.Plain("a", 1)) == 503);  // no planner is up
   std::vector<std::string> ids;
   std::vector<std::shared_ptr<Exchange>> unanswered;
   auto planner = std::make_unique<HttpServer>(nodes.w.loop, Address{"127.0.0.1", 0},
-                                              HttpServer::HttpServerLimits{1 << 20, 200},
+                                              HttpServer::Limits{1 << 20, 200},
                                               [&](const std::shared_ptr<Exchange>& e) {
                                                 ids.push_back(e->Header("ce-id"));
                                                 unanswered.push_back(e);
                                                 if (ids.size() == 4) e->Respond(202);
                                               });
   nodes.registry->Put("SAGETALLY", "silent", planner->port());
-  Until(nodes.w.loop, [&] { return nodes.forwarder->planners_up() == 1; });
-  assert(nodes.w.Code(nodes.Plain("b", 1)) ==
+  RunUntil(nodes.w.loop, [&] { return nodes.forwarder->planners_up() == 1; });
+  assert(nodes.w.AwaitStatus(nodes.Plain("b", 1)) ==
          504);  // written: the outcome is unknown, and no other planner may be asked
   assert(ids.size() >= 2 && std::set<std::string>(ids.begin(), ids.end()) == std::set<std::string>{"b"});
-  while (ids.size() < 3) nodes.w.Code(nodes.Plain("b", 1));
+  while (ids.size() < 3) nodes.w.AwaitStatus(nodes.Plain("b", 1));
   ids.resize(3);
-  assert(nodes.w.Code(nodes.Plain("b", 1)) == 202);  // answered at last, under the same id
+  assert(nodes.w.AwaitStatus(nodes.Plain("b", 1)) == 202);  // answered at last, under the same id
   planner.reset();
   unanswered.clear();
-  assert(nodes.w.Code(nodes.Plain("c", 1)) == 503);  // refused connection: surely not written
+  assert(nodes.w.AwaitStatus(nodes.Plain("c", 1)) == 503);  // refused connection: surely not written
 }
 
 }  // namespace
--- a/tests/app/sites_test.cpp
+++ b/tests/app/sites_test.cpp
@@ -98,8 +98,8 @@
   w.dispatcher->Start();
   std::size_t sent = 0;
   for (const std::string& class_name : read.site.classes) {
-    assert(w.Code(w.Post(class_name, "of-" + class_name, "x", "2000m")) == 202);
-    Until(w.loop, [&, n = ++sent] { return w.Calls() == n; });
+    assert(w.AwaitStatus(w.Post(class_name, "of-" + class_name, "x", "2000m")) == 202);
+    RunUntil(w.loop, [&, n = ++sent] { return w.CountCalls() == n; });
   }
   assert(w.agent.notices.empty());
 }
--- a/tests/app/stub_endpoint.h
+++ b/tests/app/stub_endpoint.h
@@ -15,7 +15,7 @@
 namespace sagetally {
 
 // One call that an endpoint got.
-struct Seen {
+struct ReceivedCall {
   std::string id;
   std::string key;
   std::string deadline;
@@ -26,24 +26,24 @@
 
 // Answers each call with the next status of `script`, and with `otherwise` once it is empty. 0 leaves the
 // call without an answer, in `held`; -1 breaks its connection.
-class StandInEndpoint {
+class StubEndpoint {
  public:
-  explicit StandInEndpoint(EventLoop& loop)
+  explicit StubEndpoint(EventLoop& loop)
       : listener_(loop, {"127.0.0.1", 0},
                   [this](const std::shared_ptr<loadtest::Call>& call) { OnCall(call); }) {}
   std::uint16_t port() const { return listener_.port(); }
   // Answers the calls without an answer with 200, and all that come.
   void Release() {
     script.clear();
-    otherwise = 200;
-    for (const auto& call : std::exchange(held, {})) call->Answer(200);
+    default_status = 200;
+    for (const auto& call : std::exchange(pending_calls, {})) call->Answer(200);
   }
 
-  std::vector<Seen> calls;
+  std::vector<ReceivedCall> calls;
   std::deque<int> script;
-  int otherwise = 200;
+  int default_status = 200;
   Headers headers;  // with answers other than 200
-  std::vector<std::shared_ptr<loadtest::Call>> held;
+  std::vector<std::shared_ptr<loadtest::Call>> pending_calls;
 
  private:
   void OnCall(const std::shared_ptr<loadtest::Call>& call) {
@@ -53,7 +53,7 @@
                      std::chrono::steady_clock::now()});
     const int status = NextStatus();
     if (status == 0) {
-      held.push_back(call);
+      pending_calls.push_back(call);
     } else if (status == -1) {
       call->Reset();
     } else {
@@ -61,7 +61,7 @@
     }
   }
   int NextStatus() {
-    if (script.empty()) return otherwise;
+    if (script.empty()) return default_status;
     const int status = script.front();
     script.pop_front();
     return status;
--- a/tests/app/world.h
+++ b/tests/app/world.h
@@ -30,10 +30,10 @@
 // The public members may be set before Start.
 struct World {
   explicit World(int endpoint_count = 1, int slots = 8, int most_held = 50)
-      : slots(slots), most_held(most_held) {
+      : max_concurrent_calls(slots), max_pending_messages(most_held) {
     std::signal(SIGPIPE, SIG_IGN);  // as main does
     for (int i = 0; i < endpoint_count; ++i) {
-      endpoints.push_back(std::make_unique<StandInEndpoint>(loop));
+      endpoints.push_back(std::make_unique<StubEndpoint>(loop));
       ports.push_back(endpoints.back()->port());
     }
   }
@@ -42,7 +42,7 @@
   // i.
   std::string Entry(std::size_t i, const std::string& state = "in_service") const {
     return R"({"uid":"s-)" + std::to_string(i) + R"(","endpoint":")" + At(ports[i]) +
-           R"(","az":"z","model":"k","pod_group":)" + std::to_string(7 + (spread ? i : 0)) + R"(,"state":")" +
+           R"(","az":"z","model":"k","pod_group":)" + std::to_string(7 + (one_destination_each ? i : 0)) + R"(,"state":")" +
            state + R"(","capacity_hint":)" + std::to_string(rate) + R"(,"boot_ms":0})";
   }
   // A full snapshot of the endpoint list.
@@ -62,8 +62,8 @@
            R"({"name":"pedido","slo":2500,"deadline":16000,"idempotency":"token",)" + R"("repeatWindow":)" +
            std::to_string(repeat_window_ms) + R"(,"credit":2},)" +
            R"({"name":"pagamento","slo":2500,"deadline":20000,"idempotency":"side_effect","credit":5}],)" +
-           R"("specifics":{"callsOut":)" + std::to_string(slots) + R"(},"caps":{"mostHeld":)" +
-           std::to_string(most_held) +
+           R"("specifics":{"callsOut":)" + std::to_string(max_concurrent_calls) + R"(},"caps":{"mostHeld":)" +
+           std::to_string(max_pending_messages) +
            R"(,"maxAttempts":6,"cancel":true,"connIdle":15000,"connectTimeout":1500},)" +
            R"("rules":{"coldShare":0.3,"fallMultiple":1.5,"tipAfter":1500,"warmWithin":11000}}})";
   }
@@ -71,7 +71,7 @@
     NodeFile deploy;
     deploy.cloudevents = CloudEventsSettings{{"127.0.0.1", 0}, {}, "/results"};
     if (sink) deploy.cloudevents->sink = Address{"127.0.0.1", sink->port()};
-    deploy.dead_letters = kept;
+    deploy.dead_letters = dead_letters;
     deploy.journal = journal;
     auto started = std::make_unique<Dispatcher>(loop, log, ParseWithoutVariables(ConfigText()), deploy);
     started->Start();
@@ -81,7 +81,7 @@
   void Kill() { dispatcher.reset(); }
 
   // A message to destination 7 by the platform's protocol.
-  Ask& Post(const std::string& class_name, const std::string& id, const std::string& body = "x",
+  ClientRequest& Post(const std::string& class_name, const std::string& id, const std::string& body = "x",
             const std::string& deadline = "9000m") {
     const Headers headers = {{"X-Request-Id", id},
                              {"X-Class", class_name},
@@ -90,50 +90,50 @@
                              {"Idempotency-Key", "k-" + id}};
     return PostRaw("/" + class_name, headers, body);
   }
-  Ask& PostRaw(const std::string& path, const Headers& headers, const std::string& body) {
-    asks.push_back(std::make_unique<Ask>(loop, dispatcher->port(), path, headers, body));
-    return *asks.back();
+  ClientRequest& PostRaw(const std::string& path, const Headers& headers, const std::string& body) {
+    client_requests.push_back(std::make_unique<ClientRequest>(loop, dispatcher->port(), path, headers, body));
+    return *client_requests.back();
   }
-  Ask& PostEvent(const Headers& headers, const std::string& body) {
-    asks.push_back(std::make_unique<Ask>(loop, dispatcher->events_port(), "/", headers, body));
-    return *asks.back();
+  ClientRequest& PostEvent(const Headers& headers, const std::string& body) {
+    client_requests.push_back(std::make_unique<ClientRequest>(loop, dispatcher->cloudevents_port(), "/", headers, body));
+    return *client_requests.back();
   }
   // Waits for the answer.
-  int Code(Ask& ask) {
-    Until(loop, [&] { return ask.code >= 0; });
-    return ask.code;
+  int AwaitStatus(ClientRequest& ask) {
+    RunUntil(loop, [&] { return ask.status_code >= 0; });
+    return ask.status_code;
   }
   // How many calls the endpoints have got, and how many of one message.
-  std::size_t Calls() const {
+  std::size_t CountCalls() const {
     std::size_t count = 0;
     for (const auto& endpoint : endpoints) count += endpoint->calls.size();
     return count;
   }
-  std::size_t CallsOf(const std::string& id) const {
+  std::size_t CountCallsOf(const std::string& id) const {
     std::size_t count = 0;
     for (const auto& endpoint : endpoints) {
-      for (const Seen& call : endpoint->calls) count += call.id == id ? 1 : 0;
+      for (const ReceivedCall& call : endpoint->calls) count += call.id == id ? 1 : 0;
     }
     return count;
   }
 
   EventLoop loop;
   Logger log;
-  Folder folder;
-  int slots;      // calls in flight at once
-  int most_held;  // pending messages at once
+  TemporaryFolder folder;
+  int max_concurrent_calls;      // calls in flight at once
+  int max_pending_messages;  // pending messages at once
   int sockets = 256;
   double disk_mb = 3;
   loadtest::Agent agent{loop};
-  std::vector<std::unique_ptr<StandInEndpoint>> endpoints;
+  std::vector<std::unique_ptr<StubEndpoint>> endpoints;
   std::vector<std::uint16_t> ports;
   std::unique_ptr<HttpServer> sink;  // null: there is none
-  std::vector<std::unique_ptr<Ask>> asks;
+  std::vector<std::unique_ptr<ClientRequest>> client_requests;
   std::unique_ptr<Dispatcher> dispatcher;
-  std::optional<DeadLetterSettings> kept;
+  std::optional<DeadLetterSettings> dead_letters;
   JournalFileSettings journal;
   bool admin = false;   // operators' requests are served
-  bool spread = false;  // each endpoint is a destination of its own, from 7 on
+  bool one_destination_each = false;  // each endpoint is a destination of its own, from 7 on
   int repeat_window_ms = 10000;
   double rate = 50;  // calls a second that the list gives of the destination
 };
--- a/tests/dead_letter/crash_test.cpp
+++ b/tests/dead_letter/crash_test.cpp
@@ -132,7 +132,7 @@
   const NodeConfig config(environment);
   SimulatedNode node(environment, config);
   assert(node.Submit("pagamento", "first", IngressProtocol::kCloudEvents));
-  node.RunUntil(Outcome::kConnectFailed, [&] { return node.manager.counters().kept > 0; });
+  node.RunUntil(Outcome::kConnectFailed, [&] { return node.manager.counters().stored > 0; });
   node.RunUntil(Outcome::kConnectFailed, [&] { return !node.calls.empty(); });  // a redrive is in flight
   assert(node.messages.pending_count() == 1);
   assert(!node.Submit("pagamento", "second", IngressProtocol::kCloudEvents));
@@ -175,7 +175,7 @@
     node->RunFor(seconds(2), Outcome::kReset, true);
   }
   assert(node->manager.store_failing() && node->manager.pending_transfers() * 600 <= kMaxPendingBytes);
-  assert(node->manager.counters().owed_dropped >= 20 && node->journal.disk_bytes() < 4'800'000);
+  assert(node->manager.counters().transfers_given_up >= 20 && node->journal.disk_bytes() < 4'800'000);
   node->jobs.injected_error.reset();
   node->RunFor(seconds(10), Outcome::kReset, true);
   assert(node->manager.pending_transfers() == 0 && !node->manager.store_failing());
@@ -209,7 +209,7 @@
 
 // Its deadline passed while its call was in flight, and the process died before the call ended.
 void AMessageThatEndedWithACallInFlightMayHaveRun() {
-  const Folder folder;
+  const TemporaryFolder folder;
   for (const bool is_restarted : {false, true}) {
     MessageTable messages;
     PosixFileSystem files;
@@ -250,7 +250,7 @@
   const NodeConfig config(environment);
   auto node = std::make_unique<SimulatedNode>(environment, config);
   assert(node->Submit("pagamento", "first"));
-  node->RunUntil(Outcome::kConnectFailed, [&] { return node->manager.counters().kept > 0; });
+  node->RunUntil(Outcome::kConnectFailed, [&] { return node->manager.counters().stored > 0; });
   node->RunUntil(Outcome::kConnectFailed, [&] { return !node->calls.empty(); });  // its redrive is in flight
   node->calls.clear();                                                            // and never answered
   node->jobs.injected_error = kStoreIsFull;
--- a/tests/dead_letter/golden_test.cpp
+++ b/tests/dead_letter/golden_test.cpp
@@ -184,7 +184,7 @@
   message.accepted_at = kStart + seconds(number);
   message.deadline = message.accepted_at + seconds(20);
   message.final_status = status;
-  message.ended_at = message.accepted_at + seconds(10);
+  message.completed_at = message.accepted_at + seconds(10);
   message.failure_reason = reason;
   return message;
 }
@@ -264,7 +264,7 @@
   AddAttempt(message, outcome);
   message.request.message_class = static_cast<int>(id.number % 3);
   message.final_status = status;
-  message.ended_at = kStart + seconds(290);
+  message.completed_at = kStart + seconds(290);
   message.failure_reason =
       status == FinalStatus::kFailed ? FailureReason::kAttemptsExhausted : FailureReason::kNone;
   Database::Entry entry = EntryOf(message, "n0");
--- a/tests/dead_letter/kill_test.cpp
+++ b/tests/dead_letter/kill_test.cpp
@@ -21,7 +21,7 @@
         clients_(
             loop, [this] { return process_->Port(); }, seed) {
     ports.resize(8, partner_.port);
-    spread = true;
+    one_destination_each = true;
     disk_mb = 30;
     sockets = 1024;
     rate = 2000;
@@ -34,7 +34,7 @@
 
   void RunAndKill(int kills) {
     for (int kill = 0; kill < kills; ++kill) {
-      Until(loop, [&] { return process_->Port() != 0; });
+      RunUntil(loop, [&] { return process_->Port() != 0; });
       clients_.Start(3ms);
       RunFor(loop,
              std::chrono::microseconds(boost::random::uniform_int_distribution<int>(0, 300'000)(random_)));
@@ -46,11 +46,11 @@
 
   // Until all dead letters are at rest, and there was no call for a while.
   void RunUntilAtRest() {
-    Until(loop, [&] { return process_->Port() != 0; });
-    partner_.menu = {Partner::Fault::kWell};
+    RunUntil(loop, [&] { return process_->Port() != 0; });
+    partner_.menu = {Partner::Fault::kNone};
     int quiet_rounds = 0;
     std::size_t calls = 0;
-    Until(loop, [&] {
+    RunUntil(loop, [&] {
       RunFor(loop, 200ms);
       const bool is_still = CountRedrivable() == 0 && partner_.calls.size() == calls && partner_.out() == 0;
       calls = partner_.calls.size();
--- a/tests/dead_letter/partner.h
+++ b/tests/dead_letter/partner.h
@@ -28,11 +28,11 @@
       ++calls[call.body];
       return loadtest::Identity{call.body, std::nullopt, KindOf(call.body), ""};
     };
-    partner_.decide = [this](const loadtest::Call&) {
+    partner_.choose_fault = [this](const loadtest::Call&) {
       loadtest::FaultSpan span;
       span.fault = menu[boost::random::uniform_int_distribution<std::size_t>(0, menu.size() - 1)(random_)];
       span.ms =
-          span.fault == Fault::kFull ? 20 : 300;  // timed out by the dispatcher, and run later all the same
+          span.fault == Fault::kTooManyRequests ? 20 : 300;  // timed out by the dispatcher, and run later all the same
       return span;
     };
     partner_.on_delivered = [this](const std::string& name) { ++delivered[name]; };
@@ -45,41 +45,41 @@
 
   // Mostly what a partner answers at once: long silences would be an outage, with one call a second.
   static std::vector<Fault> FaultsOfEveryKind() {
-    std::vector<Fault> faults = {Fault::kFull,  Fault::kFull,  Fault::kRefuse, Fault::kRefuse, Fault::kError,
+    std::vector<Fault> faults = {Fault::kTooManyRequests,  Fault::kTooManyRequests,  Fault::kServiceUnavailable, Fault::kServiceUnavailable, Fault::kError,
                                  Fault::kError, Fault::kError, Fault::kError,  Fault::kError,  Fault::kReset,
-                                 Fault::kReset, Fault::kReset, Fault::kSpoilt, Fault::kLate,   Fault::kSilent,
+                                 Fault::kReset, Fault::kReset, Fault::kMalformedResponse, Fault::kLateExecution,   Fault::kNoResponse,
                                  Fault::kError, Fault::kReset};
-    faults.resize(30, Fault::kWell);
+    faults.resize(30, Fault::kNone);
     return faults;
   }
 
   // Calls in flight now, and the most there were; broken rules by name.
-  std::size_t out() const { return checker_.out(); }
-  int most_out() const { return checker_.most_out(); }
+  std::size_t out() const { return checker_.in_flight(); }
+  int most_out() const { return checker_.max_in_flight(); }
   int Broken(const std::string& rule) const {
     int count = 0;
-    for (const loadtest::Finding& finding : checker_.findings()) count += finding.rule == rule ? 1 : 0;
+    for (const loadtest::Violation& finding : checker_.violations()) count += finding.rule == rule ? 1 : 0;
     return count;
   }
   std::int64_t dropped_repeats() const { return partner_.dropped_repeats; }
 
-  std::vector<Fault> menu = {Fault::kWell};              // one is drawn for each call
+  std::vector<Fault> menu = {Fault::kNone};              // one is drawn for each call
   std::map<std::string, int> effects, calls, delivered;  // by name
   int forbidden_repeats = 0;
 
  private:
   static loadtest::PartnerSettings Settings(Duration memory) {
     loadtest::PartnerSettings settings;
-    settings.key_memory_ms = static_cast<double>(memory / 1ms);
+    settings.key_retention_ms = static_cast<double>(memory / 1ms);
     return settings;
   }
-  static loadtest::Repeat KindOf(const std::string& name) {
-    return name[0] == 'p'   ? loadtest::Repeat::kNever
-           : name[0] == 'k' ? loadtest::Repeat::kKeyed
-                            : loadtest::Repeat::kFree;
+  static loadtest::Idempotency KindOf(const std::string& name) {
+    return name[0] == 'p'   ? loadtest::Idempotency::kNotIdempotent
+           : name[0] == 'k' ? loadtest::Idempotency::kIdempotentWithKey
+                            : loadtest::Idempotency::kIdempotent;
   }
   boost::random::mt19937_64 random_;
-  const loadtest::Timeline timeline_;
+  const loadtest::FaultTimeline timeline_;
   loadtest::Checker checker_{loadtest::Rules{}};
   loadtest::Partner partner_;
 
@@ -114,7 +114,7 @@
   std::set<std::string> Answered(F wanted) const {
     std::set<std::string> names;
     for (const auto& [name, request] : requests_) {
-      if (wanted(request->code)) names.insert(name);
+      if (wanted(request->status_code)) names.insert(name);
     }
     return names;
   }
@@ -128,7 +128,7 @@
         {"X-Deadline", std::to_string(deadline_ms) + "m"},
         {"X-Envelope", "dest=" + std::to_string(7 + posted % static_cast<int>(destinations))},
         {"Idempotency-Key", "key-" + name}};
-    requests_[name] = std::make_unique<Ask>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
+    requests_[name] = std::make_unique<ClientRequest>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
     next_.Schedule(every_);
   }
   EventLoop& loop_;
@@ -136,7 +136,7 @@
   boost::random::mt19937_64 random_;
   Duration every_{0};
   Timer next_;
-  std::map<std::string, std::unique_ptr<Ask>> requests_;
+  std::map<std::string, std::unique_ptr<ClientRequest>> requests_;
 };
 
 }  // namespace sagetally
--- a/tests/dead_letter/redrive_node_test.cpp
+++ b/tests/dead_letter/redrive_node_test.cpp
@@ -18,25 +18,25 @@
         clients(
             loop, [this] { return dispatcher->port(); }, seed) {
     ports.resize(kDestinations, partner.port);
-    spread = true;
+    one_destination_each = true;
     clients.destinations = kDestinations;
     disk_mb = 30;
     sockets = 1024;
     rate = 2000;
-    kept.emplace();
-    kept->include_deferred = kept->redrive_deferred = true;
-    kept->rules_path = folder.path + "/rules";
-    kept->concurrency_fraction = 0.4;
-    kept->destination_rate = 2000;
-    kept->initial_backoff = 50ms;
-    kept->max_backoff = 400ms;
+    dead_letters.emplace();
+    dead_letters->include_deferred = dead_letters->redrive_deferred = true;
+    dead_letters->rules_path = folder.path + "/rules";
+    dead_letters->concurrency_fraction = 0.4;
+    dead_letters->destination_rate = 2000;
+    dead_letters->initial_backoff = 50ms;
+    dead_letters->max_backoff = 400ms;
     WriteRules("");
   }
   void WriteRules(const std::string& text) { std::ofstream(folder.path + "/rules") << text; }
   void Reload() {
     dispatcher->Reload(ParseConfig(ConfigText(), [](const char*) { return nullptr; }));
   }
-  dead_letter::DeadLetterManager& manager() { return dispatcher->dead_letters()->keeper(); }
+  dead_letter::DeadLetterManager& manager() { return dispatcher->dead_letters()->manager(); }
   std::unique_ptr<dead_letter::Database> OpenStore() const {
     dead_letter::Database::Settings settings;
     settings.path = folder.path + "/kept/kept.db";
@@ -56,7 +56,7 @@
   }
   // Until every dead letter is at rest: delivered by a redrive, or held for good.
   void RunUntilAtRest() {
-    Until(loop, [&] {
+    RunUntil(loop, [&] {
       RunFor(loop, 100ms);
       return manager().pending_transfers() == 0 && Count("state in {kept, claimed}") == 0;
     });
@@ -82,7 +82,7 @@
     }
     assert(partner.forbidden_repeats == 0 && partner.Broken("second copy") == 0 &&
            partner.Broken("too many attempts") == 0);
-    assert(partner.most_out() <= slots);
+    assert(partner.most_out() <= max_concurrent_calls);
   }
 
   Partner partner;
@@ -97,7 +97,7 @@
   w.partner.menu = Partner::FaultsOfEveryKind();
   w.Start();
   w.clients.Start(4ms);
-  Until(w.loop, [&] { return w.manager().counters().kept >= 1000; });
+  RunUntil(w.loop, [&] { return w.manager().counters().stored >= 1000; });
   w.clients.Pause();
   w.WriteRules(kEverything);
   w.Reload();
@@ -107,7 +107,7 @@
       kEverything);
   w.Reload();  // while redrives are in flight
   RunFor(w.loop, 300ms);
-  w.partner.menu = {Partner::Fault::kWell};
+  w.partner.menu = {Partner::Fault::kNone};
   w.RunUntilAtRest();
   const auto stored = w.Stored();
   std::map<std::string, int> decision_reasons;
--- a/tests/dead_letter/simulated_node.h
+++ b/tests/dead_letter/simulated_node.h
@@ -81,7 +81,7 @@
   void StartCall(const CallRequest& call) override {
     calls.push_back(call);
     ++environment.calls[call.request->body];
-    names[call.number] = call.request->body;
+    names[call.message_number] = call.request->body;
   }
   void CancelCall(std::uint64_t) override {}
   void CancelCallIfUnsent(std::uint64_t) override {}
@@ -163,7 +163,7 @@
     bool is_accepted = false;
     std::vector<Request> requests;
     requests.push_back(std::move(request));
-    pipeline.validator.Submit(std::move(requests), [&](const AdmissionResult& result) {
+    pipeline.request_validator.Submit(std::move(requests), [&](const AdmissionResult& result) {
       is_accepted = result.status == AdmissionStatus::kAccepted;
       return true;
     });
@@ -207,7 +207,7 @@
 
   void StartManager() {
     manager.Start(
-        {.accept_redrive = [this](Message m) { return pipeline.admission.AcceptRedrive(std::move(m)); },
+        {.accept_redrive = [this](Message m) { return pipeline.admission_controller.AcceptRedrive(std::move(m)); },
          .has_usable_endpoint =
              [this](int destination) { return pipeline.router.HasUsableEndpoint(destination); },
          .on_dead_lettered =
@@ -218,11 +218,11 @@
   void AnswerCall(Outcome outcome, bool has_run) {
     const CallRequest call = calls.back();
     calls.pop_back();
-    const std::string& name = names[call.number];
+    const std::string& name = names[call.message_number];
     if (has_run || outcome == Outcome::kOk) ++environment.effects[name];
     if (outcome == Outcome::kOk) environment.delivered.insert(name);
     CallResult result;
-    result.number = call.number;
+    result.message_number = call.message_number;
     result.outcome = outcome;
     pipeline.outcome_handler.OnCallResult(result);
   }
