--- a/tests/dead_letter/store_test.cpp
+++ b/tests/dead_letter/store_test.cpp
@@ -16,7 +16,7 @@
 namespace sagetally::dead_letter {
 namespace {
 
-Database::Settings SettingsIn(const Folder& folder) {
+Database::Settings SettingsIn(const TemporaryFolder& folder) {
   Database::Settings settings;
   settings.path = folder.path + "/kept.db";
   settings.max_age = std::chrono::hours(100'000'000 / 3600);
@@ -37,7 +37,7 @@
 
 void FiltersFindInSqlWhatMatchesFinds() {
   assert(rc::check("filters", [](const std::vector<DeadLetter>& messages, const Condition& printed) {
-    const Folder folder;
+    const TemporaryFolder folder;
     Database::Settings settings = SettingsIn(folder);
     settings.rows_before_index = *rc::gen::inRange(0, 5);  // rows first, then the index
     Database db(settings);
@@ -60,7 +60,7 @@
 }
 
 void StoredMessagesAreReadUnchanged() {
-  const Folder folder;
+  const TemporaryFolder folder;
   Database db(SettingsIn(folder));
   DeadLetter dead_letter = FailedMessage(7);
   dead_letter.request.body = std::string("\0\xff\r\n", 4);
@@ -86,7 +86,7 @@
 }
 
 void OneRedriveIsInFlightAndItsResultCountsOnce() {
-  const Folder folder;
+  const TemporaryFolder folder;
   Database db(SettingsIn(folder));
   db.Store({{FailedMessage(1), false, Time(0), 11}});
   std::optional<DeadLetter> claimed = db.Claim({"n0", 1}, "r");
@@ -114,7 +114,7 @@
 }
 
 void EvictionTakesTheLowestPriorityAndTheOldest() {
-  const Folder folder;
+  const TemporaryFolder folder;
   Database::Settings settings = SettingsIn(folder);
   settings.budget_bytes = 2'000'000;
   Database db(settings);
@@ -141,7 +141,7 @@
 }
 
 void BlockedRulesAreSpreadByTheirRateAndReviewedOnce() {
-  const Folder folder;
+  const TemporaryFolder folder;
   Database db(SettingsIn(folder));
   std::vector<Database::Entry> entries;
   for (std::uint64_t n = 1; n <= 40; ++n) entries.push_back({FailedMessage(n), false, Time(0), {}});
@@ -177,7 +177,7 @@
 }
 
 void OlderSchemasAreMigratedAndNewerOnesRefused() {
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::string path = folder.path + "/kept.db";
   sqlite3* raw = nullptr;
   assert(sqlite3_open(path.c_str(), &raw) == SQLITE_OK);
@@ -200,12 +200,12 @@
   sqlite3_close(raw);
   std::optional<JobError> error = ReopeningDatabase(SettingsIn(folder)).Run([](Database&) {});
   assert(error && error->kind == StoreError::Kind::kNewerSchema &&
-         error->what.find("version 9") != error->what.npos);
+         error->message.find("version 9") != error->message.npos);
   assert(!error->file_replaced);
 }
 
 void DamagedLockedAndMissingFilesAreReported() {
-  const Folder folder;
+  const TemporaryFolder folder;
   ReopeningDatabase store(SettingsIn(folder));
   const std::string path = folder.path + "/kept.db";
   const auto store_message = [&](std::uint64_t n) {
@@ -247,12 +247,12 @@
   std::ofstream(path, std::ios::binary | std::ios::trunc) << std::string(20000, 'z');
   ReopeningDatabase second(SettingsIn(folder));
   error = second.Run([](Database&) {});
-  assert(error && error->file_replaced && !error->what.empty());
+  assert(error && error->file_replaced && !error->message.empty());
   assert(!second.Run([](Database& db) { assert(db.Count(Condition(), Time(0)) == 0); }));
 }
 
 void AFullStoreIsReported() {
-  const Folder folder;
+  const TemporaryFolder folder;
   Database::Settings settings = SettingsIn(folder);
   settings.budget_bytes = 1'000'000;
   ReopeningDatabase store(settings);
--- a/tests/handover/golden_test.cpp
+++ b/tests/handover/golden_test.cpp
@@ -74,7 +74,7 @@
 
 Json ToJson(const InFlightCall& call) {
   const std::optional<Time>& uncertain = call.first_uncertain_attempt;
-  return {{"number", call.number},
+  return {{"number", call.message_number},
           {"endpoint", call.endpoint},
           {"sent_us", call.sent_at.count()},
           {"may_have_run_us", uncertain ? Json(uncertain->count()) : Json()},
@@ -82,9 +82,9 @@
 }
 
 Json ToJson(const CallResult& result) {
-  return {{"number", result.number},
+  return {{"number", result.message_number},
           {"outcome", OutcomeJson(result.outcome)},
-          {"over", result.completed},
+          {"over", result.message_expired},
           {"told_wait_us", result.retry_after.count()},
           {"load", ToJson(result.load_report)}};
 }
@@ -99,8 +99,8 @@
 Json ToJson(const HandoverState& state) {
   return {{"version", kHandoverVersion},
           {"now", ToJson(state.now)},
-          {"classes", state.classes},
-          {"revision", state.revision},
+          {"classes", state.class_names},
+          {"revision", state.endpoint_list_revision},
           {"endpoints", ToJsonArray(state.endpoints)},
           {"recent_attempts", ToJsonArray(state.recent_attempts)},
           {"calls_out", ToJsonArray(state.in_flight_calls)}};
--- a/tests/handover/state_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -27,8 +27,8 @@
 HandoverState MakeState() {
   HandoverState state;
   state.now = {100s, 50s, 9};
-  state.classes = {"safe", "keyed", "unsafe"};
-  state.revision = 41;
+  state.class_names = {"safe", "keyed", "unsafe"};
+  state.endpoint_list_revision = 41;
   EndpointUpdate endpoint;
   endpoint.record = At("e1", 0, 1, 10);
   endpoint.address = "127.0.0.1:1";
@@ -51,8 +51,8 @@
   const auto decoded = DecodeHandoverState(bytes);
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->now, state.now);
-  EXPECT_EQ(decoded->classes, state.classes);
-  EXPECT_EQ(decoded->revision, 41);
+  EXPECT_EQ(decoded->class_names, state.class_names);
+  EXPECT_EQ(decoded->endpoint_list_revision, 41);
   EXPECT_EQ(decoded->recent_attempts.size(), 1U);
   EXPECT_EQ(decoded->in_flight_calls.size(), 2U);
   ASSERT_EQ(decoded->endpoints.size(), 1U);
@@ -72,7 +72,7 @@
 
 struct CallResultCodec : testing::Test {
   CallResultCodec() {
-    result.number = 7;
+    result.message_number = 7;
     result.outcome = Outcome::kRejected;
     result.retry_after = 5ms;
   }
@@ -83,7 +83,7 @@
 TEST_F(CallResultCodec, RoundTrips) {
   const auto decoded = DecodeCallResult(EncodeCallResult(result));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(decoded->number, 7U);
+  EXPECT_EQ(decoded->message_number, 7U);
   EXPECT_EQ(decoded->outcome, Outcome::kRejected);
   EXPECT_EQ(decoded->retry_after, 5ms);
 }
@@ -139,14 +139,14 @@
 
 TEST(StateReplay, RetryAfterStatedBeforeTheHandoverIsRespected) {
   SuccessorPolicy policy(MakeState());
-  EXPECT_TRUE(policy.Process(100s, {Node::Taken("m")}).empty());
+  EXPECT_TRUE(policy.Process(100s, {Node::Accepted("m")}).empty());
   EXPECT_TRUE(policy.Process(101s + 900ms, {TimerFired{}}).empty());
   EXPECT_EQ(policy.Process(102s + 100ms, {TimerFired{}}), kOnlyM);
 }
 
 TEST(StateReplay, MessageIsSentAtOnceWithoutAttemptsBeforeTheHandover) {
   SuccessorPolicy policy(MakeStateWithoutAttempts());
-  EXPECT_EQ(policy.Process(100s, {Node::Taken("m")}), kOnlyM);
+  EXPECT_EQ(policy.Process(100s, {Node::Accepted("m")}), kOnlyM);
 }
 
 TEST(StateReplay, OutlierSeenBeforeTheHandoverIsAvoided) {
@@ -157,7 +157,7 @@
   }
   SuccessorPolicy policy(state);
   EXPECT_EQ(policy.AvoidedEndpointCount(), 1);
-  EXPECT_TRUE(policy.Process(100s, {Node::Taken("m", kUnsafeClass)}).empty())
+  EXPECT_TRUE(policy.Process(100s, {Node::Accepted("m", kNotIdempotentClass)}).empty())
       << "an outlier gets no messages that can't be retried";
 }
 
@@ -192,7 +192,7 @@
 
 TEST_F(InFlightReplay, CallsCountAgainstTheLimitUntilTheyCompleteAndFailedOnesAreRetried) {
   SuccessorPolicy policy(MakeStateWithoutAttempts(), messages);
-  EXPECT_TRUE(policy.Process(100s, {Node::Taken("m")}).empty());
+  EXPECT_TRUE(policy.Process(100s, {Node::Accepted("m")}).empty());
   EXPECT_EQ(policy.Process(100s + 1ms, {Completed(8)}), kOnlyM);
   for (std::uint64_t number = 2; number <= 7; ++number) policy.Process(100s + 1ms, {Completed(number)});
 
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -28,7 +28,7 @@
   Upgrades(std::string program, std::uint64_t seed)
       : World(0, 24, 150), program(std::move(program)), partner(loop, seed, 10s), seed(seed) {
     ports.resize(8, partner.port);
-    spread = true;
+    one_destination_each = true;
     sockets = 512;
     rate = 2000;
     admin = true;
@@ -39,7 +39,7 @@
       notified[id].insert(status);
     };
     serving = Start();
-    Until(loop, [this] { return serving->Port() != 0; });
+    RunUntil(loop, [this] { return serving->Port() != 0; });
     clients = std::make_unique<Clients>(
         loop, [this] { return serving->Port(); }, this->seed);
     clients->destinations = 8;
@@ -50,7 +50,7 @@
   }
   // Waits for its end while the loop, on which the partner runs, goes on.
   void WaitUntilEnded(Process& process) {
-    Until(loop, [&] { return !process.child.Running(); });
+    RunUntil(loop, [&] { return !process.child.Running(); });
   }
   // The answer to one operator's request, at the address that the process has logged.
   std::string Ask(Process& process, const std::string& line) {
@@ -59,13 +59,13 @@
     assert(at != log.npos);
     const int port = std::atoi(log.c_str() + log.find("port=", at) + 5);
     RawClient client(loop, static_cast<std::uint16_t>(port), line);
-    Until(loop, [&] { return client.closed; });
-    return client.got;
+    RunUntil(loop, [&] { return client.closed; });
+    return client.received;
   }
   // Starts the next process, which takes over; then `signal` is sent to the old one, none with 0.
   void Upgrade(int signal) {
     auto next = Start();
-    Until(loop, [&] { return next->Port() != 0 || !next->child.Running(); });
+    RunUntil(loop, [&] { return next->Port() != 0 || !next->child.Running(); });
     assert(next->Port() == serving->Port());
     assert(ReadFile(next->child.log()).find(" handover.received ") != std::string::npos);
     auto previous = std::exchange(serving, std::move(next));
@@ -82,9 +82,9 @@
   }
   void Finish(std::size_t most_unknown) {
     clients->Pause();
-    partner.menu = {Partner::Fault::kWell};
+    partner.menu = {Partner::Fault::kNone};
     // The last clients may still wait for their answers.
-    Until(loop, [&] { return clients->Unknown().size() <= most_unknown && CountOpen() == 0; });
+    RunUntil(loop, [&] { return clients->Unknown().size() <= most_unknown && CountOpen() == 0; });
     int contradictions = 0;
     for (const auto& [name, statuses] : notified) contradictions += statuses.size() > 1 ? 1 : 0;
     for (const auto& previous : leaving) {
@@ -102,7 +102,7 @@
     assert(clients->Unknown().size() <= most_unknown && contradictions == 0 &&
            partner.forbidden_repeats == 0);
     assert(partner.Broken("too many attempts") == 0 && partner.Broken("second copy") == 0);
-    assert(partner.most_out() <= slots);
+    assert(partner.most_out() <= max_concurrent_calls);
   }
 
   const std::string program;
@@ -123,7 +123,7 @@
   w.clients->Start(4ms);
   for (int i = 0; i < upgrades; ++i) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(300 + 37 * (i % 7));
-    Until(w.loop, [&] { return std::chrono::steady_clock::now() >= until; });
+    RunUntil(w.loop, [&] { return std::chrono::steady_clock::now() >= until; });
     w.Upgrade(i % 3 == 0 ? 0 : SIGTERM);  // signalled or left to itself, often before the last one has ended
   }
   w.Finish(0);
@@ -139,20 +139,20 @@
   RawClient half(w.loop, w.serving->Port(), message("half") + "ha");
   RawClient head(w.loop, w.serving->Port(), "POST /aviso HT");
   RawClient persistent(w.loop, w.serving->Port(), message("first") + "frst");
-  Until(w.loop, [&] { return persistent.got.find(" 202 ") != std::string::npos; });
+  RunUntil(w.loop, [&] { return persistent.received.find(" 202 ") != std::string::npos; });
   w.Upgrade(SIGTERM);
   half.Write("lf");
   head.Write(message("head").substr(14) + "head");
-  persistent.got.clear();
+  persistent.received.clear();
   persistent.Write(message("second") + "scnd");
   const auto is_accepted = [](const RawClient& client) {
-    return client.got.find(" 202 ") != std::string::npos;
+    return client.received.find(" 202 ") != std::string::npos;
   };
-  Until(w.loop, [&] { return is_accepted(half) && is_accepted(head) && is_accepted(persistent); });
-  Until(w.loop, [&] { return w.partner.delivered.size() == 4; });
+  RunUntil(w.loop, [&] { return is_accepted(half) && is_accepted(head) && is_accepted(persistent); });
+  RunUntil(w.loop, [&] { return w.partner.delivered.size() == 4; });
   assert(w.partner.delivered.contains("half") && w.partner.delivered.contains("scnd"));
   // It is idle, and closed by the usual rule, not by the upgrade.
-  assert(!persistent.closed && persistent.got.find("Connection: close") == std::string::npos);
+  assert(!persistent.closed && persistent.received.find("Connection: close") == std::string::npos);
   w.Finish(0);
 }
 
@@ -160,17 +160,17 @@
 void InFlightNonIdempotentCallIsNotRepeated(const std::string& program) {
   for (const int signal : {SIGTERM, SIGKILL}) {
     Upgrades w(program, 2);
-    w.partner.menu = {Partner::Fault::kSilent};
-    w.asks.push_back(std::make_unique<Ask>(w.loop, w.serving->Port(), "/pagamento",
+    w.partner.menu = {Partner::Fault::kNoResponse};
+    w.client_requests.push_back(std::make_unique<ClientRequest>(w.loop, w.serving->Port(), "/pagamento",
                                            Headers{{"X-Request-Id", "p0"},
                                                    {"X-Class", "pagamento"},
                                                    {"X-Deadline", "20000m"},
                                                    {"X-Envelope", "dest=7"}},
                                            "p0"));
-    Until(w.loop, [&] { return w.partner.calls["p0"] == 1; });
-    w.partner.menu = {Partner::Fault::kWell};
+    RunUntil(w.loop, [&] { return w.partner.calls["p0"] == 1; });
+    w.partner.menu = {Partner::Fault::kNone};
     w.Upgrade(signal);
-    Until(w.loop, [&] { return w.notified["p0"].contains("undeliverable"); });
+    RunUntil(w.loop, [&] { return w.notified["p0"].contains("undeliverable"); });
     assert(w.partner.calls["p0"] == 1);
     w.notified.erase("p0");
     w.Finish(0);
@@ -209,7 +209,7 @@
     }
     w.clients->Pause();
     w.leaving.push_back(std::exchange(w.serving, w.Start()));
-    Until(w.loop, [&] { return w.serving->Port() != 0; });
+    RunUntil(w.loop, [&] { return w.serving->Port() != 0; });
     w.clients->Start(5ms);
   }
   w.Finish(100);  // clients of a process that was killed
@@ -245,7 +245,7 @@
       assert(journal.epoch() == 2 * i);
     }
     const std::size_t before = w.partner.delivered.size();
-    Until(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
+    RunUntil(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
     assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
   }
   w.Upgrade(SIGTERM);
@@ -264,24 +264,24 @@
   config.replace(config.find(was), was.size(), At(moved.port()));
   std::ofstream(w.folder.path + "/config.json") << config;
   w.serving->child.Signal(SIGHUP);  // a paused process reloads too, and stays paused
-  Until(w.loop, [&] { return moved.watch != nullptr; });
+  RunUntil(w.loop, [&] { return moved.watch != nullptr; });
   assert(w.Ask(*w.serving, "STATUS\n") == "error drained\n");
   moved.watch.reset();
   w.Upgrade(0);
   assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
-  Until(w.loop, [&] { return moved.watch != nullptr; });
+  RunUntil(w.loop, [&] { return moved.watch != nullptr; });
   w.clients->Start(5ms);
-  Until(w.loop, [&] { return w.partner.delivered.size() > 20; });
+  RunUntil(w.loop, [&] { return w.partner.delivered.size() > 20; });
   w.Finish(0);
 }
 
 // Both processes together stay below the memory limit of one.
 void BothProcessesStayBelowTheMemoryLimit(const std::string& program, std::size_t most_kb) {
   Upgrades w(program, 6);
-  w.partner.menu = {Partner::Fault::kSilent};
+  w.partner.menu = {Partner::Fault::kNoResponse};
   w.clients->deadline_ms = 20'000;
   w.clients->Start(2ms);
-  Until(w.loop, [&] { return w.clients->posted > 400; });
+  RunUntil(w.loop, [&] { return w.clients->posted > 400; });
   w.clients->Pause();
   w.Upgrade(0);
   std::size_t both = 0;
@@ -298,17 +298,17 @@
 void FullDiskAbortsTheHandover(const std::string& program) {
   Upgrades w(program, 7);
   w.clients->Start(5ms);
-  Until(w.loop, [&] { return w.partner.delivered.size() > 10; });
+  RunUntil(w.loop, [&] { return w.partner.delivered.size() > 10; });
   const loadtest::Child next(
       {"/bin/sh", "-c", "trap '' XFSZ; ulimit -f 0; exec \"$0\" \"$@\"", program, "serve", "--config",
        w.folder.path + "/config.json", "--node-file", w.folder.path + "/node.json"},
       "", w.folder.path + "/full");
-  Until(w.loop, [&] { return !next.Running(); });
+  RunUntil(w.loop, [&] { return !next.Running(); });
   assert(next.Wait() == 1 && w.serving->child.Running());
   assert(ReadFile(w.serving->child.log()).find(" handover.aborted ") != std::string::npos);
   assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
   const std::size_t before = w.partner.delivered.size();
-  Until(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
+  RunUntil(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
   w.Finish(0);
 }
 
@@ -319,16 +319,16 @@
   assert(w.serving->End(SIGTERM) == 0);
   std::filesystem::remove_all(w.folder.path + "/journal");
   const Time deadline = SystemClock().Now() + 20s;
-  std::ofstream(w.folder.path + "/log", std::ios::binary) << LegacyLog(30, false, deadline, 0);
-  w.partner.menu = {Partner::Fault::kSilent};  // more messages than slots: some wait
+  std::ofstream(w.folder.path + "/log", std::ios::binary) << MakeFormat1Log(30, false, deadline, 0);
+  w.partner.menu = {Partner::Fault::kNoResponse};  // more messages than slots: some wait
   w.serving = w.Start();
-  Until(w.loop, [&] { return w.serving->Port() != 0; });
+  RunUntil(w.loop, [&] { return w.serving->Port() != 0; });
   assert(ReadFile(w.serving->child.log()).find(" journal.migrated ") != std::string::npos);
-  Until(w.loop, [&] { return w.partner.out() == static_cast<std::size_t>(w.slots); });
+  RunUntil(w.loop, [&] { return w.partner.out() == static_cast<std::size_t>(w.max_concurrent_calls); });
   w.Upgrade(0);
   w.Upgrade(0);
-  w.partner.menu = {Partner::Fault::kWell};
-  Until(w.loop, [&] { return w.partner.delivered.size() == 30; });
+  w.partner.menu = {Partner::Fault::kNone};
+  RunUntil(w.loop, [&] { return w.partner.delivered.size() == 30; });
   w.Finish(0);
 }
 
@@ -342,7 +342,7 @@
     RunFor(w.loop, std::chrono::milliseconds(ms));
     w.clients->Pause();
     w.serving->End(SIGKILL);
-    Until(w.loop, [&] { return next->Port() != 0; });
+    RunUntil(w.loop, [&] { return next->Port() != 0; });
     w.leaving.push_back(std::exchange(w.serving, std::move(next)));
     w.clients->Start(5ms);
   }
@@ -358,8 +358,8 @@
   const auto handed = [](Process& p) {
     return ReadFile(p.child.log()).find(" handover.completed ") != std::string::npos;
   };
-  Until(w.loop, [&] { return one->Port() != 0 && two->Port() != 0; });
-  Until(w.loop, [&] { return handed(*one) != handed(*two); });
+  RunUntil(w.loop, [&] { return one->Port() != 0 && two->Port() != 0; });
+  RunUntil(w.loop, [&] { return handed(*one) != handed(*two); });
   w.leaving.push_back(std::move(w.serving));
   w.serving = std::move(handed(*one) ? two : one);
   w.leaving.push_back(std::move(one ? one : two));
--- a/tests/journal/format1_log.h
+++ b/tests/journal/format1_log.h
@@ -13,7 +13,7 @@
 
 // Messages "old1", "old2", ... for destination 7, idempotent by the names of their bodies. The first has an
 // attempt in flight, whose record lacks its last bytes if `torn`.
-inline std::string LegacyLog(int messages, bool torn, Time deadline = Time(99), int message_class = 2) {
+inline std::string MakeFormat1Log(int messages, bool torn, Time deadline = Time(99), int message_class = 2) {
   std::string log;
   const auto add = [&](const std::string& record) {
     const auto crc =
--- a/tests/journal/golden_json.h
+++ b/tests/journal/golden_json.h
@@ -84,7 +84,7 @@
           {"may_have_run_at", message.first_uncertain_endpoint},
           {"end", NameOf(message.final_status, kFinalStatusNames)},
           {"again_us", message.retry_after.count()},
-          {"ended_us", message.ended_at.count()},
+          {"ended_us", message.completed_at.count()},
           {"notice_owed", message.notification_pending},
           {"taken_us", message.accepted_at.count()},
           {"reason", NameOf(message.failure_reason, kReasonNames)},
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -65,7 +65,7 @@
   TestClock clock;
   for (const bool is_torn : {false, true}) {
     FaultInjectingFileSystem fresh;
-    fresh.Put(settings.format1_path, LegacyLog(9, is_torn));
+    fresh.Put(settings.format1_path, MakeFormat1Log(9, is_torn));
     FaultInjectingFileSystem clean = fresh;
     CheckMigrated(clean, clock, settings, is_torn);
     const std::uint64_t calls = clean.calls();
@@ -289,7 +289,7 @@
     JournalProcess process(disk, clock, settings);
     assert(process.messages.Find(1)->request.message_class == 2 &&
            process.messages.Find(3)->request.message_class == 0);
-    assert(process.messages.Find(2)->request.message_class == kNoClass);
+    assert(process.messages.Find(2)->request.message_class == kUnknownClass);
   }
 }
 
--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -69,10 +69,10 @@
     });
     for (int kill = 0; kill < kills; ++kill) KillUnderTraffic(watcher);
     WaitUntilReady();
-    partner_.menu = {Fault::kWell};
+    partner_.menu = {Fault::kNone};
     accepted_ = clients_->Taken();
     const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    Until(world_.loop, [&] { return CountOpen() == 0 || std::chrono::steady_clock::now() >= give_up_at; });
+    RunUntil(world_.loop, [&] { return CountOpen() == 0 || std::chrono::steady_clock::now() >= give_up_at; });
     const int status = process_->End(SIGTERM);
     assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
     Report(kills);
@@ -84,7 +84,7 @@
 
   void ConfigureNode(const std::string& durability) {
     world_.ports.resize(8, partner_.port);
-    world_.spread = true;
+    world_.one_destination_each = true;
     world_.disk_mb = 0.45;
     world_.sockets = 1024;
     world_.rate = 2000;
@@ -94,16 +94,16 @@
   }
 
   void ConfigurePartner() {
-    partner_.menu = {Fault::kFull,  Fault::kRefuse, Fault::kError, Fault::kError, Fault::kReset,
-                     Fault::kReset, Fault::kSpoilt, Fault::kLate,  Fault::kSilent};
-    partner_.menu.resize(30, Fault::kWell);
+    partner_.menu = {Fault::kTooManyRequests,  Fault::kServiceUnavailable, Fault::kError, Fault::kError, Fault::kReset,
+                     Fault::kReset, Fault::kMalformedResponse, Fault::kLateExecution,  Fault::kNoResponse};
+    partner_.menu.resize(30, Fault::kNone);
   }
 
   // From 0 to `max`.
   int Draw(int max) { return boost::random::uniform_int_distribution<int>(0, max)(random_); }
 
   void WaitUntilReady() {
-    Until(world_.loop, [this] { return process_->Port() != 0; });
+    RunUntil(world_.loop, [this] { return process_->Port() != 0; });
   }
 
   // Lets clients send until the watcher or the time kills the process, and starts the next one.
@@ -113,7 +113,7 @@
     clients_->Start(2ms);
     if (Draw(4) > 0) watcher.CallAfter(1 + Draw(40));
     const auto kill_at = std::chrono::steady_clock::now() + std::chrono::milliseconds(20 + Draw(900));
-    Until(world_.loop, [&] { return is_killed_ || std::chrono::steady_clock::now() >= kill_at; });
+    RunUntil(world_.loop, [&] { return is_killed_ || std::chrono::steady_clock::now() >= kill_at; });
     watcher.CallAfter(0);
     clients_->Pause();
     process_->End(SIGKILL);
--- a/tests/loadtest/arrivals_test.cpp
+++ b/tests/loadtest/arrivals_test.cpp
@@ -242,7 +242,7 @@
 }
 
 void SubmissionIdsRoundTrip() {
-  const SubmissionId id{0xdeadbeef, 1234567, 2, 25, Repeat::kNever};
+  const SubmissionId id{0xdeadbeef, 1234567, 2, 25, Idempotency::kNotIdempotent};
   assert(ToText(id) == "Ldeadbeef-1234567-2-25-n" && ParseSubmissionId(ToText(id)) == id);
   assert(ParseSubmissionId("/lab/caller-3|" + ToText(id)) == id);
   for (const char* text :
--- a/tests/loadtest/load_test.cpp
+++ b/tests/loadtest/load_test.cpp
@@ -106,7 +106,7 @@
   std::vector<FaultSpan> spans = settings.timeline.spans();
   spans[0].from_ms -= static_cast<double>(ran.records.start_us - stubs.started_us) / 1000;
   const RunResult result =
-      MakeResult("pause", ScenarioFromJson(json), ran.records, stubs.Observations(), true, Timeline(spans));
+      MakeResult("pause", ScenarioFromJson(json), ran.records, stubs.Observations(), true, FaultTimeline(spans));
   assert(result.summary.fault_impacts.size() == 1 &&
          std::abs(static_cast<double>(result.summary.fault_impacts[0].waited_long) / 1500 - 1) < 0.02);
   // One that was due just before the pause, and came just after it had begun, waits a little longer.
@@ -179,7 +179,7 @@
   HttpClientPool clients(loop, {{"127.0.0.1", stubs.partners[0]->port()}}, 4, std::chrono::seconds(5));
   int answers = 0;
   for (int i = 0; i < 40; ++i) {
-    const std::string id = ToText({1, i, 0, 0, Repeat::kNever});
+    const std::string id = ToText({1, i, 0, 0, Idempotency::kNotIdempotent});
     const std::string text =
         "POST /hook HTTP/1.1\r\nHost: p\r\nX-Request-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
     clients.Send(text, [&](const Reply& reply) {
@@ -189,7 +189,7 @@
     loop.Run();
   }
   assert(stubs.checker.count() > 2 && stubs.checker.count() < 20);
-  for (const Finding& f : stubs.checker.findings())
+  for (const Violation& f : stubs.checker.violations())
     assert(f.rule == "took effect twice" && ParseSubmissionId(f.id));
 }
 
--- a/tests/loadtest/report_test.cpp
+++ b/tests/loadtest/report_test.cpp
@@ -94,7 +94,7 @@
 }
 
 Observation Saw(ObservationKind kind, std::int64_t number, std::int64_t after_us, int submission = 0) {
-  const SubmissionId id{7, number, submission, 3, number == 9 ? Repeat::kNever : Repeat::kFree};
+  const SubmissionId id{7, number, submission, 3, number == 9 ? Idempotency::kNotIdempotent : Idempotency::kIdempotent};
   return {kind, 1'000'000 + number * 1000 + after_us, ToText(id)};
 }
 
@@ -177,18 +177,18 @@
  public:
   CheckerHarness() : checker(TwoConcurrentCalls()) {}
 
-  std::int64_t Start(std::int64_t at_ms, const std::string& id, Repeat idempotency = Repeat::kFree) {
+  std::int64_t Start(std::int64_t at_ms, const std::string& id, Idempotency idempotency = Idempotency::kIdempotent) {
     return StartAt(at_ms, id, 3, "e", idempotency);
   }
   std::int64_t StartAt(std::int64_t at_ms, const std::string& id, int destination,
-                       const std::string& endpoint, Repeat idempotency = Repeat::kFree) {
+                       const std::string& endpoint, Idempotency idempotency = Idempotency::kIdempotent) {
     return checker.OnCallStarted(at_ms * 1000, {id, endpoint, destination, 3, idempotency, "n0"});
   }
   void End(std::int64_t at_ms, std::int64_t call, CallOutcome outcome, std::int64_t wait_ms = 0) {
     checker.OnCallEnded(at_ms * 1000, call, outcome, wait_ms * 1000);
   }
   // A call from 0 to 1 ms.
-  void Call(const std::string& id, CallOutcome outcome, Repeat idempotency = Repeat::kFree) {
+  void Call(const std::string& id, CallOutcome outcome, Idempotency idempotency = Idempotency::kIdempotent) {
     End(1, Start(0, id, idempotency), outcome);
   }
   // A call from 0 to 10 ms, whose response announces a wait of 500 ms.
@@ -212,7 +212,7 @@
   CheckerHarness harness;
   script(harness);
   const Checker& checker = harness.checker;
-  return checker.count() == 1 ? checker.findings()[0].rule : std::to_string(checker.count());
+  return checker.count() == 1 ? checker.violations()[0].rule : std::to_string(checker.count());
 }
 
 // In each of these, a violation is reported by its name, and the nearest script without one is not.
@@ -285,37 +285,37 @@
 
 void CheckerFindsForbiddenRepeats() {
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.Call("a", CallOutcome::kMayHaveExecuted, Repeat::kNever);
-           h.Start(2, "a", Repeat::kNever);
+           h.Call("a", CallOutcome::kMayHaveExecuted, Idempotency::kNotIdempotent);
+           h.Start(2, "a", Idempotency::kNotIdempotent);
          }) == "forbidden repeat");
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.Call("a", CallOutcome::kRejected, Repeat::kNever);
-           h.Start(2, "a", Repeat::kNever);
+           h.Call("a", CallOutcome::kRejected, Idempotency::kNotIdempotent);
+           h.Start(2, "a", Idempotency::kNotIdempotent);
          }) == kNoViolation);
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.Call("a", CallOutcome::kDelivered, Repeat::kNever);
-           h.Start(2, "a", Repeat::kNever);
+           h.Call("a", CallOutcome::kDelivered, Idempotency::kNotIdempotent);
+           h.Start(2, "a", Idempotency::kNotIdempotent);
          }) == "delivered again");
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.Start(0, "a", Repeat::kNever);
+           h.Start(0, "a", Idempotency::kNotIdempotent);
            h.checker.OnDispatcherRestarted("n0");
-           h.Start(2, "a", Repeat::kNever);
+           h.Start(2, "a", Idempotency::kNotIdempotent);
          }) == "forbidden repeat");
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.Call("a", CallOutcome::kMayHaveExecuted, Repeat::kKeyed);
-           h.Start(10'051, "a", Repeat::kKeyed);
+           h.Call("a", CallOutcome::kMayHaveExecuted, Idempotency::kIdempotentWithKey);
+           h.Start(10'051, "a", Idempotency::kIdempotentWithKey);
          }) == "repeat window over");
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.Call("a", CallOutcome::kMayHaveExecuted, Repeat::kKeyed);
-           h.Start(10'049, "a", Repeat::kKeyed);
+           h.Call("a", CallOutcome::kMayHaveExecuted, Idempotency::kIdempotentWithKey);
+           h.Start(10'049, "a", Idempotency::kIdempotentWithKey);
          }) == kNoViolation);
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.checker.OnEffect("a", Repeat::kNever);
-           h.checker.OnEffect("a", Repeat::kNever);
+           h.checker.OnEffect("a", Idempotency::kNotIdempotent);
+           h.checker.OnEffect("a", Idempotency::kNotIdempotent);
          }) == "took effect twice");
   assert(ViolatedRule([](CheckerHarness& h) {
-           h.checker.OnEffect("a", Repeat::kFree);
-           h.checker.OnEffect("a", Repeat::kFree);
+           h.checker.OnEffect("a", Idempotency::kIdempotent);
+           h.checker.OnEffect("a", Idempotency::kIdempotent);
          }) == kNoViolation);
 }
 
--- a/tests/loadtest/stub_test.cpp
+++ b/tests/loadtest/stub_test.cpp
@@ -50,7 +50,7 @@
   // The violated rule, or how many if that isn't one.
   std::string ViolatedRule() const {
     const Checker& checker = stubs.checker;
-    return checker.count() == 1 ? checker.findings()[0].rule : std::to_string(checker.count());
+    return checker.count() == 1 ? checker.violations()[0].rule : std::to_string(checker.count());
   }
   std::int64_t Effects(const std::string& id) const {
     return std::count_if(stubs.observations.begin(), stubs.observations.end(), [&](const Observation& seen) {
@@ -64,7 +64,7 @@
   std::vector<int> codes;
 };
 
-std::string Id(int number, Repeat idempotency = Repeat::kFree, int destination = 7) {
+std::string Id(int number, Idempotency idempotency = Idempotency::kIdempotent, int destination = 7) {
   return ToText({1, number, 0, destination, idempotency});
 }
 Json Partner(const Json& more = Json::object(), const Json& timeline = Json::array()) {
@@ -131,7 +131,7 @@
   const std::int64_t before = NowUs();
   assert(cold.Call(Id(1)) == 200 && NowUs() - before >= 89'000);
   Fixture keys(Partner({{"key_memory_ms", 100}}));
-  const std::string id = Id(1, Repeat::kKeyed);
+  const std::string id = Id(1, Idempotency::kIdempotentWithKey);
   assert(keys.Call(id, "k") == 200 && keys.Call(id, "k") == 200 && keys.Effects(id) == 1);
   keys.Wait(std::chrono::milliseconds(110));
   assert(keys.Call(id, "k") == 200 && keys.Effects(id) == 2 && keys.ViolatedRule() == "took effect twice");
@@ -145,7 +145,7 @@
   };
   const Json slow = {{"service_ms", {{"kind", "constant"}, {"value", 30}}}};
   assert(run(Partner(slow), [](Fixture& b) { b.Post(Id(1)), b.Post(Id(1)), b.loop.Run(); }) == "second copy");
-  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Repeat::kFree, 8)); }) == "wrong destination");
+  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Idempotency::kIdempotent, 8)); }) == "wrong destination");
   assert(run(Partner(slow), [](Fixture& b) {
            for (int i = 0; i < 5; ++i) b.Post(Id(i));
            b.loop.Run();
@@ -158,20 +158,20 @@
            b.Call(Id(1)), b.Wait(std::chrono::milliseconds(150)), b.Call(Id(2));
          }) == "wait not kept");
   assert(run(Partner({}, AlwaysFault("error")), [](Fixture& b) {
-           b.Call(Id(1, Repeat::kNever)), b.Call(Id(1, Repeat::kNever));
+           b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent));
          }) == "forbidden repeat");
   assert(run(Partner({}, AlwaysFault("silent")), [](Fixture& b) {
-           b.Call(Id(1, Repeat::kNever)), b.Call(Id(1, Repeat::kNever));
+           b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent));
          }) == "forbidden repeat");
   assert(run(Partner({}, AlwaysFault("reset")), [](Fixture& b) {
-           const std::string id = Id(1, Repeat::kKeyed);
+           const std::string id = Id(1, Idempotency::kIdempotentWithKey);
            b.Call(id, "k"), b.Call(id, "k"), b.Wait(std::chrono::milliseconds(470)), b.Call(id, "k");
          }) == "repeat window over");
-  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Repeat::kNever)), b.Call(Id(1, Repeat::kNever)); }) !=
+  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent)); }) !=
          "0");
   // A clean run, with everything that is allowed.
   assert(run(Partner(slow, AlwaysFault("error")), [](Fixture& b) {
-           const std::string keyed = Id(1, Repeat::kKeyed), free = Id(2), never = Id(3, Repeat::kNever);
+           const std::string keyed = Id(1, Idempotency::kIdempotentWithKey), free = Id(2), never = Id(3, Idempotency::kNotIdempotent);
            b.Call(keyed, "k"), b.Call(keyed, "k"), b.Call(free), b.Call(free), b.Call(never);
            for (int i = 10; i < 14; ++i) b.Post(Id(i));
            b.loop.Run();
@@ -208,18 +208,18 @@
          seen[1].kind == ObservationKind::kDeferred);
   b.stubs.agent->SetState("p", "terminating");  // without a watch
   assert(announced.empty());
-  b.stubs.agent->how.silent = true;
+  b.stubs.agent->faults.silent = true;
   assert(ask("GET /v1/servers", "") == 0);
-  b.stubs.agent->how = {};
+  b.stubs.agent->faults = {};
   agent.Send("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\nHost: a\r\n\r\n", [](const Reply&) {});
   while (!b.stubs.agent->watch) b.Wait(std::chrono::milliseconds(1));
   b.stubs.agent->SetState("p", "in_service");
   assert(announced == "p in_service\n");
-  b.stubs.agent->how.late_ms = 5;
+  b.stubs.agent->faults.late_ms = 5;
   b.stubs.agent->SetState("p", "terminating");
   assert(announced == "p in_service\n");
   while (announced == "p in_service\n") b.Wait(std::chrono::milliseconds(1));
-  b.stubs.agent->how = {.lost = true};
+  b.stubs.agent->faults = {.lost = true};
   b.stubs.agent->SetState("p", "in_service");
   b.Wait(std::chrono::milliseconds(20));
   assert(announced == "p in_service\np terminating\n");
--- a/tests/net/discovery_races_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -84,7 +84,7 @@
       };
     }
   }
-  Until(loop,
+  RunUntil(loop,
         [&] { return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); }); });
   for (const auto& fixture : all) {
     assert(fixture->updated_at - fixture->silent_at < 8s && fixture->requests.size() <= 4);
@@ -111,7 +111,7 @@
       call.Chunk(List(42, "terminating") + "\n");
     };
   }
-  Until(loop,
+  RunUntil(loop,
         [&] { return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); }); });
   assert(Clock::now() - back_at < 6s);
 }
@@ -120,7 +120,7 @@
 void ListsMayBeIndented() {
   EventLoop loop;
   WatcherFixture fixture(loop, false);
-  Until(loop, [&] { return !fixture.requests.empty(); });
+  RunUntil(loop, [&] { return !fixture.requests.empty(); });
   fixture.last_request().StartChunks();
   const std::string indented =
       "\n{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    {\n      \"uid\": "
@@ -132,7 +132,7 @@
       "]\n}\n\n";
   for (const char c : indented) fixture.last_request().Chunk(std::string(1, c));
   fixture.last_request().Chunk(List(43, "in_service") + List(44, "terminating"));  // and without a newline
-  Until(loop, [&] { return fixture.states.size() == 3; });
+  RunUntil(loop, [&] { return fixture.states.size() == 3; });
   assert(fixture.HasDrained() && fixture.watcher->revision() == 44 && fixture.requests.size() == 1);
 }
 
@@ -144,7 +144,7 @@
   for (WatcherFixture* each : {&pushed, &polled}) {
     each->respond = [](loadtest::Call& call) { call.StartChunks(); };
   }
-  Until(loop, [&] { return !pushed.requests.empty() && !polled.requests.empty(); });
+  RunUntil(loop, [&] { return !pushed.requests.empty() && !polled.requests.empty(); });
   RunFor(loop, 2500ms);  // longer than a request may stay without a response
   for (WatcherFixture* each : {&pushed, &polled}) {
     assert(each->requests.size() == 1 && each->last_request().Chunk("\n"));
@@ -163,15 +163,15 @@
   for (const std::string& text : malformed) {
     EventLoop loop;
     WatcherFixture fixture(loop, false);
-    Until(loop, [&] { return !fixture.requests.empty(); });
+    RunUntil(loop, [&] { return !fixture.requests.empty(); });
     fixture.last_request().StartChunks();
     fixture.last_request().Chunk(text);
     fixture.last_request().Chunk(List(43, "in_service") + "\n");  // nothing after it is trusted
-    Until(loop, [&] { return fixture.requests.size() == 2; });
+    RunUntil(loop, [&] { return fixture.requests.size() == 2; });
     assert(fixture.requests[1]->target.ends_with("after=41") && fixture.states.empty());
     fixture.last_request().StartChunks();
     fixture.last_request().Chunk(List(42, "terminating") + "\n");
-    Until(loop, [&] { return fixture.HasDrained(); });
+    RunUntil(loop, [&] { return fixture.HasDrained(); });
   }
 }
 
@@ -179,17 +179,17 @@
 void AResponseFromTheOldAddressIsIgnored() {
   EventLoop loop;
   WatcherFixture fixture(loop, false);
-  Until(loop, [&] { return !fixture.requests.empty(); });
+  RunUntil(loop, [&] { return !fixture.requests.empty(); });
   std::shared_ptr<loadtest::Call> at_new;
   loadtest::Listener other(loop, {"127.0.0.1", 0}, [&](const auto& call) { at_new = call; });
   fixture.last_request().StartChunks();
   fixture.last_request().Chunk(List(99, "in_service", true) + "\n");  // on its way
   fixture.watcher->ChangeAddress({"127.0.0.1", other.port()});
-  Until(loop, [&] { return at_new != nullptr; });
+  RunUntil(loop, [&] { return at_new != nullptr; });
   fixture.last_request().Chunk(List(100, "in_service", true) + "\n");
   at_new->StartChunks();
   at_new->Chunk(List(42, "terminating") + "\n");
-  Until(loop, [&] { return !fixture.states.empty(); });
+  RunUntil(loop, [&] { return !fixture.states.empty(); });
   assert(fixture.states.size() == 1 && fixture.HasDrained() && fixture.watcher->revision() == 42);
 }
 
@@ -199,13 +199,13 @@
   WatcherFixture lags(loop, false);
   WatcherFixture anew(loop, false);
   for (WatcherFixture* fixture : {&lags, &anew}) {
-    Until(loop, [&] { return !fixture->requests.empty(); });
+    RunUntil(loop, [&] { return !fixture->requests.empty(); });
     fixture->last_request().StartChunks();
     fixture->last_request().Chunk(List(40, "in_service", true) + "\n");
   }
   lags.last_request().Chunk(List(41, "terminating") + "\n");
   const auto started_at = Clock::now();
-  Until(loop, [&] { return !lags.states.empty(); });
+  RunUntil(loop, [&] { return !lags.states.empty(); });
   assert(lags.HasDrained() && lags.states.size() == 1);
   const std::size_t requests_before = anew.requests.size();
   anew.respond = [](loadtest::Call& call) {
@@ -218,7 +218,7 @@
     keep_alive.Schedule(1s);
   });
   keep_alive.Schedule(1s);
-  Until(loop, [&] { return !anew.states.empty(); });
+  RunUntil(loop, [&] { return !anew.states.empty(); });
   // It counts as announced 4 s after a move, and binds 2 s later.
   assert(Clock::now() - started_at < 6s && anew.HasDrained() && anew.watcher->revision() == 2);
   assert(anew.requests.size() > requests_before && lags.requests.size() == 1);
@@ -247,11 +247,11 @@
     int update_count = 0;
     EndpointListWatcher watcher(
         loop, {"127.0.0.1", port}, site, 0, 1, [&](const EndpointListUpdate&) { ++update_count; }, log);
-    Until(loop, [&] { return !peer.fds.empty(); });
+    RunUntil(loop, [&] { return !peer.fds.empty(); });
     assert(::send(peer.fds[0].get(), head.data(), head.size(), MSG_NOSIGNAL) > 0);
     const std::string more(65536, '{');
     std::size_t sent_bytes = 0;
-    Until(loop, [&] {
+    RunUntil(loop, [&] {
       const ssize_t size = ::send(peer.fds[0].get(), more.data(), more.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
       sent_bytes += size > 0 ? static_cast<std::size_t>(size) : 0;
       return peer.fds.size() > 1;  // it was given up and requested again
@@ -279,20 +279,20 @@
     notifications.Notify(message);
   };
   notify(1);
-  Until(loop, [&] { return posts.size() == 1; });
+  RunUntil(loop, [&] { return posts.size() == 1; });
   notify(2);
   // The agent does nothing until the batch is given up and the next one, with both, was posted.
-  Until(loop, [&] { return posts.size() == 2; });
+  RunUntil(loop, [&] { return posts.size() == 2; });
   posts[0]->Answer(204);
   notify(3);
   RunFor(loop, 50ms);  // nothing can come of it, so there is nothing to wait for
   assert(acknowledged.empty() && posts[1]->body.find("m2") != std::string::npos);
   posts[1]->Answer(204);
-  Until(loop, [&] { return posts.size() == 3; });
+  RunUntil(loop, [&] { return posts.size() == 3; });
   assert(acknowledged == (std::vector<std::uint64_t>{1, 2}) &&
          posts[2]->body.find("m3") != std::string::npos);
   posts[2]->Answer(204);
-  Until(loop, [&] { return notifications.idle(); });
+  RunUntil(loop, [&] { return notifications.is_idle(); });
 }
 
 }  // namespace
--- a/tests/net/endpoint_pool_races_test.cpp
+++ b/tests/net/endpoint_pool_races_test.cpp
@@ -61,7 +61,7 @@
   }
   FileDescriptor WaitForConnection() {
     FileDescriptor fd;
-    Until(loop, [&] { return (fd = FileDescriptor(endpoint.Accept())).get() >= 0; });
+    RunUntil(loop, [&] { return (fd = FileDescriptor(endpoint.Accept())).get() >= 0; });
     return fd;
   }
   FileDescriptor CallOnNewConnection(std::uint64_t number) {
@@ -72,11 +72,11 @@
   }
   void WaitForCall(const FileDescriptor& fd) {
     std::string received;
-    Until(loop, [&] { return (received += Receive(fd)).ends_with("\r\n\r\n"); });
+    RunUntil(loop, [&] { return (received += Receive(fd)).ends_with("\r\n\r\n"); });
     assert(received.starts_with("POST /hook "));
   }
   Outcome WaitForOutcome(std::uint64_t number) {
-    Until(loop, [&] { return outcomes.contains(number); });
+    RunUntil(loop, [&] { return outcomes.contains(number); });
     return outcomes.at(number);
   }
   EventLoop loop;
@@ -84,7 +84,7 @@
   std::map<std::uint64_t, Outcome> outcomes;
   Duration last_retry_after{0};  // in the last result
   EndpointPool pool{loop, {1500ms, 15s, 8, 8}, [this](const CallResult& result) {
-                      assert(outcomes.emplace(result.number, result.outcome).second);
+                      assert(outcomes.emplace(result.message_number, result.outcome).second);
                       last_retry_after = result.retry_after;
                     }};
   Request request;
@@ -182,7 +182,7 @@
     fixture.pool.CancelCall(number);
     std::string end = "-";
     if (number == 12) {  // written when the endpoint sees that the call was abandoned
-      Until(fixture.loop, [&] { return ::recv(fd.get(), end.data(), 1, MSG_DONTWAIT) == 0; });
+      RunUntil(fixture.loop, [&] { return ::recv(fd.get(), end.data(), 1, MSG_DONTWAIT) == 0; });
       MustSend(fd, wait);
     }
     assert(fixture.WaitForOutcome(number) == Outcome::kCancelled && fixture.last_retry_after == 400ms);
@@ -253,20 +253,20 @@
   world.Start();
   world.Post("pedido", "late");
   FileDescriptor fd;
-  Until(world.loop, [&] { return (fd = FileDescriptor(endpoint.Accept())).get() >= 0; });
+  RunUntil(world.loop, [&] { return (fd = FileDescriptor(endpoint.Accept())).get() >= 0; });
   std::string received;
-  Until(world.loop,
+  RunUntil(world.loop,
         [&] { return (received += Receive(fd)).find("X-Request-Id: late\r\n") != received.npos; });
   const auto first = std::chrono::steady_clock::now();
   endpoint.StallConnects();
   ResetConnection(fd);  // it may have run: the retry waits for its connection
-  Until(world.loop, [&] { return std::chrono::steady_clock::now() > first + 650ms; });
+  RunUntil(world.loop, [&] { return std::chrono::steady_clock::now() > first + 650ms; });
   endpoint.ResumeConnects();
   std::string second;
-  Until(world.loop, [&] {
+  RunUntil(world.loop, [&] {
     if (fd.get() < 0) fd = FileDescriptor(endpoint.Accept());
     if (fd.get() >= 0) second += Receive(fd);
-    return !second.empty() || world.agent.Told("\"late\"");
+    return !second.empty() || world.agent.HasNotice("\"late\"");
   });
   assert(second.empty());
 }
--- a/tests/net/http_server_races_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -57,11 +57,11 @@
   // An idle one.
   Client& ConnectAnswered() {
     Client& client = Connect(kRequest);
-    Until(loop, [&] { return client.ResponseCount() == 1; });
+    RunUntil(loop, [&] { return client.ResponseCount() == 1; });
     return client;
   }
   void WaitForEnd(Client& client) {
-    Until(loop, [&] {
+    RunUntil(loop, [&] {
       client.Received();
       return client.has_ended || client.was_reset;
     });
@@ -106,7 +106,7 @@
   fixture.server.CloseBetweenRequests();
   assert(client.Send(kRequest));
   fixture.WaitForEnd(client);
-  Until(fixture.loop, [&] { return fixture.server.connections() == 0; });
+  RunUntil(fixture.loop, [&] { return fixture.server.connection_count() == 0; });
   assert(client.ResponseCount() == 1 && fixture.request_count == 1);
 }
 
@@ -116,13 +116,13 @@
   Client& idle = fixture.ConnectAnswered();
   Client& active = fixture.ConnectAnswered();
   const auto begun = std::chrono::steady_clock::now();
-  Until(fixture.loop, [&] {
+  RunUntil(fixture.loop, [&] {
     // Just before the timeout, without a round of the loop until after it.
     if (std::chrono::steady_clock::now() < begun + 3900ms) return false;
     while (std::chrono::steady_clock::now() < begun + 4100ms) continue;
     return active.Send(kRequest);
   });
-  Until(fixture.loop, [&] { return active.ResponseCount() == 2; });
+  RunUntil(fixture.loop, [&] { return active.ResponseCount() == 2; });
   fixture.WaitForEnd(idle);
   assert(idle.ResponseCount() == 1 && !active.has_ended);
 }
@@ -133,13 +133,13 @@
   for (int i = 0; i < 5; ++i) fixture.Connect(i < 4 ? kRequest : "");
   fixture.server.StopListening();
   fixture.server.CloseBetweenRequests();
-  Until(fixture.loop, [&] {
+  RunUntil(fixture.loop, [&] {
     return std::all_of(fixture.clients.begin(), fixture.clients.end() - 1,
                        [](const auto& client) { return client->ResponseCount() == 1; });
   });
   Client& late = *fixture.clients.back();  // it has sent nothing yet, and does now
   assert(!late.has_ended && late.Send(kRequest));
-  Until(fixture.loop, [&] { return late.ResponseCount() == 1; });
+  RunUntil(fixture.loop, [&] { return late.ResponseCount() == 1; });
   for (const auto& client : fixture.clients) fixture.WaitForEnd(*client);
 }
 
@@ -148,7 +148,7 @@
   ServerFixture fixture;
   fixture.hold_requests = true;
   Client& client = fixture.Connect("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
-  Until(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
+  RunUntil(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
   assert(client.Send(kRequest + kRequest));
   fixture.held_exchanges[0]->Respond(200);
   fixture.WaitForEnd(client);
@@ -162,11 +162,11 @@
     ServerFixture fixture;
     fixture.hold_requests = true;
     Client& client = fixture.Connect(kRequest);
-    Until(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
+    RunUntil(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
     if (resets) client.Reset();
     if (!resets) fixture.clients.clear();
     fixture.held_exchanges[0]->Respond(200, std::string(100, 'x'));  // before the server knows
-    Until(fixture.loop, [&] { return fixture.server.connections() == 0; });
+    RunUntil(fixture.loop, [&] { return fixture.server.connection_count() == 0; });
     assert(!fixture.held_exchanges[0]->Respond(200));
   }
 }
@@ -176,7 +176,7 @@
   ServerFixture fixture;
   Client& client = fixture.ConnectAnswered();
   assert(client.Send(kRequest.substr(0, 10)));
-  Until(fixture.loop, [&] { return client.ResponseCount() == 2; });
+  RunUntil(fixture.loop, [&] { return client.ResponseCount() == 2; });
   assert(client.Received().find("HTTP/1.1 408 ") != std::string::npos);
   client.Send(kRequest);
   fixture.WaitForEnd(client);
@@ -187,7 +187,7 @@
 // listener's queue and an endpoint that hangs. Every request that was read is answered, in time.
 void ShutdownAnswersEveryRequestReceived() {
   World world;
-  world.endpoints[0]->otherwise = 0;
+  world.endpoints[0]->default_status = 0;
   world.Start();
   const auto message = [](const std::string& id) {
     return "POST /aviso HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id +
@@ -198,8 +198,8 @@
   Client unread(world.dispatcher->port());
   assert(idle.Send(message("idle")) && half.Send(message("half").substr(0, 40)) &&
          unread.Send(message("first")));
-  Until(world.loop,
-        [&] { return idle.ResponseCount() == 1 && unread.ResponseCount() == 1 && world.Calls() == 2; });
+  RunUntil(world.loop,
+        [&] { return idle.ResponseCount() == 1 && unread.ResponseCount() == 1 && world.CountCalls() == 2; });
   assert(unread.Send(message("unread")));
   Client queued(world.dispatcher->port());
   assert(queued.Send(message("queued")));
@@ -213,12 +213,12 @@
     client->Received();
     assert(client->has_ended && !client->was_reset);
   }
-  assert(idle.ResponseCount() == 1 && world.CallsOf("late") == 0);  // it came after the end, unread
+  assert(idle.ResponseCount() == 1 && world.CountCallsOf("late") == 0);  // it came after the end, unread
   assert(half.ResponseCount() == 1 && unread.ResponseCount() == 2 && queued.ResponseCount() == 1);
   world.endpoints[0]->Release();
   world.Start();  // accepted messages are in the journal
-  Until(world.loop, [&] {
-    return world.CallsOf("half") > 0 && world.CallsOf("unread") > 0 && world.CallsOf("queued") > 0;
+  RunUntil(world.loop, [&] {
+    return world.CountCallsOf("half") > 0 && world.CountCallsOf("unread") > 0 && world.CountCallsOf("queued") > 0;
   });
 }
 
--- a/tests/pipeline/durability_test.cpp
+++ b/tests/pipeline/durability_test.cpp
@@ -11,14 +11,14 @@
 constexpr int kPagamento = 2;
 
 struct DurabilityTest : testing::Test {
-  std::unique_ptr<Whole> MakeNode(const JournalSettings& settings = SmallJournal()) {
-    return std::make_unique<Whole>(files, clock, config, settings);
+  std::unique_ptr<PipelineNode> MakeNode(const JournalSettings& settings = SmallJournal()) {
+    return std::make_unique<PipelineNode>(files, clock, config, settings);
   }
-  static const Message& MessageOf(Whole& node, const CallRequest& call) {
-    return *node.ledger.Find(call.number);
+  static const Message& MessageOf(PipelineNode& node, const CallRequest& call) {
+    return *node.messages.Find(call.message_number);
   }
 
-  const Config config = OneEndpoint();
+  const Config config = ConfigWithOneEndpoint();
   FaultInjectingFileSystem files;
   TestClock clock;
 };
@@ -35,32 +35,32 @@
 
   bool is_full = true;
   int appends = 0;
-  const std::unique_ptr<Whole> node = MakeNode();
+  const std::unique_ptr<PipelineNode> node = MakeNode();
 };
 
 TEST_F(FullDiskTest, CallWaitsAndNewMessagesAreRejected) {
   EXPECT_TRUE(node->calls.empty());
   EXPECT_FALSE(node->journal.is_writable());
-  EXPECT_EQ(node->ledger.pending_count(), 1);
+  EXPECT_EQ(node->messages.pending_count(), 1);
   node->Submit(kPagamento, "later");
   EXPECT_EQ(node->responses.at("later").status, AdmissionStatus::kRejected);
   EXPECT_EQ(node->responses.at("later").retry_after, std::chrono::seconds(1));
-  node->Pass(std::chrono::seconds(2));
+  node->AdvanceTime(std::chrono::seconds(2));
   EXPECT_TRUE(node->calls.empty());
-  EXPECT_TRUE(node->told.empty());
+  EXPECT_TRUE(node->notified.empty());
 }
 
 TEST_F(FullDiskTest, DeliveryResumesByItselfOnceThereIsSpace) {
   node->Submit(kPagamento, "later");
-  node->Pass(std::chrono::seconds(2));
+  node->AdvanceTime(std::chrono::seconds(2));
   is_full = false;
-  node->Pass(std::chrono::seconds(4));
+  node->AdvanceTime(std::chrono::seconds(4));
   EXPECT_TRUE(node->journal.is_writable());
   ASSERT_EQ(node->calls.size(), 1U);
   EXPECT_EQ(node->responses.at("p").status, AdmissionStatus::kAccepted);
   EXPECT_EQ(MessageOf(*node, node->calls[0]).first_uncertain_attempt, std::nullopt);
-  node->Finish(Outcome::kOk);
-  EXPECT_EQ(node->ledger.size(), 0U);
+  node->CompleteCall(Outcome::kOk);
+  EXPECT_EQ(node->messages.size(), 0U);
   node->Submit(kPagamento, "again");
   EXPECT_EQ(node->responses.at("again").status, AdmissionStatus::kAccepted);
   EXPECT_EQ(node->calls.size(), 1U);
@@ -74,28 +74,28 @@
     files.plan = [](std::uint64_t, std::string_view operation) {
       return Step{operation == "append" ? Fault::kError : Fault::kNone, ENOSPC};
     };
-    node->Finish(Outcome::kReset);  // may have run, so the client has to be notified
-    node->Pass(std::chrono::seconds(9));
+    node->CompleteCall(Outcome::kReset);  // may have run, so the client has to be notified
+    node->AdvanceTime(std::chrono::seconds(9));
   }
 
-  std::unique_ptr<Whole> node = MakeNode();
+  std::unique_ptr<PipelineNode> node = MakeNode();
 };
 
 TEST_F(FullDiskAtCompletionTest, ClientIsNotifiedOnceAfterTheCompletionIsRecorded) {
-  EXPECT_TRUE(node->told.empty());
-  EXPECT_EQ(node->ledger.pending_count(), 0);
-  EXPECT_EQ(node->ledger.size(), 1U);
+  EXPECT_TRUE(node->notified.empty());
+  EXPECT_EQ(node->messages.pending_count(), 0);
+  EXPECT_EQ(node->messages.size(), 1U);
 
   files.plan = nullptr;
-  node->Pass(std::chrono::seconds(4));
-  ASSERT_EQ(node->told.size(), 1U);
-  node->chain.completion_handler.OnNotificationAcknowledged(node->told.front());
-  EXPECT_EQ(node->ledger.size(), 0U);
+  node->AdvanceTime(std::chrono::seconds(4));
+  ASSERT_EQ(node->notified.size(), 1U);
+  node->pipeline.completion_handler.OnNotificationAcknowledged(node->notified.front());
+  EXPECT_EQ(node->messages.size(), 0U);
 
   node.reset();
   files.Restart();
   node = MakeNode();
-  EXPECT_EQ(node->ledger.size(), 0U);
+  EXPECT_EQ(node->messages.size(), 0U);
 }
 
 struct SyncedClassTest : DurabilityTest {
@@ -105,7 +105,7 @@
 };
 
 TEST_F(SyncedClassTest, ResponseCallAndNotificationWaitForTheDiskAndOtherClassesDoNot) {
-  const std::unique_ptr<Whole> node = MakeNode(settings);
+  const std::unique_ptr<PipelineNode> node = MakeNode(settings);
   node->Submit(kAviso, "a");
   EXPECT_TRUE(node->responses.contains("a"));
   EXPECT_EQ(node->calls.size(), 1U);
@@ -113,31 +113,31 @@
   EXPECT_FALSE(node->responses.contains("p"));
   EXPECT_EQ(node->calls.size(), 1U);
 
-  node->Pass(settings.group_commit_delay);
+  node->AdvanceTime(settings.group_commit_delay);
   EXPECT_EQ(node->syncs.size(), 1U);
   EXPECT_FALSE(node->responses.contains("p"));
   node->CompleteSyncs();
   EXPECT_EQ(node->responses.at("p").status, AdmissionStatus::kAccepted);
   ASSERT_EQ(node->calls.size(), 2U);
 
-  node->Finish(Outcome::kOk);
-  node->Finish(Outcome::kReset);
-  node->Pass(std::chrono::milliseconds(1));
-  EXPECT_TRUE(node->told.empty());
-  node->Pass(settings.group_commit_delay);
+  node->CompleteCall(Outcome::kOk);
+  node->CompleteCall(Outcome::kReset);
+  node->AdvanceTime(std::chrono::milliseconds(1));
+  EXPECT_TRUE(node->notified.empty());
+  node->AdvanceTime(settings.group_commit_delay);
   node->CompleteSyncs();
-  EXPECT_EQ(node->told.size(), 1U);
+  EXPECT_EQ(node->notified.size(), 1U);
 }
 
 TEST_F(SyncedClassTest, AttemptThatWaitedTooLongForTheDiskIsDecidedAnew) {
-  const std::unique_ptr<Whole> node = MakeNode(settings);
+  const std::unique_ptr<PipelineNode> node = MakeNode(settings);
   node->Submit(kPagamento, "slow");
-  node->Pass(settings.group_commit_delay);
+  node->AdvanceTime(settings.group_commit_delay);
   clock.now += std::chrono::milliseconds(80);
   node->CompleteSyncs();
   EXPECT_TRUE(node->calls.empty() || MessageOf(*node, node->calls[0]).attempts == 2);
   for (int i = 0; i < 4 && node->calls.empty(); ++i) {
-    node->Pass(std::chrono::milliseconds(20));
+    node->AdvanceTime(std::chrono::milliseconds(20));
     node->CompleteSyncs();
   }
   ASSERT_EQ(node->calls.size(), 1U);
--- a/tests/pipeline/pipeline_node.h
+++ b/tests/pipeline/pipeline_node.h
@@ -18,17 +18,17 @@
 
 namespace sagetally {
 
-struct Whole : EndpointClient, Notifier, Scheduler, JournalHost {
+struct PipelineNode : EndpointClient, Notifier, Scheduler, JournalHost {
   // `on_notified` is called for each notification, and may be empty.
-  Whole(FaultInjectingFileSystem& files, TestClock& clock, const Config& config,
+  PipelineNode(FaultInjectingFileSystem& files, TestClock& clock, const Config& config,
         const JournalSettings& settings, std::function<void(const Message&)> on_notified = {})
       : clock(clock),
         on_notified(std::move(on_notified)),
-        journal(files, settings, ledger, clock, log, *this),
-        figures(config.site.classes),
-        chain(config.site, /*seed=*/1, ledger, journal, *this, *this, *this, clock, nullptr, &figures) {
-    chain.router.OnEndpointListUpdate(config.cached_endpoint_list);
-    chain.ResumeAfterRestart();
+        journal(files, settings, messages, clock, log, *this),
+        metrics(config.site.classes),
+        pipeline(config.site, /*seed=*/1, messages, journal, *this, *this, *this, clock, nullptr, &metrics) {
+    pipeline.router.OnEndpointListUpdate(config.cached_endpoint_list);
+    pipeline.ResumeAfterRestart();
   }
 
   void StartCall(const CallRequest& call) override { calls.push_back(call); }
@@ -38,7 +38,7 @@
   void UpdateEndpoint(const EndpointUpdate&) override {}
   void RemoveEndpoint(const std::string&) override {}
   void Notify(const Message& message) override {
-    told.push_back(message.number);
+    notified.push_back(message.number);
     if (on_notified) on_notified(message);
   }
   void SchedulePolicyRun() override { policy_run_due = true; }
@@ -53,16 +53,16 @@
   void OnFenced() override {}
 
   // Does all that is due now.
-  void Settle() {
+  void RunPending() {
     while (policy_run_due || journal_has_progressed) {
-      if (std::exchange(journal_has_progressed, false)) chain.OnJournalProgress();
-      if (std::exchange(policy_run_due, false)) chain.RunPolicy();
+      if (std::exchange(journal_has_progressed, false)) pipeline.OnJournalProgress();
+      if (std::exchange(policy_run_due, false)) pipeline.RunPolicy();
     }
   }
   // Advances the clock by `duration`, firing timers at their times.
-  void Pass(Duration duration) {
+  void AdvanceTime(Duration duration) {
     const Time end = clock.now + duration;
-    for (Settle(); std::min(policy_timer, journal_timer) <= end; Settle()) {
+    for (RunPending(); std::min(policy_timer, journal_timer) <= end; RunPending()) {
       clock.now = std::max(clock.now, std::min(policy_timer, journal_timer));
       if (journal_timer <= clock.now) {
         journal_timer = Time::max();
@@ -70,7 +70,7 @@
       }
       if (policy_timer <= clock.now) {
         policy_timer = Time::max();
-        chain.router.QueueEvent(TimerFired{});
+        pipeline.router.QueueEvent(TimerFired{});
       }
     }
     clock.now = end;
@@ -83,25 +83,25 @@
     request.message_class = message_class;
     request.destination = 7;
     request.time_left = std::chrono::seconds(8);
-    chain.validator.Submit({request}, [this, id](const AdmissionResult& result) {
+    pipeline.request_validator.Submit({request}, [this, id](const AdmissionResult& result) {
       responses[id] = result;
       return true;
     });
-    Settle();
+    RunPending();
   }
   // Completes the oldest call.
-  void Finish(Outcome outcome, bool completed = false) {
+  void CompleteCall(Outcome outcome, bool completed = false) {
     CallResult result;
-    result.number = calls.front().number;
+    result.message_number = calls.front().message_number;
     result.outcome = outcome;
-    result.completed = completed;
+    result.message_expired = completed;
     calls.erase(calls.begin());
-    chain.outcome_handler.OnCallResult(result);
-    Settle();
+    pipeline.outcome_handler.OnCallResult(result);
+    RunPending();
   }
   void CompleteSyncs() {
     for (const PendingSync& sync : std::exchange(syncs, {})) sync.done(sync.file->Sync());
-    Settle();
+    RunPending();
   }
 
   struct PendingSync {
@@ -111,22 +111,22 @@
 
   TestClock& clock;
   Logger log{LogOptions{LogFormat::kText, static_cast<LogLevel>(9)}};
-  MessageTable ledger;
+  MessageTable messages;
   bool policy_run_due = false;
   bool journal_has_progressed = false;
   Time policy_timer = Time::max();
   Time journal_timer = Time::max();
   std::vector<PendingSync> syncs;
   std::vector<CallRequest> calls;
-  std::vector<std::uint64_t> told;
+  std::vector<std::uint64_t> notified;
   std::function<void(const Message&)> on_notified;
   std::map<std::string, AdmissionResult> responses;  // by request id
   SegmentJournal journal;
-  Metrics figures;
-  MessagePipeline chain;
+  Metrics metrics;
+  MessagePipeline pipeline;
 };
 
-inline Config OneEndpoint() {
+inline Config ConfigWithOneEndpoint() {
   World world(/*endpoints=*/0, /*slots=*/4, /*most_held=*/40);
   world.ports = {9};
   return ParseConfig(world.ConfigText(), [](const char*) { return nullptr; });
