--- a/tests/dead_letter/redrive_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -58,8 +58,9 @@
     } catch (const RuleError& error) {
       said = error.what();
     }
-    if (said.find(expected) == said.npos)
+    if (said.find(expected) == said.npos) {
       std::fprintf(stderr, "%s\n  said %s\n  not  %s\n", text, said.c_str(), expected);
+    }
     assert(said.find(expected) != said.npos);
   }
   std::string said;
@@ -122,7 +123,7 @@
 
 void PolicyForbidsWhatCouldTakeEffectTwice() {
   const ReviewSettings settings = ThreeClasses();
-  const auto reason = [&](DeadLetter dead_letter, Timestamp now, bool redrive_deferred = true) {
+  const auto reason = [&](const DeadLetter& dead_letter, Timestamp now, bool redrive_deferred = true) {
     RedrivePolicySettings policy = settings.policy;
     policy.redrive_deferred = redrive_deferred;
     return DecideRedrive(dead_letter, settings.FindClass(dead_letter.class_name), policy, now).reason;
--- a/tests/dead_letter/store_test.cpp
+++ b/tests/dead_letter/store_test.cpp
@@ -55,7 +55,9 @@
     const Database::Page page = db.List(filter, now, std::nullopt, 1000);
     RC_ASSERT(page.messages.size() == expected);
     RC_ASSERT(db.Count(filter, now) == static_cast<std::int64_t>(expected));
-    for (const DeadLetter& dead_letter : page.messages) RC_ASSERT(Matches(filter, dead_letter, now));
+    for (const DeadLetter& dead_letter : page.messages) {
+      RC_ASSERT(Matches(filter, dead_letter, now));
+    }
   }));
 }
 
