--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -119,8 +119,9 @@
     const bool client_leaves = Draw(6) == 0;
     node_->chain.validator.Submit(std::move(requests),
                                   [this, ids, client_leaves](const AdmissionResult& result) {
-                                    for (const std::string& id : ids)
+                                    for (const std::string& id : ids) {
                                       OnAdmission(messages_.at(id), result, client_leaves);
+                                    }
                                     return !client_leaves;
                                   });
     node_->Settle();
--- a/tests/admin/readiness_test.cpp
+++ b/tests/admin/readiness_test.cpp
@@ -55,7 +55,7 @@
   assert(HandleAdminRequest(ParseAdminRequest("NO\n"), only_status).starts_with("error "));
 }
 
-void ReadinessFollowsPausesAndShutdown() {
+void PauseDrainsUntilResumed() {
   Readiness readiness;
   assert(!readiness.IsReady() && !readiness.IsAccepting(0s) && readiness.StatusWord(0, 0) == "starting");
   readiness.OnStarted();
@@ -71,7 +71,12 @@
   assert(readiness.Resume() && readiness.IsReady() && readiness.Resume());  // while draining, and once more
   assert(!readiness.IsClosingConnections() && readiness.IsAccepting(99s));
   assert(readiness.Pause(20s) && readiness.IsAccepting(20s) && readiness.Resume());
-  // After a handover or a shutdown there is no way back.
+}
+
+// There is no way back.
+void HandoverAndShutdownAreFinal() {
+  Readiness readiness;
+  readiness.OnStarted();
   readiness.Pause(29s);
   readiness.HandOver();
   assert(!readiness.IsReady() && readiness.IsClosingConnections() && !readiness.Pause(30s) &&
@@ -81,7 +86,10 @@
          !readiness.IsAccepting(30s));
   readiness.HandOver();
   assert(readiness.phase() == Readiness::Phase::kStopping);
-  // A shutdown accepts for as long as a drain does, counted from whichever came first.
+}
+
+// The time counts from whichever came first.
+void ShutdownAcceptsForAsLongAsADrain() {
   Readiness stopping;
   Readiness paused;
   stopping.OnStarted();
@@ -94,7 +102,9 @@
   paused.Pause(40s);
   paused.Stop(41s);
   assert(paused.IsAccepting(41s) && !paused.IsAccepting(40s + Readiness::kAcceptDuration));
-  // A pause before the start takes effect at the start, unless it is resumed before.
+}
+
+void PauseBeforeTheStartHoldsUnlessResumed() {
   Readiness paused_early;
   assert(paused_early.Pause(1s) && paused_early.phase() == Readiness::Phase::kStarting);
   paused_early.OnStarted();
@@ -136,7 +146,10 @@
 int main() {
   using namespace sagetally;
   OnlyExactRequestLinesAreParsed();
-  ReadinessFollowsPausesAndShutdown();
+  PauseDrainsUntilResumed();
+  HandoverAndShutdownAreFinal();
+  ShutdownAcceptsForAsLongAsADrain();
+  PauseBeforeTheStartHoldsUnlessResumed();
   EachCompletionMovesOneCounter();
-  std::puts("3 passed, 0 failed");
+  std::puts("6 passed, 0 failed");
 }
--- a/tests/config/format_error_test.cpp
+++ b/tests/config/format_error_test.cpp
@@ -72,19 +72,20 @@
     const char* expected;
     const char* found;
   } table[] = {
-      {"\"sockets\":64", "\"sockets\":9", "limits: 'sockets' must be 64 at least", "limits.sockets",
+      {R"("sockets":64)", R"("sockets":9)", "limits: 'sockets' must be 64 at least", "limits.sockets",
        "64 at least", "9"},
-      {"\"callsOut\":8", "\"callsOut\":\"x\"", "settings: wrong type of 'callsOut'", "settings.callsOut",
+      {R"("callsOut":8)", R"("callsOut":"x")", "settings: wrong type of 'callsOut'", "settings.callsOut",
        "a whole number in its range", "a string"},
-      {"\"callsOut\":8", "\"callsOut\":1.5", "settings: wrong type of 'callsOut'", "settings.callsOut",
+      {R"("callsOut":8)", R"("callsOut":1.5)", "settings: wrong type of 'callsOut'", "settings.callsOut",
        "a whole number in its range", "a number"},
-      {"\"slo\":1,", "", "settings: missing field 'slo'", "settings.slo", "a value", "nothing"},
-      {"\"pure\"", "\"holy\"", "settings: unknown idempotency 'holy'", "settings.idempotency",
+      {R"("slo":1,)", "", "settings: missing field 'slo'", "settings.slo", "a value", "nothing"},
+      {R"("pure")", R"("holy")", "settings: unknown idempotency 'holy'", "settings.idempotency",
        "one of pure, token, side_effect", "holy"},
       {"127.0.0.1:0", "a.test:80", "listen: 'a.test:80' is no address", "listen",
        "an IPv4 address in numbers and a port", "a.test:80"},
-      {"\"settings\":", "\"other\":", "settings: missing field 'settings'", "settings", "a value", "nothing"},
-      {"\"limits\":{\"sockets\":64}", "\"limits\":[]", "limits: no object around 'disk_mb'", "limits.disk_mb",
+      {R"("settings":)", R"("other":)", "settings: missing field 'settings'", "settings", "a value",
+       "nothing"},
+      {R"("limits":{"sockets":64})", R"("limits":[])", "limits: no object around 'disk_mb'", "limits.disk_mb",
        "an object", "an array"},
   };
   for (const auto& row : table) {
@@ -95,7 +96,7 @@
 }
 
 void ConfigurationErrorsNameTheFile() {
-  const TemporaryFile file(Changed("\"name\":\"n0\"", "\"name\":7"));
+  const TemporaryFile file(Changed(R"("name":"n0")", R"("name":7)"));
   const auto environment = [&](const char* variable) -> const char* {
     return std::string(variable) == "BALANCER_CONFIG" ? file.path().c_str() : nullptr;
   };
@@ -109,7 +110,7 @@
 void NodeFileErrorsNameFilePointerExpectedAndFound() {
   const TemporaryFile file(R"({"journal":{"group_ms":"soon"}})");
   const auto error = Catch<ConfigError>([&] { ReadNodeFile(file.path()); });
-  assert(error.file() == file.path() && error.key() == "/journal/group_ms" && error.found() == "\"soon\"");
+  assert(error.file() == file.path() && error.key() == "/journal/group_ms" && error.found() == R"("soon")");
   assert(error.what() ==
          file.path() + ": " + error.key() + ": expected " + error.expected() + ", found " + error.found());
 }
