--- a/src/core/message.h
+++ b/src/core/message.h
@@ -1,5 +1,6 @@
 // The core's data: requests, messages, attempts, calls and endpoint lists. Plain values without behaviour;
-// wire and stored forms are the business of their codecs.
+// wire and stored forms are the business of their codecs. Core depends on the policy's interface and the
+// clock only; handover, pipeline and the adapters build upon it.
 #ifndef SAGETALLY_SRC_CORE_MESSAGE_H_
 #define SAGETALLY_SRC_CORE_MESSAGE_H_
 
--- a/src/handover/handover_state.h
+++ b/src/handover/handover_state.h
@@ -2,6 +2,7 @@
 // facts only, in a form that does not depend on what the dispatch policy of either version keeps.
 //
 // The handover session in src/app sends and receives these bytes. No I/O here, and no state between calls.
+// The directory depends on core and base only; the pipeline fills the attempt history without knowing of it.
 #ifndef SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
 #define SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
 
