--- a/bench/loadtest_limits.sh
+++ b/bench/loadtest_limits.sh
@@ -15,8 +15,8 @@
 if [ "$what" = generator ]; then
   taskset -c 3 "$lab" standin front >front.log 2>&1 &
   pids+=($!)
-  wait_for front.ready front.log
-  port=$(sed -n 's/.* front.ready port=//p' front.log)
+  wait_for frontend.ready front.log
+  port=$(sed -n 's/.* frontend.ready port=//p' front.log)
   for cores in 0 0,1; do
     threads=$(( (${#cores} + 1) / 2 ))
     echo "generator on $threads core(s), stand-in front on one:"
--- a/src/loadtest/cli.h
+++ b/src/loadtest/cli.h
@@ -4,9 +4,9 @@
 
 namespace sagetally::loadtest {
 
-// Runs the command and returns the exit code: 0, 1 for a failure (a broken rule, a run that is not valid, a
-// file that can't be used), 2 for wrong usage.
-int RunLab(int argc, const char* const* argv);
+// Runs the given command and returns the exit code: 0; 1 if a rule was violated or a run is not valid; 2 for
+// wrong usage. Throws std::runtime_error for a file that can't be used.
+int RunLoadtest(int argc, const char* const* argv);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/clock.h
+++ b/src/loadtest/clock.h
@@ -1,4 +1,5 @@
-// The time of runs and sightings: microseconds of the machine's monotonic clock, which its processes share.
+// The clock of runs and observations: microseconds of the machine's monotonic clock, which all its processes
+// share.
 #ifndef SAGETALLY_SRC_LOADTEST_CLOCK_H_
 #define SAGETALLY_SRC_LOADTEST_CLOCK_H_
 
--- a/src/loadtest/demo/child.cpp
+++ b/src/loadtest/demo/child.cpp
@@ -8,17 +8,24 @@
 #include <csignal>
 #include <fstream>
 #include <stdexcept>
+#include <string_view>
 
 namespace sagetally::loadtest {
 namespace {
 
-int Code(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
+constexpr int kSignalExitCode = 128;  // as in shells, plus the signal's number
+constexpr int kCannotExecute = 127;
+
+int ExitCode(int status) {
+  return WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitCode + WTERMSIG(status);
+}
 
 }  // namespace
 
-Child::Child(std::vector<std::string> words, const std::string& folder, const std::string& log) : log_(log) {
+Child::Child(std::vector<std::string> arguments, const std::string& folder, const std::string& log)
+    : log_(log) {
   std::vector<char*> argv;
-  for (std::string& word : words) argv.push_back(word.data());
+  for (std::string& argument : arguments) argv.push_back(argument.data());
   argv.push_back(nullptr);
   const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (out < 0) throw std::runtime_error(log + ": can't be written");
@@ -26,12 +33,12 @@
   if (pid_ == 0) {  // only calls that are safe after a fork in a program with threads
     ::dup2(out, STDOUT_FILENO);
     ::dup2(out, STDERR_FILENO);
-    ::setpgid(0, 0);  // the terminal's interrupt is for the parent, which ends its children itself
+    ::setpgid(0, 0);  // a terminal's Ctrl-C goes to the parent alone, which ends its children itself
     sigset_t none{};
     ::sigemptyset(&none);
     ::sigprocmask(SIG_SETMASK, &none, nullptr);
     if (folder.empty() || ::chdir(folder.c_str()) == 0) ::execvp(argv[0], argv.data());
-    ::_exit(127);
+    ::_exit(kCannotExecute);
   }
   ::close(out);
   if (pid_ < 0) throw std::runtime_error("no child process can be started");
@@ -47,7 +54,7 @@
   int status = 0;
   if (pid_ <= 0) return false;
   if (::waitpid(pid_, &status, WNOHANG) != pid_) return true;
-  code_ = Code(status);
+  exit_code_ = ExitCode(status);
   pid_ = 0;
   return false;
 }
@@ -57,22 +64,25 @@
 }
 
 std::optional<std::uint16_t> ReadyPort(const std::string& log) {
+  constexpr std::string_view kPortField = " port=";
   std::ifstream file(log);
   for (std::string line; std::getline(file, line);) {
-    const std::size_t port = line.find(" port=");
-    if (line.find(" ready name=") != std::string::npos && port != std::string::npos && !file.eof())
-      return static_cast<std::uint16_t>(std::stoi(line.substr(port + 6)));
+    const std::size_t port = line.find(kPortField);
+    const bool is_complete = !file.eof();
+    if (line.find(" ready name=") != std::string::npos && port != std::string::npos && is_complete)
+      return static_cast<std::uint16_t>(std::stoi(line.substr(port + kPortField.size())));
   }
   return std::nullopt;
 }
 
 int Child::Wait() const {
   int status = 0;
-  if (pid_ <= 0) return code_;
+  if (pid_ <= 0) return exit_code_;
   while (::waitpid(pid_, &status, 0) < 0 && errno == EINTR) {
   }
   pid_ = 0;
-  return code_ = Code(status);
+  exit_code_ = ExitCode(status);
+  return exit_code_;
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/demo/demo.h
+++ b/src/loadtest/demo/demo.h
@@ -1,7 +1,9 @@
-// `sagetally-loadtest try`: everything that is needed to see sagetally work, on loopback, in one command.
+// The demonstration: all that is needed to see sagetally work, on loopback, in one command
+// (`sagetally-loadtest try`).
 #ifndef SAGETALLY_SRC_LOADTEST_DEMO_DEMO_H_
 #define SAGETALLY_SRC_LOADTEST_DEMO_DEMO_H_
 
+#include <cstdint>
 #include <functional>
 #include <iosfwd>
 #include <string>
@@ -10,19 +12,23 @@
 
 namespace sagetally::loadtest {
 
-struct TryOptions {
-  bool two_levels = false;
-  double seconds = 20, rate = 120;  // of messages a second at the height of it
-  bool outage = true;
+struct DemoOptions {
+  bool two_levels = false;  // forwarders and planners instead of one dispatcher
+  double seconds = 20;
+  double rate = 120;   // messages a second at the peak
+  bool outage = true;  // an outage of one partner and errors of another
   std::uint64_t seed = 1;
-  int forwarders = 2, planners = 2;   // with two levels
-  std::string program;                // empty: `sagetally` beside this one
-  std::string output = "try-report";  // a folder
-  std::function<bool()> stop;         // true: it is broken off
+  int forwarders = 2;                 // with two levels
+  int planners = 2;                   // with two levels
+  std::string program;                // empty: `sagetally` beside this program
+  std::string output = "try-report";  // folder of the report
+  std::function<bool()> stop;         // returns true to interrupt the demonstration
 };
 
-// Throws std::runtime_error if a part doesn't start; its log is named.
-Result Try(const TryOptions& options, std::ostream& out);
+// Starts stub servers and nodes, offers a load to them, waits for the final outcome of each message, stops
+// the nodes, writes the report and prints the result to `out`. Throws std::runtime_error if a node doesn't
+// start; the message holds the end of its log.
+RunResult RunDemo(const DemoOptions& options, std::ostream& out);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/interrupt.h
+++ b/src/loadtest/interrupt.h
@@ -1,4 +1,5 @@
-// Ctrl-C and SIGTERM as a question: they are blocked, and asked for where a run can be broken off in order.
+// Ctrl-C and SIGTERM as a condition to poll: the signals are blocked, so that a run is interrupted only where
+// it can end in order.
 #ifndef SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
 #define SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
 
@@ -9,7 +10,8 @@
 
 class Interrupt {
  public:
-  Interrupt() {  // before any thread starts, so that none of them is interrupted either
+  // Blocks the signals; created before any thread starts, so that threads inherit that.
+  Interrupt() {
     ::sigemptyset(&signals_);
     ::sigaddset(&signals_, SIGINT);
     ::sigaddset(&signals_, SIGTERM);
@@ -18,14 +20,16 @@
   ~Interrupt() { ::pthread_sigmask(SIG_UNBLOCK, &signals_, nullptr); }
   Interrupt(const Interrupt&) = delete;
   Interrupt& operator=(const Interrupt&) = delete;
-  bool Asked() {
-    const timespec none{};
-    return asked_ = asked_ || ::sigtimedwait(&signals_, nullptr, &none) > 0;
+  // Whether one of the signals has come so far.
+  bool Requested() {
+    const timespec no_wait{};
+    if (!requested_) requested_ = ::sigtimedwait(&signals_, nullptr, &no_wait) > 0;
+    return requested_;
   }
 
  private:
   sigset_t signals_{};
-  bool asked_ = false;
+  bool requested_ = false;
 };
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/client.cpp
+++ b/src/loadtest/load/client.cpp
@@ -22,181 +22,192 @@
 
 namespace http = boost::beast::http;
 
-double RetryAfter(const http::fields& fields) {
+// Seconds of the header; 0 if absent, unreadable or a day or more.
+double RetryAfterSeconds(const http::fields& fields) {
+  constexpr double kSecondsPerDay = 86400;
   const auto value = fields["Retry-After"];
   double seconds = 0;
   const auto read = std::from_chars(value.data(), value.data() + value.size(), seconds);
-  return read.ec == std::errc() && seconds > 0 && seconds < 86400 ? seconds : 0;
+  return read.ec == std::errc() && seconds > 0 && seconds < kSecondsPerDay ? seconds : 0;
 }
 
 }  // namespace
 
+// One connection. A failure is always reported from the event loop, never from within Send.
 class ClientConnection {
  public:
-  ClientConnection(Clients& clients, const Address& to)
+  ClientConnection(HttpClientPool& clients, const Address& to)
       : clients_(clients),
-        read_(event_new(clients.loop_.base(), socket_.get(), EV_READ | EV_PERSIST, Readable, this)),
-        write_(event_new(clients.loop_.base(), socket_.get(), EV_WRITE, Writable, this)),
-        give_up_(clients.loop_, [this] { End({.timed_out = !failed_}, false); }) {
+        read_event_(event_new(clients.loop_.base(), socket_.get(), EV_READ | EV_PERSIST, OnReadable, this)),
+        write_event_(event_new(clients.loop_.base(), socket_.get(), EV_WRITE, OnWritable, this)),
+        response_timer_(clients.loop_, [this] { Finish({.timed_out = !failed_}, false); }) {
     if (socket_.get() < 0) return;
     const int on = 1;
     ::setsockopt(socket_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(to.port);
-    ::inet_pton(AF_INET, to.host.c_str(), &at.sin_addr);
-    const int result = ::connect(socket_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(to.port);
+    ::inet_pton(AF_INET, to.host.c_str(), &address.sin_addr);
+    const int result = ::connect(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
     failed_ = result != 0 && errno != EINPROGRESS;
     connecting_ = result != 0;
-    if (!failed_) event_add(read_.get(), nullptr);
+    if (!failed_) event_add(read_event_.get(), nullptr);
   }
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  void Send(std::string request, Clients::Done done, bool again) {
+  void Send(std::string request, HttpClientPool::ResponseHandler on_response, bool is_resend) {
     request_ = std::move(request);
-    done_ = std::move(done);
+    on_response_ = std::move(on_response);
     written_ = 0;
-    again_ = again;
-    heard_ = false;
+    is_resend_ = is_resend;
+    received_bytes_ = false;
     parser_.emplace();
     parser_->eager(true);
-    if (clients_.answer_.count() > 0) give_up_.Schedule(clients_.answer_);
+    if (clients_.response_timeout_.count() > 0) response_timer_.Schedule(clients_.response_timeout_);
     if (socket_.get() < 0 || failed_) {
-      give_up_.Schedule(Duration(0));  // heard of from the loop, as any other failure is
+      response_timer_.Schedule(Duration(0));  // reports the failure from the loop
       return;
     }
     if (connecting_) {
-      event_add(write_.get(), nullptr);
+      event_add(write_event_.get(), nullptr);
     } else {
       Write();
     }
   }
-  bool busy() const { return static_cast<bool>(done_); }
+  bool busy() const { return static_cast<bool>(on_response_); }
 
  private:
   void Write() {
     while (written_ < request_.size()) {
-      const auto n =
+      const auto sent =
           ::send(socket_.get(), request_.data() + written_, request_.size() - written_, MSG_NOSIGNAL);
-      if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-        event_add(write_.get(), nullptr);
+      if (sent < 0 && (errno == EAGAIN || errno == EINTR)) {
+        event_add(write_event_.get(), nullptr);
         return;
       }
-      if (n < 0) return;  // the reading side hears why
-      written_ += static_cast<std::size_t>(n);
+      if (sent < 0) return;  // the next read reports the error
+      written_ += static_cast<std::size_t>(sent);
     }
   }
 
   void Read() {
     std::array<char, 16 * 1024> bytes;
-    const auto n = ::recv(socket_.get(), bytes.data(), bytes.size(), 0);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0 || !busy()) return Broke();  // closed, or bytes that nobody asked for
-    heard_ = true;
-    std::size_t used = 0;
-    while (used < static_cast<std::size_t>(n) && !parser_->is_done()) {
+    const auto received = ::recv(socket_.get(), bytes.data(), bytes.size(), 0);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
+    if (received <= 0 || !busy()) return OnConnectionLost();  // closed, or bytes without a request
+    received_bytes_ = true;
+    if (!parser_->is_done()) {
       boost::system::error_code error;
-      partial_.append(bytes.data() + used, static_cast<std::size_t>(n) - used);
-      used = static_cast<std::size_t>(n);
-      const std::size_t taken = parser_->put(boost::asio::buffer(partial_.data(), partial_.size()), error);
-      partial_.erase(0, taken);
-      if (error && error != http::error::need_more) return Broke();
+      partial_.append(bytes.data(), static_cast<std::size_t>(received));
+      const std::size_t consumed = parser_->put(boost::asio::buffer(partial_.data(), partial_.size()), error);
+      partial_.erase(0, consumed);
+      if (error && error != http::error::need_more) return OnConnectionLost();
     }
     if (!parser_->is_done()) return;
-    const auto& answer = parser_->get();
-    const Reply reply{answer.result_int() > 0 ? static_cast<int>(answer.result_int()) : 0, false,
-                      RetryAfter(answer)};
-    const bool keep = answer.keep_alive() && partial_.empty();
-    End(reply, keep);
+    const auto& response = parser_->get();
+    const int status = std::max(0, static_cast<int>(response.result_int()));
+    const bool keep_alive = response.keep_alive() && partial_.empty();
+    Finish({status, false, RetryAfterSeconds(response)}, keep_alive);
   }
 
-  // A kept connection that closes as a request crosses: sent once more on a new one.
-  void Broke() {
-    if (busy() && used_ && !again_ && !heard_) {
-      ++clients_.sent_twice_;
+  // A request that crosses the close of an idle connection is sent once more on a new one.
+  void OnConnectionLost() {
+    if (busy() && is_reused_ && !is_resend_ && !received_bytes_) {
+      ++clients_.resent_requests_;
       std::string request = std::move(request_);
-      Clients::Done done = std::exchange(done_, nullptr);
-      Leave();
-      clients_.Free(*this, false);
-      clients_.Open()->Send(std::move(request), std::move(done), true);
+      HttpClientPool::ResponseHandler on_response = std::exchange(on_response_, nullptr);
+      Disconnect();
+      clients_.Release(*this, false);
+      clients_.Open()->Send(std::move(request), std::move(on_response), true);
       return;
     }
-    End({}, false);
+    Finish({}, false);
   }
 
-  void End(const Reply& reply, bool keep) {
-    give_up_.Stop();
-    const Clients::Done done = std::exchange(done_, nullptr);
-    used_ = true;
+  void Finish(const Reply& reply, bool keep_alive) {
+    response_timer_.Stop();
+    const HttpClientPool::ResponseHandler on_response = std::exchange(on_response_, nullptr);
+    is_reused_ = true;
     partial_.clear();
-    if (!keep) Leave();
-    clients_.Free(*this, keep);
-    if (done) done(reply);
-    if (clients_.on_free) clients_.on_free();
+    if (!keep_alive) Disconnect();
+    clients_.Release(*this, keep_alive);
+    if (on_response) on_response(reply);
+    if (clients_.on_connection_free) clients_.on_connection_free();
   }
 
-  void Leave() {  // nothing is heard from the socket any more
-    give_up_.Stop();
-    event_del(read_.get());
-    event_del(write_.get());
-    ::shutdown(socket_.get(), SHUT_RDWR);  // the other side hears now, the memory goes later
+  // The other side sees the end at once; the socket itself is freed later.
+  void Disconnect() {
+    response_timer_.Stop();
+    event_del(read_event_.get());
+    event_del(write_event_.get());
+    ::shutdown(socket_.get(), SHUT_RDWR);
   }
 
-  static void Readable(evutil_socket_t, short, void* self) { static_cast<ClientConnection*>(self)->Read(); }
-  static void Writable(evutil_socket_t, short, void* self) {
-    auto* c = static_cast<ClientConnection*>(self);
-    c->connecting_ = false;
-    c->Write();
+  static void OnReadable(evutil_socket_t, short, void* self) { static_cast<ClientConnection*>(self)->Read(); }
+  static void OnWritable(evutil_socket_t, short, void* self) {
+    auto* connection = static_cast<ClientConnection*>(self);
+    connection->connecting_ = false;
+    connection->Write();
   }
 
-  Clients& clients_;
+  HttpClientPool& clients_;
   const FileDescriptor socket_{::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
-  EventPtr read_, write_;
-  Timer give_up_;
-  std::string request_, partial_;
+  EventPtr read_event_;
+  EventPtr write_event_;
+  Timer response_timer_;
+  std::string request_;
+  std::string partial_;  // received and not yet parsed
   std::size_t written_ = 0;
-  Clients::Done done_;
+  HttpClientPool::ResponseHandler on_response_;
   std::optional<http::response_parser<http::string_body>> parser_;
-  bool connecting_ = false, failed_ = false, used_ = false, again_ = false, heard_ = false;
+  bool connecting_ = false;
+  bool failed_ = false;     // to connect
+  bool is_reused_ = false;  // a request was completed on it before
+  bool is_resend_ = false;  // the request was sent on another connection before
+  bool received_bytes_ = false;
 };
 
-Clients::Clients(EventLoop& loop, const std::vector<Address>& targets, int most, Duration answer)
-    : loop_(loop), targets_(targets), most_(most), answer_(answer), sweep_(loop, [this] {
-        closed_.clear();
-      }) {}
-Clients::~Clients() = default;
-
-ClientConnection* Clients::Open() {
-  ++opened_;
-  all_.push_back(std::make_unique<ClientConnection>(*this, targets_[next_target_++ % targets_.size()]));
-  return all_.back().get();
+HttpClientPool::HttpClientPool(EventLoop& loop, const std::vector<Address>& targets, int max_connections,
+                               Duration response_timeout)
+    : loop_(loop),
+      targets_(targets),
+      max_connections_(max_connections),
+      response_timeout_(response_timeout),
+      cleanup_timer_(loop, [this] { closed_connections_.clear(); }) {}
+HttpClientPool::~HttpClientPool() = default;
+
+ClientConnection* HttpClientPool::Open() {
+  ++opened_connections_;
+  connections_.push_back(
+      std::make_unique<ClientConnection>(*this, targets_[next_target_++ % targets_.size()]));
+  return connections_.back().get();
 }
 
-void Clients::Send(std::string request, Done done) {
+void HttpClientPool::Send(std::string request, ResponseHandler on_response) {
   ClientConnection* connection = nullptr;
-  if (idle_.empty()) {
+  if (idle_connections_.empty()) {
     connection = Open();
   } else {
-    connection = idle_.back();
-    idle_.pop_back();
+    connection = idle_connections_.back();
+    idle_connections_.pop_back();
   }
-  connection->Send(std::move(request), std::move(done), false);
+  connection->Send(std::move(request), std::move(on_response), false);
 }
 
-void Clients::Free(ClientConnection& connection, bool keep) {
-  if (keep) {
-    idle_.push_back(&connection);
+void HttpClientPool::Release(ClientConnection& connection, bool keep_alive) {
+  if (keep_alive) {
+    idle_connections_.push_back(&connection);
     return;
   }
-  std::erase(idle_, &connection);
-  const auto at =
-      std::find_if(all_.begin(), all_.end(), [&](const auto& c) { return c.get() == &connection; });
-  if (at == all_.end()) return;
-  closed_.push_back(std::move(*at));  // freed once its own code has returned
-  *at = std::move(all_.back());
-  all_.pop_back();
-  sweep_.Schedule(Duration(0));
+  std::erase(idle_connections_, &connection);
+  const auto found = std::find_if(connections_.begin(), connections_.end(),
+                                  [&](const auto& owned) { return owned.get() == &connection; });
+  if (found == connections_.end()) return;
+  closed_connections_.push_back(std::move(*found));
+  *found = std::move(connections_.back());
+  connections_.pop_back();
+  cleanup_timer_.Schedule(Duration(0));
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/distribution.cpp
+++ b/src/loadtest/load/distribution.cpp
@@ -17,12 +17,15 @@
 namespace math = boost::math;
 namespace draw = boost::random;
 
+// A visitor made of one lambda for each alternative.
 template <typename... F>
 struct Overloaded : F... {
   using F::operator()...;
 };
+template <typename... F>
+Overloaded(F...) -> Overloaded<F...>;  // implied since C++20, but clang before 17 lacks it
 
-double Positive(const nlohmann::json& json, const char* key) {
+double PositiveMember(const nlohmann::json& json, const char* key) {
   const double value = json.at(key).get<double>();
   if (!(value > 0) || !std::isfinite(value))
     throw std::runtime_error(std::string(key) + ": expected a positive number, found " + json.at(key).dump());
@@ -59,17 +62,18 @@
       return Constant(value);
     }
     if (kind == "uniform") {
-      const double from = json.at("from").get<double>(), to = json.at("to").get<double>();
+      const double from = json.at("from").get<double>();
+      const double to = json.at("to").get<double>();
       if (!(from >= 0 && to > from)) throw std::runtime_error("to: expected a number over from");
       return Uniform(from, to);
     }
-    const double mean = Positive(json, "mean");
+    const double mean = PositiveMember(json, "mean");
     if (kind == "exponential") return Exponential(mean);
-    if (kind == "lognormal") return Lognormal(mean, Positive(json, "cv"));
-    if (kind == "gamma") return Gamma(mean, Positive(json, "shape"));
-    if (kind == "weibull") return Weibull(mean, Positive(json, "shape"));
+    if (kind == "lognormal") return Lognormal(mean, PositiveMember(json, "cv"));
+    if (kind == "gamma") return Gamma(mean, PositiveMember(json, "shape"));
+    if (kind == "weibull") return Weibull(mean, PositiveMember(json, "shape"));
     if (kind == "pareto") {
-      const double alpha = Positive(json, "alpha");
+      const double alpha = PositiveMember(json, "alpha");
       if (!(alpha > 1)) throw std::runtime_error("alpha: expected a number over 1, so that there is a mean");
       return Pareto(mean, alpha);
     }
@@ -82,7 +86,7 @@
 double Distribution::Draw(Random& random) const {
   return std::visit(
       Overloaded{
-          [](const Always& a) { return a.value; },
+          [](const ConstantValue& constant) { return constant.value; },
           [&](const math::exponential& d) { return draw::exponential_distribution<>(d.lambda())(random); },
           [&](const math::uniform& d) {
             return draw::uniform_real_distribution<>(d.lower(), d.upper())(random);
@@ -95,30 +99,30 @@
           },
           [&](const math::pareto& d) { return math::quantile(d, draw::uniform_01<>()(random)); },
           [&](const math::weibull& d) { return draw::weibull_distribution<>(d.shape(), d.scale())(random); }},
-      form_);
+      variant_);
 }
 
 double Distribution::Mean() const {
-  return std::visit(
-      Overloaded{[](const Always& a) { return a.value; }, [](const auto& d) { return math::mean(d); }},
-      form_);
+  return std::visit(Overloaded{[](const ConstantValue& constant) { return constant.value; },
+                               [](const auto& d) { return math::mean(d); }},
+                    variant_);
 }
 
 double Distribution::Variance() const {
-  return std::visit(Overloaded{[](const Always&) { return 0.0; },
+  return std::visit(Overloaded{[](const ConstantValue&) { return 0.0; },
                                [](const math::pareto& d) {
                                  return d.shape() > 2 ? math::variance(d)
                                                       : std::numeric_limits<double>::infinity();
                                },
                                [](const auto& d) { return math::variance(d); }},
-                    form_);
+                    variant_);
 }
 
 double Distribution::Cdf(double x) const {
-  return std::visit(Overloaded{[&](const Always& a) { return x < a.value ? 0.0 : 1.0; },
+  return std::visit(Overloaded{[&](const ConstantValue& constant) { return x < constant.value ? 0.0 : 1.0; },
                                [&](const math::pareto& d) { return x <= d.scale() ? 0.0 : math::cdf(d, x); },
                                [&](const auto& d) { return x <= 0 ? 0.0 : math::cdf(d, x); }},
-                    form_);
+                    variant_);
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/import.cpp
+++ b/src/loadtest/load/import.cpp
@@ -7,7 +7,9 @@
 #include <charconv>
 #include <cmath>
 #include <istream>
+#include <limits>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <stdexcept>
 
 #include "loadtest/load/import_grammar.h"
@@ -15,111 +17,98 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr std::size_t kMostProblems = 10;
+constexpr std::size_t kMaxRecordedLines = 10;
+constexpr std::size_t kMaxClasses = 250;
+constexpr double kMaxTimeS = 1e11;
+constexpr int kMaxBodyBytes = 65536;
+constexpr std::uint64_t kClients = 1'000'000;  // into which client names are hashed
+constexpr const char* kClassNameBytes = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-";
 
+// A line's parts; those that the trace doesn't have are empty.
 struct Entry {
   double at_s = 0;
-  std::string class_name, destination, bytes, caller;
+  std::string message_class;
+  std::string destination;
+  std::string bytes;
+  std::string client;
 };
 
-class Importing {
+std::optional<int> ParseInteger(const std::string& text) {
+  int number = 0;
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size())
+    return std::nullopt;
+  return number;
+}
+
+std::string Describe(const MalformedLine& malformed) {
+  return fmt::format("line {}, column {}: expected {}", malformed.line, malformed.column, malformed.expected);
+}
+
+// Reads entries from lines of one format.
+class EntryReader {
  public:
-  explicit Importing(const ImportOptions& options)
-      : options_(options), random_(Stream(options.seed, "import")) {
-    result_.classes = options.classes;
-  }
+  explicit EntryReader(const ImportOptions& options) : options_(options) {}
 
-  Imported Run(std::istream& in) {
-    for (std::string line; std::getline(in, line);) {
-      ++result_.lines;
-      if (!line.empty() && line.back() == '\r') line.pop_back();
-      if (line.empty()) continue;
-      try {  // guards against a line that can't be read: it is counted, and the next one may be well
-        if (options_.form == TraceForm::kCsv && head_.empty()) {
-          ReadHead(line);
-        } else {
-          Add(Read(line));
+  // None for a CSV file's first line. Throws LineError.
+  std::optional<Entry> Read(const std::string& line) {
+    switch (options_.format) {
+      case TraceFormat::kCsv:
+        if (header_.empty()) {
+          ReadCsvHeader(line);
+          return std::nullopt;
         }
-      } catch (const LineError& error) {
-        Malformed(static_cast<std::int64_t>(error.column), error.what());
-      }
-    }
-    if (result_.messages.empty()) {
-      throw std::runtime_error("no line could be read" +
-                               (result_.problems.empty() ? std::string() : First()));
+        return ReadCsv(line);
+      case TraceFormat::kJsonLines:
+        return ReadJson(line);
+      case TraceFormat::kCombined:
+        break;
     }
-    Shape();
-    return std::move(result_);
+    return ReadCombined(line);
   }
 
  private:
-  std::string First() const {
-    const ImportProblem& p = result_.problems.front();
-    return fmt::format(": line {}, column {}: expected {}", p.line, p.column, p.expected);
-  }
-
-  void Malformed(std::int64_t column, const std::string& expected) {
-    ++result_.malformed;
-    if (result_.problems.size() < kMostProblems)
-      result_.problems.push_back({result_.lines, column, expected});
-    if (options_.strict)
-      throw std::runtime_error(
-          fmt::format("line {}, column {}: expected {}", result_.lines, column, expected));
+  // The column's place in a CSV line; none if there is no such column.
+  std::optional<std::size_t> ColumnIndex(const std::string& name) const {
+    const auto found = std::find(header_.begin(), header_.end(), name);
+    if (found == header_.end()) return std::nullopt;
+    return static_cast<std::size_t>(found - header_.begin());
   }
 
-  void ReadHead(const std::string& line) {
-    head_ = ParseCsvLine(line);
-    for (const auto& [what, name] : options_.columns) {
-      const auto at = std::find(head_.begin(), head_.end(), name);
-      if (at != head_.end()) columns_[what] = static_cast<std::size_t>(at - head_.begin());
+  void ReadCsvHeader(const std::string& line) {
+    header_ = ParseCsvLine(line);
+    const auto time = ColumnIndex(options_.columns.time);
+    if (!time) {
+      throw std::runtime_error("the first line names no column '" + options_.columns.time + "' for the time");
     }
-    if (!columns_.contains("time"))
-      throw std::runtime_error("the first line names no column '" + options_.columns.at("time") +
-                               "' for the time");
+    time_index_ = *time;
+    class_index_ = ColumnIndex(options_.columns.message_class);
+    destination_index_ = ColumnIndex(options_.columns.destination);
+    bytes_index_ = ColumnIndex(options_.columns.bytes);
+    client_index_ = ColumnIndex(options_.columns.client);
   }
 
-  Entry Read(const std::string& line) const {
-    switch (options_.form) {
-      case TraceForm::kCsv:
-        return Csv(line);
-      case TraceForm::kJsonLines:
-        return JsonLine(line);
-      case TraceForm::kCombined:
-        break;
-    }
-    const CombinedLine parts = ParseCombinedLine(line);
-    Entry entry;
-    entry.at_s = ParseTime(parts.time, options_.time_unit_s);
-    entry.caller = parts.host;
-    const std::size_t from = parts.request.find('/');
-    if (from == std::string::npos) throw LineError(line.find('"') + 2, "a request with a path");
-    const std::size_t to = parts.request.find_first_of("/? ", from + 1);
-    entry.class_name = parts.request.substr(from + 1, to == std::string::npos ? to : to - from - 1);
-    entry.destination = parts.request.substr(from, parts.request.find(' ', from) - from);
-    return entry;
-  }
-
-  Entry Csv(const std::string& line) const {
+  Entry ReadCsv(const std::string& line) const {
     const std::vector<std::string> fields = ParseCsvLine(line);
-    if (fields.size() != head_.size())
+    if (fields.size() != header_.size()) {
       throw LineError(line.size() + 1,
-                      fmt::format("{} fields as in the first line, found {}", head_.size(), fields.size()));
-    const auto get = [&](const char* what) {
-      const auto at = columns_.find(what);
-      return at == columns_.end() ? std::string() : fields[at->second];
+                      fmt::format("{} fields as in the first line, found {}", header_.size(), fields.size()));
+    }
+    const auto field = [&](const std::optional<std::size_t>& index) {
+      return index ? fields[*index] : std::string();
     };
-    Entry entry{0, get("class"), get("destination"), get("bytes"), get("caller")};
+    Entry entry{0, field(class_index_), field(destination_index_), field(bytes_index_), field(client_index_)};
     try {
-      entry.at_s = ParseTime(get("time"), options_.time_unit_s);
+      entry.at_s = ParseTime(fields[time_index_], options_.time_unit_s);
     } catch (const LineError& error) {
       std::size_t column = 1;
-      for (std::size_t i = 0; i < columns_.at("time"); ++i) column += fields[i].size() + 1;
+      for (std::size_t i = 0; i < time_index_; ++i) column += fields[i].size() + 1;
       throw LineError(column, error.what());
     }
     return entry;
   }
 
-  Entry JsonLine(const std::string& line) const {
+  Entry ReadJson(const std::string& line) const {
     nlohmann::json json;
     try {
       json = nlohmann::json::parse(line);
@@ -127,98 +116,164 @@
       throw LineError(error.byte, "JSON");
     }
     if (!json.is_object()) throw LineError(1, "an object");
-    const auto get = [&](const char* what) {
-      const auto at = json.find(options_.columns.at(what));
-      if (at == json.end() || at->is_null()) return std::string();
-      return at->is_string() ? at->get<std::string>() : at->dump();
+    const auto member = [&](const std::string& key) {
+      const auto found = json.find(key);
+      if (found == json.end() || found->is_null()) return std::string();
+      return found->is_string() ? found->get<std::string>() : found->dump();
     };
-    const std::string time = get("time");
-    if (time.empty()) throw LineError(1, "the key '" + options_.columns.at("time") + "'");
-    return {ParseTime(time, options_.time_unit_s), get("class"), get("destination"), get("bytes"),
-            get("caller")};
+    const std::string time = member(options_.columns.time);
+    if (time.empty()) throw LineError(1, "the key '" + options_.columns.time + "'");
+    return {ParseTime(time, options_.time_unit_s), member(options_.columns.message_class),
+            member(options_.columns.destination), member(options_.columns.bytes),
+            member(options_.columns.client)};
   }
 
-  std::uint64_t Hash(const std::string& text) const {
-    return XXH3_64bits_withSeed(text.data(), text.size(), options_.seed);
+  Entry ReadCombined(const std::string& line) const {
+    const CombinedLine parts = ParseCombinedLine(line);
+    Entry entry;
+    entry.at_s = ParseTime(parts.time, options_.time_unit_s);
+    entry.client = parts.host;
+    const std::size_t path = parts.request.find('/');
+    if (path == std::string::npos) throw LineError(line.find('"') + 2, "a request with a path");
+    const std::size_t first_part_end = parts.request.find_first_of("/? ", path + 1);
+    const std::size_t first_part_size =
+        first_part_end == std::string::npos ? std::string::npos : first_part_end - path - 1;
+    entry.message_class = parts.request.substr(path + 1, first_part_size);
+    entry.destination = parts.request.substr(path, parts.request.find(' ', path) - path);
+    return entry;
   }
 
-  static bool Number(const std::string& text, int& out) {
-    const auto read = std::from_chars(text.data(), text.data() + text.size(), out);
-    return !text.empty() && read.ec == std::errc() && read.ptr == text.data() + text.size();
+  const ImportOptions& options_;
+  std::vector<std::string> header_;  // of a CSV file
+  std::size_t time_index_ = 0;
+  std::optional<std::size_t> class_index_;
+  std::optional<std::size_t> destination_index_;
+  std::optional<std::size_t> bytes_index_;
+  std::optional<std::size_t> client_index_;
+};
+
+class TraceImporter {
+ public:
+  explicit TraceImporter(const ImportOptions& options)
+      : options_(options), reader_(options), random_(Stream(options.seed, "import")) {
+    result_.classes = options.classes;
   }
 
-  std::int32_t ClassNumber(const std::string& name) {
-    const auto at = std::find(result_.classes.begin(), result_.classes.end(), name);
-    if (at != result_.classes.end()) return static_cast<std::int32_t>(at - result_.classes.begin());
+  ImportResult Run(std::istream& in) {
+    for (std::string line; std::getline(in, line);) {
+      ++result_.line_count;
+      if (!line.empty() && line.back() == '\r') line.pop_back();
+      if (line.empty()) continue;
+      try {  // a malformed line is counted; the next one may be well-formed
+        if (const auto entry = reader_.Read(line)) AddMessage(*entry);
+      } catch (const LineError& error) {
+        AddMalformedLine({result_.line_count, static_cast<std::int64_t>(error.column), error.what()});
+      }
+    }
+    if (result_.messages.empty()) {
+      const auto& malformed = result_.malformed_lines;
+      throw std::runtime_error("no line could be read" +
+                               (malformed.empty() ? std::string() : ": " + Describe(malformed.front())));
+    }
+    ScaleAndCut();
+    return std::move(result_);
+  }
+
+ private:
+  void AddMalformedLine(const MalformedLine& malformed) {
+    ++result_.malformed_count;
+    if (result_.malformed_lines.size() < kMaxRecordedLines) result_.malformed_lines.push_back(malformed);
+    if (options_.strict) throw std::runtime_error(Describe(malformed));
+  }
+
+  std::uint64_t Hash(const std::string& text) const {
+    return XXH3_64bits_withSeed(text.data(), text.size(), options_.seed);
+  }
+
+  // The index of a class, which is added if it is new and all classes are welcome; else the first.
+  std::int32_t ClassIndex(const std::string& name) {
+    const auto found = std::find(result_.classes.begin(), result_.classes.end(), name);
+    if (found != result_.classes.end()) return static_cast<std::int32_t>(found - result_.classes.begin());
     if (!options_.classes.empty()) return 0;
-    if (result_.classes.size() >= 250 || name.find_first_not_of(kNameBytes) != std::string::npos ||
-        name.empty()) {
-      if (result_.classes.empty()) result_.classes.push_back("other");
+    const bool is_usable = !name.empty() && name.find_first_not_of(kClassNameBytes) == std::string::npos;
+    if (result_.classes.size() >= kMaxClasses || !is_usable) {
+      if (result_.classes.empty()) result_.classes.emplace_back("other");
       return 0;
     }
     result_.classes.push_back(name);
     return static_cast<std::int32_t>(result_.classes.size()) - 1;
   }
 
-  void Add(const Entry& entry) {
-    Planned p;
-    if (!std::isfinite(entry.at_s) || std::abs(entry.at_s) > 1e11) throw LineError(1, "a time within reason");
-    p.at_us = std::llround(entry.at_s * 1e6);
-    p.message_class = ClassNumber(entry.class_name);
-    int number = 0;
+  std::int32_t DestinationOf(const Entry& entry) const {
     if (options_.destinations > 0) {
-      p.destination = static_cast<std::int32_t>(Hash(entry.destination) %
-                                                static_cast<std::uint64_t>(options_.destinations));
-    } else if (Number(entry.destination, number) && number >= 0) {
-      p.destination = number;
+      const auto destinations = static_cast<std::uint64_t>(options_.destinations);
+      return static_cast<std::int32_t>(Hash(entry.destination) % destinations);
     }
-    p.body_bytes = Number(entry.bytes, number) ? std::clamp(number, 1, 65536) : options_.bytes;
-    p.caller = static_cast<std::int32_t>(Hash(entry.caller) % 1'000'000);
-    if (p.at_us < latest_us_) {
-      ++result_.went_back;
-      result_.most_back_s = std::max(result_.most_back_s, static_cast<double>(latest_us_ - p.at_us) / 1e6);
+    return std::max(0, ParseInteger(entry.destination).value_or(0));
+  }
+
+  void AddMessage(const Entry& entry) {
+    if (!std::isfinite(entry.at_s) || std::abs(entry.at_s) > kMaxTimeS)
+      throw LineError(1, "a time within reason");
+    PlannedMessage message;
+    message.at_us = std::llround(entry.at_s * 1e6);
+    message.message_class = ClassIndex(entry.message_class);
+    message.destination = DestinationOf(entry);
+    const auto bytes = ParseInteger(entry.bytes);
+    message.body_bytes = bytes ? std::clamp(*bytes, 1, kMaxBodyBytes) : options_.bytes;
+    message.client = static_cast<std::int32_t>(Hash(entry.client) % kClients);
+    if (message.at_us < latest_us_) {
+      ++result_.out_of_order_lines;
+      const double backward_s = static_cast<double>(latest_us_ - message.at_us) / 1e6;
+      result_.max_backward_s = std::max(result_.max_backward_s, backward_s);
     }
-    latest_us_ = std::max(latest_us_, p.at_us);
-    result_.messages.push_back(p);
+    latest_us_ = std::max(latest_us_, message.at_us);
+    result_.messages.push_back(message);
+  }
+
+  // How often a message is offered by the rate scale; a fraction is drawn.
+  int DrawCopies() {
+    constexpr double kRounding = 1e-9;
+    const auto whole = static_cast<int>(std::floor(options_.rate_scale + kRounding));
+    const bool has_extra = boost::random::uniform_01<>()(random_) < options_.rate_scale - whole;
+    return whole + (has_extra ? 1 : 0);
   }
 
-  void Shape() {
-    std::vector<Planned>& all = result_.messages;
-    std::stable_sort(all.begin(), all.end(),
-                     [](const Planned& a, const Planned& b) { return a.at_us < b.at_us; });
-    const std::int64_t first = all.front().at_us;
-    std::vector<Planned> shaped;
-    for (std::size_t i = 0; i < all.size(); ++i) {
-      const std::int64_t next = i + 1 < all.size() ? all[i + 1].at_us : all[i].at_us;
-      double copies = options_.rate_scale;
-      const auto whole = static_cast<int>(std::floor(copies + 1e-9));
-      const int count = whole + (boost::random::uniform_01<>()(random_) < copies - whole ? 1 : 0);
-      for (int c = 0; c < count; ++c) {
-        Planned p = all[i];
-        const double at =
-            static_cast<double>(p.at_us - first) + static_cast<double>(next - p.at_us) * c / count;
-        const double scaled_s = at * options_.time_scale / 1e6;
+  void ScaleAndCut() {
+    std::vector<PlannedMessage>& messages = result_.messages;
+    std::stable_sort(messages.begin(), messages.end(),
+                     [](const PlannedMessage& a, const PlannedMessage& b) { return a.at_us < b.at_us; });
+    const std::int64_t first_us = messages.front().at_us;
+    std::vector<PlannedMessage> scaled;
+    for (std::size_t i = 0; i < messages.size(); ++i) {
+      const PlannedMessage& original = messages[i];
+      const std::int64_t next_us = i + 1 < messages.size() ? messages[i + 1].at_us : original.at_us;
+      const int copies = DrawCopies();
+      for (int copy = 0; copy < copies; ++copy) {
+        const double spread_us = static_cast<double>(next_us - original.at_us) * copy / copies;
+        const double at_us = static_cast<double>(original.at_us - first_us) + spread_us;
+        const double scaled_s = at_us * options_.time_scale / 1e6;
         if (scaled_s < options_.from_s || (options_.to_s > 0 && scaled_s >= options_.to_s)) continue;
-        p.at_us = std::llround((scaled_s - options_.from_s) * 1e6);
-        p.number = static_cast<std::int64_t>(shaped.size());
-        shaped.push_back(p);
+        PlannedMessage message = original;
+        message.at_us = std::llround((scaled_s - options_.from_s) * 1e6);
+        message.number = static_cast<std::int64_t>(scaled.size());
+        scaled.push_back(message);
       }
     }
-    all = std::move(shaped);
+    messages = std::move(scaled);
   }
 
-  static constexpr const char* kNameBytes =
-      "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-";
   const ImportOptions& options_;
+  EntryReader reader_;
   Random random_;
-  std::vector<std::string> head_;
-  std::map<std::string, std::size_t> columns_;
-  std::int64_t latest_us_ = INT64_MIN;
-  Imported result_;
+  std::int64_t latest_us_ = std::numeric_limits<std::int64_t>::min();
+  ImportResult result_;
 };
 
 }  // namespace
 
-Imported ImportTrace(std::istream& in, const ImportOptions& options) { return Importing(options).Run(in); }
+ImportResult ImportTrace(std::istream& in, const ImportOptions& options) {
+  return TraceImporter(options).Run(in);
+}
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/import_grammar.cpp
+++ b/src/loadtest/load/import_grammar.cpp
@@ -36,41 +36,46 @@
 BOOST_SPIRIT_DEFINE(quoted_field, plain_field, csv, word, bracketed, text, combined)
 
 template <typename Rule, typename Out>
-void Parse(std::string_view line, const Rule& rule, Out& out, const char* what) {
-  Iterator at = line.begin();
+void Parse(std::string_view line, const Rule& rule, Out& out, const char* expected) {
+  Iterator position = line.begin();
   try {
-    if (!x3::parse(at, line.end(), rule, out)) throw LineError(1, what);
+    if (!x3::parse(position, line.end(), rule, out)) throw LineError(1, expected);
   } catch (const x3::expectation_failure<Iterator>& failure) {
     throw LineError(static_cast<std::size_t>(failure.where() - line.begin()) + 1, failure.which());
   }
-  if (at != line.end())
-    throw LineError(static_cast<std::size_t>(at - line.begin()) + 1, "the end of the line");
+  if (position != line.end())
+    throw LineError(static_cast<std::size_t>(position - line.begin()) + 1, "the end of the line");
 }
 
 struct MonthNames : x3::symbols<unsigned> {
   MonthNames() {
-    unsigned n = 0;
+    unsigned month = 0;
     for (const char* name :
          {"Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"})
-      add(name, ++n);
+      add(name, ++month);
   }
 } const month_names;
 
+// A local time and its zone.
 struct Calendar {
   int year = 0;
-  unsigned month = 0, day = 0;
-  int hour = 0, minute = 0;
+  unsigned month = 0;
+  unsigned day = 0;
+  int hour = 0;
+  int minute = 0;
   double second = 0;
   int zone_minutes = 0;
 };
 
-double Seconds(const Calendar& c) {
+// Since 1970. Throws LineError if there is no such time.
+double SecondsSinceEpoch(const Calendar& calendar) {
   using namespace std::chrono;
-  const year_month_day date{year(c.year), month(c.month), day(c.day)};
-  if (!date.ok() || c.hour > 23 || c.minute > 59 || !(c.second < 61))
+  const year_month_day date{year(calendar.year), month(calendar.month), day(calendar.day)};
+  if (!date.ok() || calendar.hour > 23 || calendar.minute > 59 || !(calendar.second < 61))
     throw LineError(1, "a day and time that exist");
   const auto days = sys_days(date).time_since_epoch().count();
-  return static_cast<double>(days) * 86400 + c.hour * 3600 + c.minute * 60 + c.second - c.zone_minutes * 60;
+  return static_cast<double>(days) * 86400 + calendar.hour * 3600 + calendar.minute * 60 + calendar.second -
+         calendar.zone_minutes * 60;
 }
 
 }  // namespace
@@ -92,25 +97,27 @@
   static const x3::uint_parser<unsigned, 10, 1, 2> two;
   static const x3::uint_parser<int, 10, 2, 2> pair;
   static const x3::real_parser<double, x3::ureal_policies<double>> real;
-  Calendar c;
+  Calendar calendar;
   int sign = 0;
-  const auto to = [](auto& out) {
-    return [&out](auto& ctx) { out = static_cast<std::decay_t<decltype(out)>>(x3::_attr(ctx)); };
+  const auto store_in = [](auto& out) {
+    return [&out](auto& context) { out = static_cast<std::decay_t<decltype(out)>>(x3::_attr(context)); };
   };
-  const auto plus = [&](auto& ctx) { sign = x3::_attr(ctx) == '-' ? -1 : 1; };
-  const auto hours = [&](auto& ctx) { c.zone_minutes += sign * 60 * x3::_attr(ctx); };
-  const auto minutes = [&](auto& ctx) { c.zone_minutes += sign * x3::_attr(ctx); };
+  const auto plus = [&](auto& context) { sign = x3::_attr(context) == '-' ? -1 : 1; };
+  const auto hours = [&](auto& context) { calendar.zone_minutes += sign * 60 * x3::_attr(context); };
+  const auto minutes = [&](auto& context) { calendar.zone_minutes += sign * x3::_attr(context); };
   const auto zone = x3::char_("+-")[plus] >> pair[hours] >> -x3::lit(':') >> pair[minutes];
-  const auto clock = two[to(c.hour)] >> ':' >> two[to(c.minute)] >> ':' >> real[to(c.second)];
-  const auto iso = four[to(c.year)] >> '-' >> two[to(c.month)] >> '-' >> two[to(c.day)] >>
-                   x3::omit[x3::char_("T ")] >> clock >> -('Z' | zone) >> x3::eoi;
-  const auto log = two[to(c.day)] >> '/' >> month_names[to(c.month)] >> '/' >> four[to(c.year)] >> ':' >>
-                   clock >> -(' ' >> zone) >> x3::eoi;
+  const auto clock = two[store_in(calendar.hour)] >> ':' >> two[store_in(calendar.minute)] >> ':' >>
+                     real[store_in(calendar.second)];
+  const auto iso = four[store_in(calendar.year)] >> '-' >> two[store_in(calendar.month)] >> '-' >>
+                   two[store_in(calendar.day)] >> x3::omit[x3::char_("T ")] >> clock >> -('Z' | zone) >>
+                   x3::eoi;
+  const auto log = two[store_in(calendar.day)] >> '/' >> month_names[store_in(calendar.month)] >> '/' >>
+                   four[store_in(calendar.year)] >> ':' >> clock >> -(' ' >> zone) >> x3::eoi;
   double number = 0;
   if (x3::parse(text.begin(), text.end(), x3::double_ >> x3::eoi, number)) return number * unit_s;
-  if (x3::parse(text.begin(), text.end(), iso)) return Seconds(c);
-  c = {};
-  if (x3::parse(text.begin(), text.end(), log)) return Seconds(c);
+  if (x3::parse(text.begin(), text.end(), iso)) return SecondsSinceEpoch(calendar);
+  calendar = {};
+  if (x3::parse(text.begin(), text.end(), log)) return SecondsSinceEpoch(calendar);
   throw LineError(1, "a time: a number, ISO 8601 or day/Mon/year:hour:minute:second zone");
 }
 
--- a/src/loadtest/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -13,7 +13,10 @@
 
 namespace x3 = boost::spirit::x3;
 
-Distribution Spacing(const nlohmann::json& arrivals) {
+constexpr double kMaxBodyBytes = 65536;
+constexpr std::int32_t kHotClient = 0;
+
+Distribution SpacingFromJson(const nlohmann::json& arrivals) {
   const std::string process = arrivals.value("process", "poisson");
   if (process == "constant") return Distribution::Constant(1);
   if (process == "poisson") return Distribution::Exponential(1);
@@ -25,18 +28,26 @@
   return spacing;
 }
 
-std::vector<double> Weights(const std::vector<ClassMix>& classes) {
+std::vector<double> ClassWeights(const std::vector<MessageClass>& classes) {
   std::vector<double> weights;
-  for (const ClassMix& c : classes) weights.push_back(c.weight);
+  for (const MessageClass& message_class : classes) weights.push_back(message_class.weight);
   return weights;
 }
 
-std::vector<double> Zipf(int count, double exponent) {
+// Weights of Zipf's law.
+std::vector<double> ZipfWeights(int count, double exponent) {
   std::vector<double> weights;
-  for (int n = 1; n <= count; ++n) weights.push_back(std::pow(n, -exponent));
+  for (int rank = 1; rank <= count; ++rank) weights.push_back(std::pow(rank, -exponent));
   return weights;
 }
 
+// From the first letter of its name, as ids have it.
+Repeat IdempotencyFromCode(char code) {
+  if (code == 'n') return Repeat::kNever;
+  if (code == 'k') return Repeat::kKeyed;
+  return Repeat::kFree;
+}
+
 std::int64_t Microseconds(double seconds) { return std::llround(seconds * 1e6); }
 
 }  // namespace
@@ -47,94 +58,100 @@
       class_random_(Stream(scenario.seed, "class")),
       destination_random_(Stream(scenario.seed, "destination")),
       size_random_(Stream(scenario.seed, "size")),
-      caller_random_(Stream(scenario.seed, "caller")),
-      clump_random_(Stream(scenario.seed, "clump")),
-      classes_(Weights(scenario.classes)),
-      destinations_(Zipf(scenario.destinations, scenario.zipf)),
-      arrivals_(Spacing(scenario.arrivals), RateFromJson(scenario.arrivals, Stream(scenario.seed, "rate")),
+      client_random_(Stream(scenario.seed, "caller")),
+      burst_random_(Stream(scenario.seed, "clump")),
+      classes_(ClassWeights(scenario.classes)),
+      destinations_(ZipfWeights(scenario.destination_count, scenario.zipf_exponent)),
+      arrivals_(SpacingFromJson(scenario.arrivals),
+                RateFromJson(scenario.arrivals, Stream(scenario.seed, "rate")),
                 Stream(scenario.seed, "arrivals")),
       next_s_(arrivals_.Next()),
-      next_clump_s_(scenario.clumps ? Distribution::Exponential(scenario.clumps->every_s).Draw(clump_random_)
-                                    : HUGE_VAL) {
-  if (scenario.hot) {
-    for (int i = 0; i < scenario.hot->destinations; ++i)
-      hot_destinations_.push_back(scenario.first_destination + destinations_(caller_random_));
+      next_burst_s_(HUGE_VAL) {
+  if (scenario.destination_bursts)
+    next_burst_s_ = Distribution::Exponential(scenario.destination_bursts->every_s).Draw(burst_random_);
+  if (scenario.hot_client) {
+    for (int i = 0; i < scenario.hot_client->destination_count; ++i)
+      hot_destinations_.push_back(scenario.first_destination + destinations_(client_random_));
   }
 }
 
-Planned Plan::Drawn(double at_s) {
-  Planned p;
-  p.at_us = Microseconds(at_s);
-  p.message_class = classes_(class_random_);
-  p.destination = scenario_.first_destination + destinations_(destination_random_);
-  p.body_bytes = static_cast<std::int32_t>(std::clamp(std::round(sizes_.Draw(size_random_)), 1.0, 65536.0));
-  const double which = boost::random::uniform_01<>()(caller_random_);
-  p.caller = static_cast<std::int32_t>(which * scenario_.callers);
-  const auto& hot = scenario_.hot;
-  if (hot && at_s >= hot->from_s && at_s < hot->from_s + hot->for_s && which < hot->share) {
-    p.caller = 0;
-    const auto n =
-        static_cast<std::size_t>(which / hot->share * static_cast<double>(hot_destinations_.size()));
-    p.destination = hot_destinations_[n];
-  } else if (hot && scenario_.callers > 1 && p.caller == 0) {
-    p.caller = 1;  // else the hot one would carry more than its share
+PlannedMessage Plan::DrawMessage(double at_s) {
+  PlannedMessage message;
+  message.at_us = Microseconds(at_s);
+  message.message_class = classes_(class_random_);
+  message.destination = scenario_.first_destination + destinations_(destination_random_);
+  message.body_bytes =
+      static_cast<std::int32_t>(std::clamp(std::round(sizes_.Draw(size_random_)), 1.0, kMaxBodyBytes));
+  const double client_draw = boost::random::uniform_01<>()(client_random_);
+  message.client = static_cast<std::int32_t>(client_draw * scenario_.client_count);
+  const auto& hot = scenario_.hot_client;
+  const bool is_hot_period = hot && at_s >= hot->from_s && at_s < hot->from_s + hot->for_s;
+  if (is_hot_period && client_draw < hot->fraction) {
+    message.client = kHotClient;
+    const auto index =
+        static_cast<std::size_t>(client_draw / hot->fraction * static_cast<double>(hot_destinations_.size()));
+    message.destination = hot_destinations_[index];
+  } else if (hot && scenario_.client_count > 1 && message.client == kHotClient) {
+    message.client = kHotClient + 1;  // else the hot client would send more than its fraction
   }
-  return p;
+  return message;
 }
 
-void Plan::AddClump(double at_s) {
-  const Clumps& c = *scenario_.clumps;
-  const double worth = c.worth_most_s > c.worth_least_s
-                           ? Distribution::Uniform(c.worth_least_s, c.worth_most_s).Draw(clump_random_)
-                           : c.worth_least_s;
-  const auto count = static_cast<int>(std::round(worth * c.partner_rate));
-  const int destination = scenario_.first_destination + boost::random::uniform_int_distribution<int>(
-                                                            0, scenario_.destinations - 1)(clump_random_);
+void Plan::AddDestinationBurst(double at_s) {
+  const DestinationBursts& bursts = *scenario_.destination_bursts;
+  const double work_s = bursts.max_work_s > bursts.min_work_s
+                            ? Distribution::Uniform(bursts.min_work_s, bursts.max_work_s).Draw(burst_random_)
+                            : bursts.min_work_s;
+  const auto count = static_cast<int>(std::round(work_s * bursts.destination_rate));
+  boost::random::uniform_int_distribution<int> draw_destination(0, scenario_.destination_count - 1);
+  const int destination = scenario_.first_destination + draw_destination(burst_random_);
   for (int i = 0; i < count; ++i) {
-    Planned p = Drawn(at_s + c.over_ms / 1000 * i / count);
-    p.destination = destination;
-    clumped_.push(p);
+    PlannedMessage message = DrawMessage(at_s + bursts.spread_ms / 1000 * i / count);
+    message.destination = destination;
+    burst_messages_.push(message);
   }
 }
 
-std::optional<Planned> Plan::Next() {
-  while (next_clump_s_ < scenario_.seconds &&
-         next_clump_s_ <=
-             std::min(next_s_, clumped_.empty() ? HUGE_VAL : double(clumped_.top().at_us) / 1e6)) {
-    AddClump(next_clump_s_);
-    next_clump_s_ += Distribution::Exponential(scenario_.clumps->every_s).Draw(clump_random_);
+std::optional<PlannedMessage> Plan::Next() {
+  const auto next_burst_message_s = [&] {
+    return burst_messages_.empty() ? HUGE_VAL : static_cast<double>(burst_messages_.top().at_us) / 1e6;
+  };
+  while (next_burst_s_ < scenario_.seconds && next_burst_s_ <= std::min(next_s_, next_burst_message_s())) {
+    AddDestinationBurst(next_burst_s_);
+    next_burst_s_ += Distribution::Exponential(scenario_.destination_bursts->every_s).Draw(burst_random_);
   }
-  Planned p;
-  if (!clumped_.empty() && static_cast<double>(clumped_.top().at_us) <= next_s_ * 1e6) {
-    p = clumped_.top();
-    clumped_.pop();
+  PlannedMessage message;
+  if (!burst_messages_.empty() && static_cast<double>(burst_messages_.top().at_us) <= next_s_ * 1e6) {
+    message = burst_messages_.top();
+    burst_messages_.pop();
   } else if (next_s_ < scenario_.seconds) {
-    p = Drawn(next_s_);
+    message = DrawMessage(next_s_);
     next_s_ = arrivals_.Next();
   } else {
     return std::nullopt;
   }
-  p.number = number_++;
-  return p;
+  message.number = next_number_++;
+  return message;
 }
 
-std::string ToText(const HandInId& id) {
-  return fmt::format("L{:08x}-{}-{}-{}-{}", id.run, id.number, id.hand_in, id.destination,
-                     Name(id.repeat)[0]);
+std::string ToText(const SubmissionId& id) {
+  return fmt::format("L{:08x}-{}-{}-{}-{}", id.run, id.number, id.submission, id.destination,
+                     Name(id.idempotency)[0]);
 }
 
-std::optional<HandInId> ParseHandInId(std::string_view text) {
-  if (const auto at = text.rfind('|'); at != text.npos) text.remove_prefix(at + 1);
-  HandInId id;
-  char repeat = 0;
-  const auto to = [](auto& out) { return [&out](auto& ctx) { out = x3::_attr(ctx); }; };
+std::optional<SubmissionId> ParseSubmissionId(std::string_view text) {
+  if (const auto separator = text.rfind('|'); separator != text.npos) text.remove_prefix(separator + 1);
+  SubmissionId id;
+  char idempotency_code = 0;
+  const auto to = [](auto& out) { return [&out](auto& context) { out = x3::_attr(context); }; };
   static const x3::int_parser<std::int64_t, 10, 1, 18> number;
   static const x3::uint_parser<std::uint32_t, 16, 8, 8> run;
-  const auto id_form = x3::lit('L') >> run[to(id.run)] >> '-' >> number[to(id.number)] >> '-' >>
-                       x3::int_[to(id.hand_in)] >> '-' >> x3::int_[to(id.destination)] >> '-' >>
-                       x3::char_("fkn")[to(repeat)] >> x3::eoi;
-  if (!x3::parse(text.begin(), text.end(), id_form) || id.number < 0 || id.hand_in < 0) return std::nullopt;
-  id.repeat = repeat == 'n' ? Repeat::kNever : repeat == 'k' ? Repeat::kKeyed : Repeat::kFree;
+  const auto grammar = x3::lit('L') >> run[to(id.run)] >> '-' >> number[to(id.number)] >> '-' >>
+                       x3::int_[to(id.submission)] >> '-' >> x3::int_[to(id.destination)] >> '-' >>
+                       x3::char_("fkn")[to(idempotency_code)] >> x3::eoi;
+  if (!x3::parse(text.begin(), text.end(), grammar) || id.number < 0 || id.submission < 0)
+    return std::nullopt;
+  id.idempotency = IdempotencyFromCode(idempotency_code);
   return id;
 }
 
--- a/src/loadtest/load/plan.h
+++ b/src/loadtest/load/plan.h
@@ -1,4 +1,5 @@
-// What a run means to send: each message with its intended time, drawn from a scenario and a seed alone.
+// The plan of a run: each message with its intended time, drawn from a scenario and a seed alone. One thread
+// draws it and passes it to the senders; see run.h.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
 
@@ -15,55 +16,72 @@
 
 namespace sagetally::loadtest {
 
-struct Planned {
-  std::int64_t number = 0;  // one identity through all its hand-ins
-  std::int64_t at_us = 0;   // intended, from the start of the run
-  std::int32_t message_class = 0, destination = 0, body_bytes = 0, caller = 0;
-  bool operator==(const Planned&) const = default;
+struct PlannedMessage {
+  std::int64_t number = 0;         // identifies the message through all its submissions
+  std::int64_t at_us = 0;          // intended, from the start of the run
+  std::int32_t message_class = 0;  // index into Scenario::classes
+  std::int32_t destination = 0;
+  std::int32_t body_bytes = 0;
+  std::int32_t client = 0;
+  bool operator==(const PlannedMessage&) const = default;
 };
 
-class Source {
+// Where the messages of a run come from.
+class PlanSource {
  public:
-  virtual ~Source() = default;
-  // In order of intended time; none once the run's time is over.
-  virtual std::optional<Planned> Next() = 0;
+  virtual ~PlanSource() = default;
+  // The messages in order of intended time; none once the run's time is over.
+  virtual std::optional<PlannedMessage> Next() = 0;
 };
 
-class Plan : public Source {
+// Draws messages from a scenario and its seed. Equal scenarios give equal plans.
+class Plan : public PlanSource {
  public:
+  // Throws std::runtime_error that begins with the JSON pointer of a wrong value.
   explicit Plan(const Scenario& scenario);
-  std::optional<Planned> Next() override;
+  std::optional<PlannedMessage> Next() override;
 
  private:
-  struct Later {
-    bool operator()(const Planned& a, const Planned& b) const { return a.at_us > b.at_us; }
+  struct IsLater {
+    bool operator()(const PlannedMessage& a, const PlannedMessage& b) const { return a.at_us > b.at_us; }
   };
-  Planned Drawn(double at_s);
-  void AddClump(double at_s);
+  PlannedMessage DrawMessage(double at_s);
+  void AddDestinationBurst(double at_s);
 
   const Scenario scenario_;
   const Distribution sizes_;
-  Random class_random_, destination_random_, size_random_, caller_random_, clump_random_;
-  boost::random::discrete_distribution<std::int32_t> classes_, destinations_;
+  // A stream for each purpose, so that a change of one draw leaves the others as they are.
+  Random class_random_;
+  Random destination_random_;
+  Random size_random_;
+  Random client_random_;
+  Random burst_random_;
+  boost::random::discrete_distribution<std::int32_t> classes_;
+  boost::random::discrete_distribution<std::int32_t> destinations_;
   std::vector<std::int32_t> hot_destinations_;
   Arrivals arrivals_;
-  double next_s_, next_clump_s_;
-  std::int64_t number_ = 0;
-  std::priority_queue<Planned, std::vector<Planned>, Later> clumped_;
+  double next_s_;
+  double next_burst_s_;
+  std::int64_t next_number_ = 0;
+  std::priority_queue<PlannedMessage, std::vector<PlannedMessage>, IsLater> burst_messages_;
 };
 
-// Names a hand-in on the wire: which run, which message and which of its hand-ins, its destination and
-// whether it may take effect twice, so that a stand-in can judge by the id alone.
-struct HandInId {
+// Identifies a submission on the wire. It carries all that a stub server needs to check a call: the run, the
+// message and which of its submissions this is, its destination and its idempotency.
+struct SubmissionId {
   std::uint32_t run = 0;
-  std::int64_t number = 0;
-  int hand_in = 0, destination = 0;
-  Repeat repeat = Repeat::kFree;
-  bool operator==(const HandInId&) const = default;
+  std::int64_t number = 0;  // of the message
+  int submission = 0;       // from 0
+  int destination = 0;
+  Repeat idempotency = Repeat::kFree;
+  bool operator==(const SubmissionId&) const = default;
 };
-std::string ToText(const HandInId& id);
-// Nothing if it is none of ours. What a CloudEvents front puts before it (source and '|') is passed over.
-std::optional<HandInId> ParseHandInId(std::string_view text);
+
+// Such as "L5be2a07c-1234-0-7-n".
+std::string ToText(const SubmissionId& id);
+
+// None if `text` is no such id. Skips what a CloudEvents frontend puts in front: the event's source and '|'.
+std::optional<SubmissionId> ParseSubmissionId(std::string_view text);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/load/rate.cpp
+++ b/src/loadtest/load/rate.cpp
@@ -10,91 +10,97 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr double kForEver = std::numeric_limits<double>::infinity();
+constexpr double kForever = std::numeric_limits<double>::infinity();
 
-class Pieces : public RateCurve {  // ends in a piece for ever, or begins again
+// Ends in a segment that lasts forever, or repeats.
+class PiecewiseRate : public RateCurve {
  public:
-  Pieces(std::vector<RatePiece> pieces, bool again) : pieces_(std::move(pieces)), again_(again) {}
-  RatePiece Next() override {
-    if (at_ == pieces_.size() && again_) at_ = 0;
-    return pieces_[std::min(at_++, pieces_.size() - 1)];
+  PiecewiseRate(std::vector<RateSegment> segments, bool repeats)
+      : segments_(std::move(segments)), repeats_(repeats) {}
+  RateSegment Next() override {
+    if (next_segment_ == segments_.size()) next_segment_ = repeats_ ? 0 : segments_.size() - 1;
+    return segments_[next_segment_++];
   }
 
  private:
-  const std::vector<RatePiece> pieces_;
-  const bool again_;
-  std::size_t at_ = 0;
+  const std::vector<RateSegment> segments_;
+  const bool repeats_;
+  std::size_t next_segment_ = 0;
 };
 
-class Bursts : public RateCurve {
+class TwoStateRate : public RateCurve {
  public:
-  Bursts(double low, double high, double low_mean_s, double high_mean_s, Random random)
+  TwoStateRate(double low, double high, double low_mean_s, double high_mean_s, Random random)
       : low_(low),
         high_(high),
         low_stay_(Distribution::Exponential(low_mean_s)),
         high_stay_(Distribution::Exponential(high_mean_s)),
         random_(random) {}
-  RatePiece Next() override {
+  RateSegment Next() override {
     is_high_ = !is_high_;
     const double rate = is_high_ ? high_ : low_;
     return {(is_high_ ? high_stay_ : low_stay_).Draw(random_), rate, rate};
   }
 
  private:
-  const double low_, high_;
-  const Distribution low_stay_, high_stay_;
+  const double low_;
+  const double high_;
+  const Distribution low_stay_;
+  const Distribution high_stay_;
   Random random_;
-  bool is_high_ = true;
+  bool is_high_ = true;  // so that the first segment is low
 };
 
 }  // namespace
 
 std::unique_ptr<RateCurve> ConstantRate(double rate) {
-  return std::make_unique<Pieces>(std::vector<RatePiece>{{kForEver, rate, rate}}, false);
+  return std::make_unique<PiecewiseRate>(std::vector<RateSegment>{{kForever, rate, rate}}, false);
 }
 
 std::unique_ptr<RateCurve> SteppedRate(std::vector<RatePoint> points) {
-  std::vector<RatePiece> pieces;
-  double at = 0;
+  std::vector<RateSegment> segments;
+  double last_s = 0;
   for (std::size_t i = 0; i < points.size(); ++i) {
-    const RatePoint& p = points[i];
-    if (p.at_s < at || p.rate < 0)
+    const RatePoint& point = points[i];
+    if (point.at_s < last_s || point.rate < 0)
       throw std::runtime_error("rate points: expected rising times, no rate below 0");
-    if (i == 0 && p.at_s > 0) pieces.push_back({p.at_s, p.rate, p.rate});
-    at = p.at_s;
+    if (i == 0 && point.at_s > 0) segments.push_back({point.at_s, point.rate, point.rate});
+    last_s = point.at_s;
     if (i + 1 == points.size()) {
-      pieces.push_back({kForEver, p.rate, p.rate});
-    } else if (points[i + 1].at_s > p.at_s) {
-      pieces.push_back({points[i + 1].at_s - p.at_s, p.rate, p.ramp ? points[i + 1].rate : p.rate});
+      segments.push_back({kForever, point.rate, point.rate});
+      continue;
     }
+    const RatePoint& next = points[i + 1];
+    if (next.at_s > point.at_s)
+      segments.push_back({next.at_s - point.at_s, point.rate, point.ramp ? next.rate : point.rate});
   }
-  if (pieces.empty()) throw std::runtime_error("rate points: expected at least one");
-  return std::make_unique<Pieces>(std::move(pieces), false);
+  if (segments.empty()) throw std::runtime_error("rate points: expected at least one");
+  return std::make_unique<PiecewiseRate>(std::move(segments), false);
 }
 
 std::unique_ptr<RateCurve> DailyRate(std::vector<double> weights, double day_s, double mean) {
   const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
   if (weights.empty() || !(sum > 0) || !(day_s > 0))
     throw std::runtime_error("daily rate: expected weights with a sum over 0, and a day over 0");
-  std::vector<RatePiece> pieces;
+  std::vector<RateSegment> segments;
   const auto parts = static_cast<double>(weights.size());
-  for (std::size_t i = 0; i < weights.size(); ++i) {  // straight lines between the weights keep their mean
-    const double scale = mean * parts / sum;
-    pieces.push_back({day_s / parts, weights[i] * scale, weights[(i + 1) % weights.size()] * scale});
+  const double scale = mean * parts / sum;  // linear segments between the weights keep their mean
+  for (std::size_t i = 0; i < weights.size(); ++i) {
+    segments.push_back({day_s / parts, weights[i] * scale, weights[(i + 1) % weights.size()] * scale});
   }
-  return std::make_unique<Pieces>(std::move(pieces), true);
+  return std::make_unique<PiecewiseRate>(std::move(segments), true);
 }
 
 std::unique_ptr<RateCurve> BurstyRate(double low, double high, double low_mean_s, double high_mean_s,
                                       Random random) {
-  return std::make_unique<Bursts>(low, high, low_mean_s, high_mean_s, random);
+  return std::make_unique<TwoStateRate>(low, high, low_mean_s, high_mean_s, random);
 }
 
 std::unique_ptr<RateCurve> RateFromJson(const nlohmann::json& json, Random random) {
   if (json.contains("points")) {
     std::vector<RatePoint> points;
-    for (const auto& p : json["points"])
-      points.push_back({p.at("at_s"), p.at("rate"), p.value("ramp", false)});
+    for (const auto& point : json["points"])
+      points.push_back({point.at("at_s"), point.at("rate"), point.value("ramp", false)});
     return SteppedRate(std::move(points));
   }
   const double rate = json.value("rate", 0.0);
@@ -103,8 +109,9 @@
     return DailyRate(daily.at("weights").get<std::vector<double>>(), daily.value("day_s", 86400.0), rate);
   }
   if (json.contains("bursts")) {
-    const auto& b = json["bursts"];
-    return BurstyRate(b.value("low", rate), b.at("high"), b.at("low_mean_s"), b.at("high_mean_s"), random);
+    const auto& bursts = json["bursts"];
+    return BurstyRate(bursts.value("low", rate), bursts.at("high"), bursts.at("low_mean_s"),
+                      bursts.at("high_mean_s"), random);
   }
   return ConstantRate(rate);
 }
@@ -114,27 +121,27 @@
       scale_(1 / spacing.Mean()),
       rate_(std::move(rate)),
       random_(random),
-      piece_(rate_->Next()) {}
+      segment_(rate_->Next()) {}
 
 double Arrivals::Next() {
-  double owed = spacing_.Draw(random_) * scale_;  // messages still to pass under the curve
+  double remaining = spacing_.Draw(random_) * scale_;  // area under the curve up to the arrival
   while (true) {
-    const bool for_ever = !std::isfinite(piece_.seconds);
-    const double slope = for_ever ? 0 : (piece_.to - piece_.from) / piece_.seconds;
-    const double rate = piece_.from + slope * into_;
-    const double left = piece_.seconds - into_;
-    if (for_ever && rate <= 0) return kForEver;
-    if (for_ever || owed <= left * (rate + piece_.to) / 2) {
-      // rate * t + slope * t^2 / 2 = owed, in the form that doesn't cancel.
-      const double root = std::sqrt(std::max(0.0, rate * rate + 2 * slope * owed));
-      const double t = rate + root > 0 ? 2 * owed / (rate + root) : 0;
-      into_ = std::min(into_ + t, piece_.seconds);
-      return begun_ + into_;
+    const bool is_last = !std::isfinite(segment_.seconds);
+    const double slope = is_last ? 0 : (segment_.to - segment_.from) / segment_.seconds;
+    const double rate = segment_.from + slope * seconds_into_segment_;
+    const double seconds_left = segment_.seconds - seconds_into_segment_;
+    if (is_last && rate <= 0) return kForever;
+    if (is_last || remaining <= seconds_left * (rate + segment_.to) / 2) {
+      // Solves rate * t + slope * t^2 / 2 = remaining, in the form without cancellation.
+      const double root = std::sqrt(std::max(0.0, rate * rate + 2 * slope * remaining));
+      const double seconds = rate + root > 0 ? 2 * remaining / (rate + root) : 0;
+      seconds_into_segment_ = std::min(seconds_into_segment_ + seconds, segment_.seconds);
+      return segment_start_s_ + seconds_into_segment_;
     }
-    owed -= left * (rate + piece_.to) / 2;
-    begun_ += piece_.seconds;
-    into_ = 0;
-    piece_ = rate_->Next();
+    remaining -= seconds_left * (rate + segment_.to) / 2;
+    segment_start_s_ += segment_.seconds;
+    seconds_into_segment_ = 0;
+    segment_ = rate_->Next();
   }
 }
 
--- a/src/loadtest/load/rate.h
+++ b/src/loadtest/load/rate.h
@@ -1,5 +1,5 @@
-// How many messages a second are offered, over time: pieces of straight lines, which is all that the arrivals
-// need to know of constant, stepped, ramped, daily and bursty rates.
+// Rate curves (how many messages a second are offered over time) and arrivals that follow them. A curve is a
+// sequence of linear segments, which covers constant, stepped, ramped, daily and bursty rates.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_RATE_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_RATE_H_
 
@@ -11,41 +11,52 @@
 
 namespace sagetally::loadtest {
 
-// One piece; the rate goes straight from `from` to `to` (messages a second) in `seconds`. The last piece of a
-// curve lasts for ever at one rate.
-struct RatePiece {
-  double seconds = 0, from = 0, to = 0;
+// One segment: the rate changes linearly from `from` to `to` (messages a second) in `seconds`. A curve's last
+// segment, if it has one, lasts forever at a constant rate.
+struct RateSegment {
+  double seconds = 0;
+  double from = 0;
+  double to = 0;
 };
 
 class RateCurve {
  public:
   virtual ~RateCurve() = default;
-  virtual RatePiece Next() = 0;
+  virtual RateSegment Next() = 0;
 };
 
 struct RatePoint {
-  double at_s = 0, rate = 0;
-  bool ramp = false;  // straight on to the next point; else a step there
+  double at_s = 0;
+  double rate = 0;
+  bool ramp = false;  // linear to the next point; else constant, with a step there
 };
 
 std::unique_ptr<RateCurve> ConstantRate(double rate);
-// Before the first point its rate stands, after the last one the last.
+
+// Constant before the first point and after the last. Throws std::runtime_error unless times rise and no rate
+// is negative.
 std::unique_ptr<RateCurve> SteppedRate(std::vector<RatePoint> points);
-// Weights of equal parts of a day of `day_s` seconds, joined by straight lines, with the given mean.
+
+// `weights`: of equal parts of a day of `day_s` seconds, joined linearly and scaled to `mean`. Throws
+// std::runtime_error if they have no positive sum.
 std::unique_ptr<RateCurve> DailyRate(std::vector<double> weights, double day_s, double mean);
-// Two states with exponential stays (a Markov-modulated process).
+
+// Two states with exponential stays (a Markov-modulated Poisson process, with Poisson arrivals).
 std::unique_ptr<RateCurve> BurstyRate(double low, double high, double low_mean_s, double high_mean_s,
                                       Random random);
+
+// From a scenario's "arrivals".
 std::unique_ptr<RateCurve> RateFromJson(const nlohmann::json& json, Random random);
 
-// Arrivals whose spacings, counted in units of the mean, follow a distribution: a renewal process in
-// operational time, stretched by the rate (exact for Poisson; Cinlar, Introduction to Stochastic Processes,
-// 1975, ch. 4.7).
+// Arrivals whose spacings, in units of the mean, follow a distribution: a renewal process in operational
+// time, stretched by the rate (exact for Poisson; Cinlar, Introduction to Stochastic Processes, 1975,
+// ch. 4.7).
 class Arrivals {
  public:
   // `spacing` is scaled to a mean of 1.
   Arrivals(const Distribution& spacing, std::unique_ptr<RateCurve> rate, Random random);
-  // Seconds from the start; infinite if none comes any more.
+
+  // The next arrival, in seconds from the start; infinite if there are no more.
   double Next();
 
  private:
@@ -53,9 +64,9 @@
   const double scale_;
   std::unique_ptr<RateCurve> rate_;
   Random random_;
-  RatePiece piece_;
-  double begun_ = 0;  // when the piece began
-  double into_ = 0;   // seconds of it that are used up
+  RateSegment segment_;
+  double segment_start_s_ = 0;
+  double seconds_into_segment_ = 0;
 };
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/run.h
+++ b/src/loadtest/load/run.h
@@ -1,4 +1,5 @@
-// A whole run: the plan drawn on one thread, sent by others, everything recorded.
+// A whole run of the load generator: one thread draws the plan, others send it, everything is recorded.
+// Called by the commands `load`, `limit` and `try`.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
 
@@ -13,28 +14,32 @@
 namespace sagetally::loadtest {
 
 struct RunOptions {
-  std::string record;          // a file for the plan as it was offered; empty: none
-  std::function<bool()> stop;  // true: the run is broken off
-  std::function<void(double seconds, const Progress&)>
-      progress;  // a few times a second, on the calling thread
+  std::string record;          // a file for the plan as it was offered, see trace.h; empty: none
+  std::function<bool()> stop;  // returns true to interrupt the run; called a few times a second
+  // Called a few times a second, as `stop` on the calling thread. `seconds`: since the run's start.
+  std::function<void(double seconds, const Progress&)> progress;
 };
 
 struct RunRecords {
-  std::uint32_t run = 0;
-  std::int64_t start_us = 0, over_us = 0;
-  bool partial = false;  // broken off before its end
-  std::int64_t connections_opened = 0, waits_for_plan = 0;
-  std::vector<Record> records;
-  std::vector<SelfReport> threads;
+  std::uint32_t run = 0;  // random; tells the submissions of this run from all others
+  std::int64_t start_us = 0;
+  std::int64_t ended_us = 0;  // when observation stopped
+  bool partial = false;       // interrupted before its end
+  std::int64_t opened_connections = 0;
+  std::int64_t plan_underruns = 0;
+  std::vector<MessageRecord> records;
+  std::vector<SenderThreadReport> threads;
 };
 
-// What the scenario asks for, drawn or read from its trace.
-std::unique_ptr<Source> SourceOf(const Scenario& scenario);
+// The plan of `scenario`: drawn, or read from its trace.
+std::unique_ptr<PlanSource> OpenPlanSource(const Scenario& scenario);
 
-// Raises the soft limit of descriptors if need be. Throws std::runtime_error that says how many are missing.
-void NeedDescriptors(std::int64_t count);
+// Raises the soft limit of open files to `count` connections if need be. Throws std::runtime_error that names
+// the limits if that is not allowed.
+void EnsureDescriptorLimit(std::int64_t count);
 
-// Throws std::runtime_error before anything is sent if descriptors or memory won't do.
+// Runs the load and returns once it is over. Throws std::runtime_error if the scenario needs more connections
+// or memory than allowed, or if its trace can't be read.
 RunRecords RunLoad(const Scenario& scenario, const RunOptions& options = RunOptions());
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/scenario.cpp
+++ b/src/loadtest/load/scenario.cpp
@@ -11,9 +11,9 @@
 
 using Json = nlohmann::json;
 
-// What the schema can't say names its place all the same.
+// Prefixes errors that the schema can't express with the JSON pointer they belong to.
 template <typename F>
-auto Place(const std::string& pointer, F read) {
+auto WithPointer(const std::string& pointer, F read) {
   try {
     return read();
   } catch (const std::exception& error) {
@@ -21,84 +21,122 @@
   }
 }
 
-Repeat RepeatFrom(const std::string& text) {
-  return text == "never" ? Repeat::kNever : text == "keyed" ? Repeat::kKeyed : Repeat::kFree;
+Repeat IdempotencyFromName(const std::string& name) {
+  if (name == Name(Repeat::kNever)) return Repeat::kNever;
+  if (name == Name(Repeat::kKeyed)) return Repeat::kKeyed;
+  return Repeat::kFree;
+}
+
+CloudEventsMode EventModeFromName(const std::string& name) {
+  if (name == "batched") return CloudEventsMode::kBatched;
+  if (name == "structured") return CloudEventsMode::kStructured;
+  return CloudEventsMode::kBinary;
+}
+
+std::vector<Address> TargetsFromJson(const Json& json) {
+  std::vector<Address> targets;
+  for (const Json& target : json) {
+    targets.push_back(WithPointer(
+        "/targets", [&] { return ParseAddress(target.get_ref<const std::string&>(), "a target"); }));
+  }
+  return targets;
+}
+
+MessageClass MessageClassFromJson(const Json& json) {
+  MessageClass message_class;
+  message_class.name = json.at("name").get<std::string>();
+  message_class.weight = json.value("weight", message_class.weight);
+  message_class.deadline_ms = json.value("deadline_ms", message_class.deadline_ms);
+  message_class.latency_objective_ms = json.value("aim_ms", message_class.latency_objective_ms);
+  message_class.idempotency = IdempotencyFromName(json.value("repeat", std::string("free")));
+  return message_class;
+}
+
+HotClient HotClientFromJson(const Json& json) {
+  HotClient client;
+  client.fraction = json.at("share");
+  client.from_s = json.value("from_s", 0.0);
+  client.for_s = json.at("for_s");
+  client.destination_count = json.value("destinations", 1);
+  return client;
+}
+
+DestinationBursts DestinationBurstsFromJson(const Json& json) {
+  DestinationBursts bursts;
+  bursts.every_s = json.value("every_s", bursts.every_s);
+  bursts.min_work_s = json.value("worth_least_s", bursts.min_work_s);
+  bursts.max_work_s = json.value("worth_most_s", bursts.max_work_s);
+  bursts.destination_rate = json.value("partner_rate", bursts.destination_rate);
+  bursts.spread_ms = json.value("over_ms", bursts.spread_ms);
+  if (bursts.max_work_s < bursts.min_work_s)
+    throw std::runtime_error("/clumps/worth_most_s: expected at least worth_least_s");
+  return bursts;
+}
+
+ValidityLimits ValidityLimitsFromJson(const Json& json) {
+  ValidityLimits limits;
+  limits.lag_ms = json.value("lag_ms", limits.lag_ms);
+  limits.late_fraction = json.value("share", limits.late_fraction);
+  limits.run_queue_fraction = json.value("run_queue_share", limits.run_queue_fraction);
+  return limits;
+}
+
+// How the clients send, wait and submit again.
+void ReadClientSettings(const Json& json, Scenario& scenario) {
+  const bool cloud_events = json.value("front", std::string("platform")) == "events";
+  scenario.protocol = cloud_events ? TargetProtocol::kCloudEvents : TargetProtocol::kPlatform;
+  scenario.event_mode = EventModeFromName(json.value("mode", std::string("binary")));
+  scenario.batch_size = json.value("batch", scenario.batch_size);
+  scenario.batch_wait_ms = json.value("batch_wait_ms", scenario.batch_wait_ms);
+  scenario.threads = json.value("threads", scenario.threads);
+  scenario.connections = json.value("connections", scenario.connections);
+  scenario.max_queued_messages = json.value("backlog", scenario.max_queued_messages);
+  scenario.max_messages = json.value("max_messages", scenario.max_messages);
+  scenario.response_timeout_ms = json.value("answer_ms", scenario.response_timeout_ms);
+  scenario.max_resubmissions = json.value("hand_ins_again", scenario.max_resubmissions);
+  scenario.resubmit_delay_ms = json.value("again_ms", scenario.resubmit_delay_ms);
 }
 
 }  // namespace
 
-const char* Name(Repeat repeat) {
-  return repeat == Repeat::kNever ? "never" : repeat == Repeat::kKeyed ? "keyed" : "free";
+const char* Name(Repeat idempotency) {
+  switch (idempotency) {
+    case Repeat::kNever:
+      return "never";
+    case Repeat::kKeyed:
+      return "keyed";
+    case Repeat::kFree:
+      break;
+  }
+  return "free";
 }
 
 Json ScenarioSchema() { return Json::parse(kScenarioSchema); }
 
 Scenario ScenarioFromJson(const Json& json) {
   Validate(ScenarioSchema(), json);
-  Scenario s;
-  s.seed = json.value("seed", s.seed);
-  s.seconds = json.value("seconds", s.seconds);
-  s.drain_s = json.value("drain_s", s.drain_s);
-  for (const Json& target : json.at("targets")) {
-    s.targets.push_back(
-        Place("/targets", [&] { return ParseAddress(target.get_ref<const std::string&>(), "a target"); }));
-  }
-  s.front = json.value("front", std::string("platform")) == "events" ? Front::kEvents : Front::kPlatform;
-  const std::string mode = json.value("mode", std::string("binary"));
-  s.mode = mode == "batched"      ? EventMode::kBatched
-           : mode == "structured" ? EventMode::kStructured
-                                  : EventMode::kBinary;
-  s.batch = json.value("batch", s.batch);
-  s.batch_wait_ms = json.value("batch_wait_ms", s.batch_wait_ms);
-  s.threads = json.value("threads", s.threads);
-  s.connections = json.value("connections", s.connections);
-  s.backlog = json.value("backlog", s.backlog);
-  s.max_messages = json.value("max_messages", s.max_messages);
-  s.answer_ms = json.value("answer_ms", s.answer_ms);
-  s.hand_ins_again = json.value("hand_ins_again", s.hand_ins_again);
-  s.again_ms = json.value("again_ms", s.again_ms);
-  s.arrivals = json.value("arrivals", Json::object());
-  for (const Json& c : json.value("classes", Json::array({{{"name", "aviso"}}}))) {
-    ClassMix mix;
-    mix.name = c.at("name").get<std::string>();
-    mix.weight = c.value("weight", mix.weight);
-    mix.deadline_ms = c.value("deadline_ms", mix.deadline_ms);
-    mix.aim_ms = c.value("aim_ms", mix.aim_ms);
-    mix.repeat = RepeatFrom(c.value("repeat", std::string("free")));
-    s.classes.push_back(mix);
-  }
+  Scenario scenario;
+  scenario.seed = json.value("seed", scenario.seed);
+  scenario.seconds = json.value("seconds", scenario.seconds);
+  scenario.drain_s = json.value("drain_s", scenario.drain_s);
+  scenario.targets = TargetsFromJson(json.at("targets"));
+  ReadClientSettings(json, scenario);
+  scenario.arrivals = json.value("arrivals", Json::object());
+  for (const Json& message_class : json.value("classes", Json::array({{{"name", "aviso"}}})))
+    scenario.classes.push_back(MessageClassFromJson(message_class));
   const Json destinations = json.value("destinations", Json::object());
-  s.first_destination = destinations.value("first", 0);
-  s.destinations = destinations.value("count", 1);
-  s.zipf = destinations.value("zipf", 0.0);
-  s.body_bytes = json.value("body_bytes", Json{{"kind", "constant"}, {"value", 200}});
-  Place("/body_bytes", [&] { return Distribution::FromJson(s.body_bytes).Mean(); });
-  const Json callers = json.value("callers", Json::object());
-  s.callers = callers.value("count", 1);
-  if (callers.contains("hot")) {
-    const Json& hot = callers["hot"];
-    s.hot =
-        HotCaller{hot.at("share"), hot.value("from_s", 0.0), hot.at("for_s"), hot.value("destinations", 1)};
-  }
-  if (json.contains("clumps")) {
-    const Json& c = json["clumps"];
-    Clumps clumps;
-    clumps.every_s = c.value("every_s", clumps.every_s);
-    clumps.worth_least_s = c.value("worth_least_s", clumps.worth_least_s);
-    clumps.worth_most_s = c.value("worth_most_s", clumps.worth_most_s);
-    clumps.partner_rate = c.value("partner_rate", clumps.partner_rate);
-    clumps.over_ms = c.value("over_ms", clumps.over_ms);
-    if (clumps.worth_most_s < clumps.worth_least_s)
-      throw std::runtime_error("/clumps/worth_most_s: expected at least worth_least_s");
-    s.clumps = clumps;
-  }
-  s.trace = json.value("trace", std::string(""));
-  if (json.contains("valid")) {
-    s.valid.lag_ms = json["valid"].value("lag_ms", s.valid.lag_ms);
-    s.valid.share = json["valid"].value("share", s.valid.share);
-    s.valid.run_queue_share = json["valid"].value("run_queue_share", s.valid.run_queue_share);
-  }
-  return s;
+  scenario.first_destination = destinations.value("first", 0);
+  scenario.destination_count = destinations.value("count", 1);
+  scenario.zipf_exponent = destinations.value("zipf", 0.0);
+  scenario.body_bytes = json.value("body_bytes", Json{{"kind", "constant"}, {"value", 200}});
+  WithPointer("/body_bytes", [&] { return Distribution::FromJson(scenario.body_bytes).Mean(); });
+  const Json clients = json.value("callers", Json::object());
+  scenario.client_count = clients.value("count", 1);
+  if (clients.contains("hot")) scenario.hot_client = HotClientFromJson(clients["hot"]);
+  if (json.contains("clumps")) scenario.destination_bursts = DestinationBurstsFromJson(json["clumps"]);
+  scenario.trace = json.value("trace", std::string(""));
+  if (json.contains("valid")) scenario.validity = ValidityLimitsFromJson(json["valid"]);
+  return scenario;
 }
 
 Json ReadJsonFile(const std::string& path) {
--- a/src/loadtest/load/sender.h
+++ b/src/loadtest/load/sender.h
@@ -1,5 +1,6 @@
-// One sending thread: sends each planned message at its intended time whatever became of those before it, and
-// hands messages in again as the protocol's clients do.
+// One sending thread of an open-loop load: sends each planned message at its intended time, whatever became
+// of those before it, and submits messages again as the protocol's clients do. Used by RunLoad, a Sender for
+// each thread.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
 
@@ -11,75 +12,93 @@
 #include <vector>
 
 #include "loadtest/load/client.h"
-#include "loadtest/load/self_watch.h"
+#include "loadtest/load/generator_monitor.h"
 #include "loadtest/load/wire.h"
-#include "loadtest/report/record.h"
+#include "loadtest/report/message_record.h"
 
 namespace sagetally::loadtest {
 
-// From the thread that draws the plan to one that sends.
-struct Feed {
-  boost::lockfree::spsc_queue<Planned, boost::lockfree::capacity<16384>> queue;
-  std::atomic<bool> done = false;  // nothing more is put into it
+// The queue from the thread that draws the plan to one that sends.
+struct PlanFeed {
+  boost::lockfree::spsc_queue<PlannedMessage, boost::lockfree::capacity<16384>> queue;
+  std::atomic<bool> done = false;  // nothing more will be added
 };
 
-struct Progress {  // written by senders, read by whoever shows it
-  std::atomic<std::int64_t> offered = 0, sent = 0, taken = 0, refused = 0, unanswered = 0;
+// Counts of messages; written by the senders, read by any thread.
+struct Progress {
+  std::atomic<std::int64_t> offered = 0;
+  std::atomic<std::int64_t> sent = 0;  // submissions
+  std::atomic<std::int64_t> accepted = 0;
+  std::atomic<std::int64_t> rejected = 0;
+  std::atomic<std::int64_t> unanswered = 0;
 };
 
 class Sender {
  public:
-  // Sends what `feed` holds of run `run`, whose start is `start_us`; ends once all is answered, `drain_s`
-  // after the scenario's last second, or soon after `stop` is set.
-  Sender(const Scenario& scenario, int connections, Feed& feed, std::uint32_t run, std::int64_t start_us,
+  // All references outlive the sender. `start_us`: the run's start on the monotonic clock.
+  Sender(const Scenario& scenario, int connections, PlanFeed& feed, std::uint32_t run, std::int64_t start_us,
          Progress& progress, const std::atomic<bool>& stop);
-  // On the thread that called it.
+
+  // Sends on the calling thread until all messages have their response, `drain_s` have passed after the
+  // scenario's last second, or `stop` is set.
   void Run();
 
-  const std::vector<Record>& records() const { return records_; }
-  const SelfReport& self() const { return self_; }
-  std::int64_t waits_for_plan() const { return waits_for_plan_; }  // the plan was not drawn in time
-  std::int64_t connections_opened() const { return clients_.opened(); }
+  // The results; valid once Run has returned.
+  const std::vector<MessageRecord>& records() const { return records_; }
+  const SenderThreadReport& thread_report() const { return thread_report_; }
+  std::int64_t plan_underruns() const { return plan_underruns_; }  // times that the feed was empty too early
+  std::int64_t opened_connections() const { return clients_.opened_connections(); }
 
  private:
-  struct Again {
+  // Messages are named by the index of their record.
+  using RecordIndices = std::vector<std::size_t>;
+
+  struct Retry {
     std::int64_t at_us = 0;
     std::size_t record = 0;
-    bool operator>(const Again& other) const { return at_us > other.at_us; }
+    bool operator>(const Retry& other) const { return at_us > other.at_us; }
   };
-  void Turn();
-  void Schedule();
-  void Due();
-  void Offer(std::size_t record);
-  void SendWaiting();
-  void Post(std::vector<std::size_t> records);
-  void SendNow(std::vector<std::size_t> records);
-  void Answered(const std::vector<std::size_t>& records, const Reply& reply);
-  void Settled(std::size_t record, const Reply& reply, std::int64_t now);
-  bool Over(std::int64_t now) const;
+
+  // Sends all that is due, and sets the timer for what comes next.
+  void ProcessDueWork();
+  void ScheduleNextWork();
+  void StartNextMessage();
+  void SubmitOrBatch(std::size_t record);
   void CloseBatch();
-  void Watch();
-  double LeftMs(const Record& record, std::int64_t now) const;
-  const ClassMix& ClassOf(const Record& record) const;
+  void SendOrQueue(RecordIndices records);
+  void SendQueued();
+  void SendNow(RecordIndices records);
+  void OnReply(const RecordIndices& records, const Reply& reply);
+  void HandleReply(std::size_t index, const Reply& reply, std::int64_t now_us);
+  bool MayResubmit(const MessageRecord& record, const Reply& reply, double delay_ms,
+                   std::int64_t now_us) const;
+  bool IsFinished(std::int64_t now_us) const;
+  void SampleMonitor();
+  double RemainingMs(const MessageRecord& record, std::int64_t now_us) const;
+  const MessageClass& ClassOf(const MessageRecord& record) const;
 
   const Scenario& scenario_;
-  Feed& feed_;
+  PlanFeed& feed_;
   const std::uint32_t run_;
   const std::int64_t start_us_;
   Progress& progress_;
   const std::atomic<bool>& stop_;
   EventLoop loop_;
-  Clients clients_;
-  Timer next_, batch_, watch_timer_;
-  std::vector<Record> records_;
-  std::vector<bool> unanswered_;  // by record: the last hand-in got none
-  std::optional<Planned> ahead_;
-  std::deque<std::vector<std::size_t>> waiting_;  // for a connection
-  std::int64_t waiting_messages_ = 0, out_ = 0, waits_for_plan_ = 0;
-  std::vector<std::size_t> batch_open_;
-  std::priority_queue<Again, std::vector<Again>, std::greater<>> again_;
-  SelfReport self_;
-  SelfWatch* watch_ = nullptr;
+  HttpClientPool clients_;
+  Timer work_timer_;
+  Timer batch_timer_;
+  Timer monitor_timer_;
+  std::vector<MessageRecord> records_;
+  std::vector<bool> last_unanswered_;  // by record: whether the last submission got no response
+  std::optional<PlannedMessage> next_message_;
+  std::deque<RecordIndices> queued_;  // requests that wait for a connection
+  std::int64_t queued_messages_ = 0;
+  std::int64_t requests_in_flight_ = 0;
+  std::int64_t plan_underruns_ = 0;
+  RecordIndices open_batch_;
+  std::priority_queue<Retry, std::vector<Retry>, std::greater<>> retries_;
+  SenderThreadReport thread_report_;
+  GeneratorMonitor* monitor_ = nullptr;  // while Run runs
 };
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/trace.h
+++ b/src/loadtest/load/trace.h
@@ -1,5 +1,5 @@
-// Traces: plans on file. One JSON value a line; the first names the form, the classes and the seed, each
-// other one message.
+// Traces: plans in files, recorded by a run or imported from other programs. One JSON value a line; the first
+// is the header with the format's version and the classes, each further one a message.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
 
@@ -14,10 +14,12 @@
 
 class TraceWriter {
  public:
-  // Throws std::runtime_error if the file can't be written, then or later.
+  // Throws std::runtime_error if the file can't be opened.
   TraceWriter(const std::string& path, const Scenario& scenario);
   TraceWriter(const std::string& path, const std::vector<std::string>& classes);
-  void Write(const Planned& planned);
+
+  void Write(const PlannedMessage& message);
+  // Throws std::runtime_error if the file is incomplete.
   void Close();
 
  private:
@@ -26,19 +28,23 @@
   std::vector<std::string> classes_;
 };
 
-// Messages in order of time, up to the scenario's seconds; its classes say which are known. Throws
-// std::runtime_error naming file and line.
-class TraceReader : public Source {
+// Reads the messages of a trace up to the scenario's seconds. The trace's classes must be among the
+// scenario's. Throws std::runtime_error that names file and line.
+class TraceReader : public PlanSource {
  public:
   TraceReader(const std::string& path, const Scenario& scenario);
-  std::optional<Planned> Next() override;
+  std::optional<PlannedMessage> Next() override;
 
  private:
+  PlannedMessage ParseMessage(const std::string& line) const;
+
   const std::string path_;
   const double seconds_;
   std::ifstream file_;
   std::vector<std::string> classes_;
-  std::int64_t line_ = 0, number_ = 0, last_us_ = 0;
+  std::int64_t line_number_ = 0;
+  std::int64_t next_number_ = 0;
+  std::int64_t last_us_ = 0;
 };
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/wire.h
+++ b/src/loadtest/load/wire.h
@@ -1,4 +1,4 @@
-// Requests as bytes, for both fronts.
+// Encodes submissions as HTTP requests, for both protocols of the targets.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
 
@@ -9,19 +9,21 @@
 
 namespace sagetally::loadtest {
 
-struct HandIn {  // one message, once
-  const Planned* message = nullptr;
-  const ClassMix* message_class = nullptr;
-  int number = 0;           // 0: first
-  bool unanswered = false;  // the one before got no answer, rather than a refusal
-  double left_ms = 0;       // of its time
+// One submission of a message.
+struct Submission {
+  const PlannedMessage* message = nullptr;
+  const MessageClass* message_class = nullptr;
+  int number = 0;                // 0: the first
+  bool after_no_answer = false;  // the one before got no response, rather than a rejection
+  double remaining_ms = 0;       // until the message's deadline
 };
 
-// The id under which a hand-in goes: at the platform's front a new one each time, at the events' front one
-// for all.
-std::string IdOf(const Scenario& scenario, std::uint32_t run, const HandIn& hand_in);
-// Several only in a batch of events.
-std::string RequestText(const Scenario& scenario, std::uint32_t run, std::span<const HandIn> hand_ins);
+// The id under which a message is submitted: on the platform's protocol a new one for each submission, as
+// CloudEvent the same for all.
+std::string IdOf(const Scenario& scenario, std::uint32_t run, const Submission& submission);
+
+// The bytes of one request. Batched CloudEvents may carry several submissions, all others carry the first.
+std::string RequestText(const Scenario& scenario, std::uint32_t run, std::span<const Submission> submissions);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -1,4 +1,4 @@
-// sagetally-loadtest: load, stand-ins, experiments and reports round sagetally.
+// sagetally-loadtest: offers load to sagetally, runs stub servers around it, and reports on both.
 #include <csignal>
 #include <exception>
 #include <iostream>
@@ -8,7 +8,7 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    return sagetally::loadtest::RunLab(argc, argv);
+    return sagetally::loadtest::RunLoadtest(argc, argv);
   } catch (const std::exception& error) {
     std::cerr << "sagetally-loadtest: " << error.what() << "\n";
     return 1;
--- a/src/loadtest/report/histogram.cpp
+++ b/src/loadtest/report/histogram.cpp
@@ -8,12 +8,13 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr double kLeast = 10, kMost = 600e6;
+constexpr double kAxisMinUs = 10;
+constexpr double kAxisMaxUs = 600e6;
 constexpr int kBins = 1850;  // each is 0.97 per cent wide
 
 }  // namespace
 
-LatencyHistogram::LatencyHistogram() : counts_(std::make_tuple(Axis(kBins, kLeast, kMost))) {}
+LatencyHistogram::LatencyHistogram() : counts_(std::make_tuple(Axis(kBins, kAxisMinUs, kAxisMaxUs))) {}
 
 void LatencyHistogram::Add(double us) {
   counts_(us);
@@ -35,10 +36,12 @@
 void LatencyHistogram::Clear() {
   counts_.reset();
   count_ = 0;
-  min_ = max_ = sum_ = 0;
+  min_ = 0;
+  max_ = 0;
+  sum_ = 0;
 }
 
-double LatencyHistogram::Middle(int bin) const {  // in the log, so that the error is the same on both sides
+double LatencyHistogram::BinMiddle(int bin) const {
   if (bin < 0) return min_;
   if (bin >= kBins) return max_;
   const auto& axis = counts_.axis();
@@ -54,16 +57,16 @@
   std::int64_t seen = 0;
   for (int bin = -1; bin <= kBins; ++bin) {
     seen += static_cast<std::int64_t>(counts_.at(bin));
-    if (seen >= rank) return Middle(bin);
+    if (seen >= rank) return BinMiddle(bin);
   }
   return max_;
 }
 
-std::int64_t LatencyHistogram::Over(double us) const {
+std::int64_t LatencyHistogram::CountOver(double us) const {
   std::int64_t over = 0;
   for (int bin = -1; bin <= kBins; ++bin) {
     const auto n = static_cast<std::int64_t>(counts_.at(bin));
-    if (n > 0 && Middle(bin) > us) over += n;
+    if (n > 0 && BinMiddle(bin) > us) over += n;
   }
   return over;
 }
@@ -77,18 +80,19 @@
 }
 
 LatencyHistogram LatencyHistogram::FromJson(const nlohmann::json& json) {
-  LatencyHistogram h;
+  LatencyHistogram histogram;
   for (const auto& bin : json.at("bins")) {
     const int index = bin.at(0).get<int>();
-    const auto n = bin.at(1).get<std::int64_t>();
-    if (index < -1 || index > kBins || n < 0) throw std::runtime_error("a histogram's bin is out of range");
-    h.counts_.at(index) = static_cast<std::uint64_t>(n);
-    h.count_ += n;
+    const auto count = bin.at(1).get<std::int64_t>();
+    if (index < -1 || index > kBins || count < 0)
+      throw std::runtime_error("a histogram's bin is out of range");
+    histogram.counts_.at(index) = static_cast<std::uint64_t>(count);
+    histogram.count_ += count;
   }
-  h.min_ = json.at("min_us");
-  h.max_ = json.at("max_us");
-  h.sum_ = json.at("sum_us");
-  return h;
+  histogram.min_ = json.at("min_us");
+  histogram.max_ = json.at("max_us");
+  histogram.sum_ = json.at("sum_us");
+  return histogram;
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/report/plots.h
+++ b/src/loadtest/report/plots.h
@@ -1,4 +1,4 @@
-// Plots by gnuplot, as SVG and PNG.
+// Plots of one run by gnuplot, as SVG and PNG.
 #ifndef SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
 #define SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
 
@@ -10,13 +10,15 @@
 namespace sagetally::loadtest {
 
 struct Plot {
-  std::string name, title;  // files NAME.svg and NAME.png
-  bool made = false;
+  std::string name;   // of its files NAME.svg and NAME.png
+  std::string title;  // plain text
+  bool drawn = false;
 };
 
-// Writes data, scripts and plots of one run into `folder`; without gnuplot, plots are not made and the rest
-// is there. Throws std::runtime_error if the folder can't be written.
-std::vector<Plot> DrawPlots(const Result& result, const std::string& folder, const std::string& prefix);
+// Writes data, scripts and plots of one run into `folder`; file names begin with `prefix`. Without gnuplot
+// the plots are missing (`drawn` is false) and the rest is written. Throws std::runtime_error if `folder`
+// can't be written.
+std::vector<Plot> DrawPlots(const RunResult& result, const std::string& folder, const std::string& prefix);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/report/statistics.h
+++ b/src/loadtest/report/statistics.h
@@ -7,16 +7,22 @@
 
 namespace sagetally::loadtest {
 
+// A 95% confidence interval.
 struct Interval {
-  double middle = 0, low = 0, high = 0;  // 95%
+  double middle = 0;
+  double low = 0;
+  double high = 0;
 };
 
-// Of the mean; nothing with fewer than two values.
+// Of the mean, by Student's t. None for fewer than two values.
 std::optional<Interval> MeanInterval(std::span<const double> values);
-// Of the ratio of b's geometric mean to a's: Welch's interval on logarithms. Nothing unless both have two
-// values or more, all over 0.
+
+// Of the ratio of b's geometric mean to a's, by Welch's t on the logarithms. None unless both have two values
+// or more, all of them positive.
 std::optional<Interval> RatioInterval(std::span<const double> a, std::span<const double> b);
-double Mean(std::span<const double> values);  // 0 if there are none
+
+// 0 if there are no values.
+double Mean(std::span<const double> values);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/schemas.h
+++ b/src/loadtest/schemas.h
@@ -1,4 +1,4 @@
-// The schemas under deploy/schema/, compiled in.
+// The JSON schemas of the load tool's files (deploy/schema/), compiled in by CMake.
 #ifndef SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
 #define SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
 
@@ -6,7 +6,9 @@
 
 namespace sagetally::loadtest {
 
-extern const std::string_view kScenarioSchema, kStandInSchema, kResultSchema;
+extern const std::string_view kScenarioSchema;
+extern const std::string_view kStubServerSchema;
+extern const std::string_view kResultSchema;
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/stub/agent.cpp
+++ b/src/loadtest/stub/agent.cpp
@@ -8,69 +8,75 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr Duration kBeat = std::chrono::seconds(2);
-
-Json AsJson(const Target& t) {
-  return {{"uid", t.uid},
-          {"endpoint", t.endpoint},
-          {"az", t.zone},
-          {"model", t.model},
-          {"pod_group", t.destination},
-          {"state", t.state},
-          {"capacity_hint", t.rate},
-          {"boot_ms", t.boot_ms}};
+
+// Of the empty lines that keep a watch alive, as the protocol demands.
+constexpr Duration kHeartbeatInterval = std::chrono::seconds(2);
+
+Json EndpointToJson(const ListedEndpoint& endpoint) {
+  return {{"uid", endpoint.uid},
+          {"endpoint", endpoint.address},
+          {"az", endpoint.zone},
+          {"model", endpoint.model},
+          {"pod_group", endpoint.destination},
+          {"state", endpoint.state},
+          {"capacity_hint", endpoint.rate},
+          {"boot_ms", endpoint.boot_ms}};
 }
 
 }  // namespace
 
-std::string ToJson(const Target& target) { return AsJson(target).dump(); }
+std::string ToJson(const ListedEndpoint& endpoint) { return EndpointToJson(endpoint).dump(); }
 
 Agent::Agent(EventLoop& loop, const Address& at)
     : loop_(loop),
-      beat_(loop, [this] { Beat(); }),
-      listener_(loop, at, [this](const auto& call) { Asked(call); }) {
-  beat_.Schedule(kBeat);
+      heartbeat_timer_(loop, [this] { SendHeartbeat(); }),
+      listener_(loop, at, [this](const auto& call) { OnRequest(call); }) {
+  heartbeat_timer_.Schedule(kHeartbeatInterval);
 }
 Agent::~Agent() = default;
 
-std::string Agent::List(const std::map<std::string, Target>& targets, std::int64_t revision) const {
-  Json list = {{"rev", revision}, {"all", true}, {"targets", Json::array()}};
-  for (const auto& [uid, target] : targets) list["targets"].push_back(AsJson(target));
+std::string Agent::ListJson() const {
+  Json list = {{"rev", revision_}, {"all", true}, {"targets", Json::array()}};
+  for (const auto& [uid, endpoint] : how.stale ? initial_endpoints_ : endpoints_)
+    list["targets"].push_back(EndpointToJson(endpoint));
   return list.dump();
 }
 
-void Agent::Beat() {  // an empty line every 2 s
+void Agent::SendHeartbeat() {
   std::erase_if(watches_, [](const auto& call) { return call->gone(); });
   if (!how.silent) {
     for (const auto& call : watches_) call->Chunk("\n");
   }
-  beat_.Schedule(kBeat);
+  heartbeat_timer_.Schedule(kHeartbeatInterval);
 }
 
-void Agent::Put(const Target& target) {
+void Agent::Put(const ListedEndpoint& endpoint) {
   ++revision_;
-  targets_[target.uid] = target;
-  if (watches_.empty() && asked.empty()) first_ = targets_;
+  endpoints_[endpoint.uid] = endpoint;
+  if (watches_.empty() && asked.empty()) initial_endpoints_ = endpoints_;
   if (how.lost || how.silent) return;
-  if (how.late_ms <= 0) return TellChange(target);
-  late_.push_back(std::make_unique<Timer>(loop_, [this, target] { TellChange(target); }));
-  late_.back()->Schedule(Duration(static_cast<std::int64_t>(how.late_ms * 1000)));
+  if (how.late_ms <= 0) {
+    SendChange(endpoint);
+    return;
+  }
+  delayed_changes_.push_back(std::make_unique<Timer>(loop_, [this, endpoint] { SendChange(endpoint); }));
+  delayed_changes_.back()->Schedule(Duration(static_cast<std::int64_t>(how.late_ms * 1000)));
 }
 
 void Agent::SetState(const std::string& uid, const std::string& state) {
-  const auto at = targets_.find(uid);
-  if (at == targets_.end()) return;
-  Target target = at->second;
-  target.state = state;
-  Put(target);
-  if (state == "terminated") targets_.erase(uid);
+  const auto found = endpoints_.find(uid);
+  if (found == endpoints_.end()) return;
+  ListedEndpoint endpoint = found->second;
+  endpoint.state = state;
+  Put(endpoint);
+  if (state == "terminated") endpoints_.erase(uid);
 }
 
-void Agent::TellChange(const Target& target) {
-  const Json change = {{"rev", revision_}, {"all", false}, {"targets", {AsJson(target)}}};
-  bool told = false;
-  for (const auto& call : watches_) told = call->Chunk(change.dump() + "\n") || told;
-  if (told && on_told) on_told(target.uid, target.state);
+void Agent::SendChange(const ListedEndpoint& endpoint) {
+  const Json change = {{"rev", revision_}, {"all", false}, {"targets", {EndpointToJson(endpoint)}}};
+  bool was_sent = false;
+  for (const auto& call : watches_) was_sent = call->Chunk(change.dump() + "\n") || was_sent;
+  if (was_sent && on_state_announced) on_state_announced(endpoint.uid, endpoint.state);
 }
 
 void Agent::Say(const std::string& line) {
@@ -82,46 +88,57 @@
   watch.reset();
 }
 
-void Agent::Asked(const std::shared_ptr<Call>& call) {
+void Agent::OnRequest(const std::shared_ptr<Call>& call) {
   if (call->target.starts_with("/v1/servers")) {
-    if (how.silent) return;  // as while discovery is down
-    const bool watching = call->target.find("watch=1") != std::string::npos;
-    if (!watching) {
-      call->Answer(200, List(how.stale ? first_ : targets_, revision_));
-      return;
-    }
-    asked.push_back(call->target);
-    call->StartChunks();
-    std::erase_if(watches_, [](const auto& old) { return old->gone(); });
-    watches_.push_back(call);
-    watch = call;
-    if (!targets_.empty()) call->Chunk(List(how.stale ? first_ : targets_, revision_) + "\n");
+    OnListRequest(call);
+  } else if (call->target == "/v1/notices" && call->method == "POST") {
+    OnNotices(*call);
+  } else {
+    call->Answer(404);
+  }
+}
+
+void Agent::OnListRequest(const std::shared_ptr<Call>& call) {
+  if (how.silent) return;
+  const bool is_watch = call->target.find("watch=1") != std::string::npos;
+  if (!is_watch) {
+    call->Answer(200, ListJson());
     return;
   }
-  if (call->target == "/v1/notices" && call->method == "POST") return Notices(*call);
-  call->Answer(404);
+  asked.push_back(call->target);
+  call->StartChunks();
+  std::erase_if(watches_, [](const auto& old) { return old->gone(); });
+  watches_.push_back(call);
+  watch = call;
+  if (!endpoints_.empty()) call->Chunk(ListJson() + "\n");
 }
 
-void Agent::Notices(Call& call) {
-  int code = 204;
+void Agent::OnNotices(Call& call) {
+  int status = 204;
   if (!script.empty()) {
-    code = script.front();
+    status = script.front();
     script.pop_front();
   }
-  if (code == 204) {
-    std::istringstream lines(call.body);
-    for (std::string line; std::getline(lines, line);) {
-      const Json notice = Json::parse(line, nullptr, false);
-      if (!notice.is_object() || !notice.contains("id") || !notice.contains("status")) {
-        ++malformed;
-        code = 400;
-        continue;
-      }
-      if (on_notice) on_notice(notice["id"].get<std::string>(), notice["status"].get<std::string>());
-    }
+  if (status == 204) {
+    if (!ReadNotices(call.body)) status = 400;
     if (keep_notices) notices += call.body;
   }
-  call.Answer(code);
+  call.Answer(status);
+}
+
+bool Agent::ReadNotices(const std::string& body) {
+  bool is_well_formed = true;
+  std::istringstream lines(body);
+  for (std::string line; std::getline(lines, line);) {
+    const Json notice = Json::parse(line, nullptr, false);
+    if (!notice.is_object() || !notice.contains("id") || !notice.contains("status")) {
+      ++malformed;
+      is_well_formed = false;
+      continue;
+    }
+    if (on_notice) on_notice(notice["id"].get<std::string>(), notice["status"].get<std::string>());
+  }
+  return is_well_formed;
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/stub/checker.cpp
+++ b/src/loadtest/stub/checker.cpp
@@ -7,99 +7,120 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr std::size_t kMostFindings = 100;
-
-double Ms(std::int64_t us) { return static_cast<double>(us) / 1000; }
+double Milliseconds(std::int64_t us) { return static_cast<double>(us) / 1000; }
 
 }  // namespace
 
-void Checker::Find(const std::string& rule, const std::string& id, const std::string& detail) {
+void Checker::AddViolation(const std::string& rule, const std::string& id, const std::string& detail) {
   ++count_;
-  if (findings_.size() < kMostFindings) findings_.push_back({rule, id, detail});
+  if (violations_.size() < kMaxRecordedViolations) violations_.push_back({rule, id, detail});
 }
 
-std::int64_t Checker::CallBegan(std::int64_t now_us, const CallSeen& call) {
-  MessageSeen& m = messages_[call.id];
-  if (m.out > 0)
-    Find("second copy", call.id, "called at " + call.endpoint + " while another call of it was out");
-  if (++m.calls > rules_.most_attempts)
-    Find("too many attempts", call.id, fmt::format("call {} of at most {}", m.calls, rules_.most_attempts));
-  if (call.wanted && *call.wanted != call.destination) {
-    Find(
-        "wrong destination", call.id,
-        fmt::format("for destination {}, called at {} of {}", *call.wanted, call.endpoint, call.destination));
+std::int64_t Checker::OnCallStarted(std::int64_t now_us, const CallInfo& call) {
+  MessageState& message = messages_[call.id];
+  if (message.in_flight > 0) {
+    AddViolation("second copy", call.id, "called at " + call.endpoint + " while another call of it was out");
   }
-  for (const Wait& w : waits_[call.destination]) {
-    if (now_us > w.told_us + rules_.wait_leeway_us && now_us < w.until_us) {
-      Find("wait not kept", call.id,
-           fmt::format("destination {} was called {:.0f} ms before its wait was over", call.destination,
-                       Ms(w.until_us - now_us)));
-      break;
-    }
+  if (++message.calls > rules_.max_attempts) {
+    AddViolation("too many attempts", call.id,
+                 fmt::format("call {} of at most {}", message.calls, rules_.max_attempts));
+  }
+  CheckTarget(now_us, call);
+  CheckRepeat(now_us, call, message);
+  ++message.in_flight;
+  const int in_flight = ++in_flight_by_dispatcher_[call.dispatcher];
+  max_in_flight_ = std::max(max_in_flight_, in_flight);
+  if (rules_.max_concurrent_calls > 0 && in_flight > rules_.max_concurrent_calls) {
+    AddViolation("beyond slots", call.id,
+                 fmt::format("{} calls out of at most {}", in_flight, rules_.max_concurrent_calls));
+  }
+  in_flight_calls_[next_call_number_] = {call, now_us};
+  return next_call_number_++;
+}
+
+// Whether the endpoint may be called at all, now.
+void Checker::CheckTarget(std::int64_t now_us, const CallInfo& call) {
+  if (call.message_destination && *call.message_destination != call.destination) {
+    AddViolation("wrong destination", call.id,
+                 fmt::format("for destination {}, called at {} of {}", *call.message_destination,
+                             call.endpoint, call.destination));
+  }
+  const std::vector<Wait>& waits = waits_[call.destination];
+  const auto violated = std::find_if(waits.begin(), waits.end(), [&](const Wait& wait) {
+    return now_us > wait.announced_us + rules_.wait_grace_us && now_us < wait.until_us;
+  });
+  if (violated != waits.end()) {
+    AddViolation("wait not kept", call.id,
+                 fmt::format("destination {} was called {:.0f} ms before its wait was over", call.destination,
+                             Milliseconds(violated->until_us - now_us)));
+  }
+  const auto draining = draining_since_us_.find(call.endpoint);
+  if (draining != draining_since_us_.end() && now_us - draining->second > rules_.drain_grace_us) {
+    AddViolation("drain not kept", call.id,
+                 fmt::format("{} was called {:.0f} ms after it was told draining", call.endpoint,
+                             Milliseconds(now_us - draining->second)));
   }
-  if (const auto told = draining_.find(call.endpoint);
-      told != draining_.end() && now_us - told->second > rules_.drain_us) {
-    Find("drain not kept", call.id,
-         fmt::format("{} was called {:.0f} ms after it was told draining", call.endpoint,
-                     Ms(now_us - told->second)));
+}
+
+// Whether the message may be called again.
+void Checker::CheckRepeat(std::int64_t now_us, const CallInfo& call, const MessageState& message) {
+  const auto& executed_us = message.may_have_executed_us;
+  if (call.idempotency == Repeat::kNever && executed_us) {
+    AddViolation("forbidden repeat", call.id, "called again, though it may have run and may not be repeated");
   }
-  if (call.repeat == Repeat::kNever && m.may_have_run_us)
-    Find("forbidden repeat", call.id, "called again, though it may have run and may not be repeated");
-  if (call.repeat == Repeat::kKeyed && m.may_have_run_us &&
-      now_us - *m.may_have_run_us > rules_.repeat_window_us) {
-    Find("repeat window over", call.id,
-         fmt::format("called again {:.0f} ms after it may have run", Ms(now_us - *m.may_have_run_us)));
+  if (call.idempotency == Repeat::kKeyed && executed_us &&
+      now_us - *executed_us > rules_.deduplication_window_us) {
+    AddViolation(
+        "repeat window over", call.id,
+        fmt::format("called again {:.0f} ms after it may have run", Milliseconds(now_us - *executed_us)));
   }
-  if (m.delivered && call.repeat == Repeat::kNever)
-    Find("delivered again", call.id, "called again after it was answered as delivered");
-  ++m.out;
-  const int out = ++slots_[call.dispatcher];
-  most_out_ = std::max(most_out_, out);
-  if (rules_.slots > 0 && out > rules_.slots)
-    Find("beyond slots", call.id, fmt::format("{} calls out of at most {}", out, rules_.slots));
-  out_[next_call_] = {call, now_us};
-  return next_call_++;
+  if (message.delivered && call.idempotency == Repeat::kNever)
+    AddViolation("delivered again", call.id, "called again after it was answered as delivered");
 }
 
-void Checker::CallOver(std::int64_t now_us, std::int64_t call, CallEnd end, std::int64_t wait_us) {
-  const auto at = out_.find(call);
-  if (at == out_.end()) return;
-  const Out out = at->second;
-  out_.erase(at);
-  --slots_[out.call.dispatcher];
-  MessageSeen& m = messages_[out.call.id];
-  --m.out;
-  if (end == CallEnd::kDelivered) m.delivered = true;
-  if (end == CallEnd::kMayHaveRun && !m.may_have_run_us) m.may_have_run_us = out.began_us;
+void Checker::OnCallEnded(std::int64_t now_us, std::int64_t call_number, CallOutcome outcome,
+                          std::int64_t wait_us) {
+  const auto found = in_flight_calls_.find(call_number);
+  if (found == in_flight_calls_.end()) return;
+  const InFlightCall ended = found->second;
+  in_flight_calls_.erase(found);
+  --in_flight_by_dispatcher_[ended.call.dispatcher];
+  MessageState& message = messages_[ended.call.id];
+  --message.in_flight;
+  if (outcome == CallOutcome::kDelivered) message.delivered = true;
+  if (outcome == CallOutcome::kMayHaveExecuted && !message.may_have_executed_us)
+    message.may_have_executed_us = ended.started_us;
   if (wait_us > 0) {
-    std::vector<Wait>& waits = waits_[out.call.destination];
-    std::erase_if(waits, [&](const Wait& w) { return w.until_us <= now_us; });
+    std::vector<Wait>& waits = waits_[ended.call.destination];
+    std::erase_if(waits, [&](const Wait& wait) { return wait.until_us <= now_us; });
     waits.push_back({now_us, now_us + wait_us});
   }
 }
 
-void Checker::Effect(std::int64_t, const std::string& id, std::optional<Repeat> repeat) {
-  ++effects_seen_;
-  if (++messages_[id].effects > 1 && repeat && *repeat != Repeat::kFree)
-    Find("took effect twice", id, fmt::format("took effect {} times", messages_[id].effects));
+void Checker::OnEffect(const std::string& id, std::optional<Repeat> idempotency) {
+  ++effect_count_;
+  const int effects = ++messages_[id].effects;
+  if (effects > 1 && idempotency && *idempotency != Repeat::kFree)
+    AddViolation("took effect twice", id, fmt::format("took effect {} times", effects));
 }
 
-void Checker::ToldDraining(std::int64_t now_us, const std::string& endpoint) {
-  draining_.try_emplace(endpoint, now_us);
+void Checker::OnDrainingAnnounced(std::int64_t now_us, const std::string& endpoint) {
+  draining_since_us_.try_emplace(endpoint, now_us);
 }
 
-void Checker::Restarted(const std::string& dispatcher) {
+void Checker::OnDispatcherRestarted(const std::string& dispatcher) {
   waits_.clear();
-  slots_[dispatcher] = 0;
-  for (auto at = out_.begin(); at != out_.end();) {
-    if (at->second.call.dispatcher != dispatcher) {
-      ++at;
+  in_flight_by_dispatcher_[dispatcher] = 0;
+  for (auto it = in_flight_calls_.begin(); it != in_flight_calls_.end();) {
+    const InFlightCall& lost = it->second;
+    if (lost.call.dispatcher != dispatcher) {
+      ++it;
       continue;
     }
-    MessageSeen& m = messages_[at->second.call.id];
-    --m.out;
-    if (!m.may_have_run_us) m.may_have_run_us = at->second.began_us;
-    at = out_.erase(at);
+    MessageState& message = messages_[lost.call.id];
+    --message.in_flight;
+    if (!message.may_have_executed_us) message.may_have_executed_us = lost.started_us;
+    it = in_flight_calls_.erase(it);
   }
 }
 
--- a/src/loadtest/stub/frontend.cpp
+++ b/src/loadtest/stub/frontend.cpp
@@ -7,8 +7,8 @@
 namespace sagetally::loadtest {
 namespace {
 
-// The ids of all that a request hands in, at either front.
-std::vector<std::string> IdsOf(const Call& call) {
+// The ids of all messages in a request of either protocol.
+std::vector<std::string> SubmittedIds(const Call& call) {
   if (const std::string id = call.Header("X-Request-Id"); !id.empty()) return {id};
   if (const std::string id = call.Header("ce-id"); !id.empty()) return {id};
   const auto body = nlohmann::json::parse(call.body, nullptr, false);
@@ -21,44 +21,50 @@
 
 }  // namespace
 
-FrontStandIn::FrontStandIn(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
+StubFrontend::StubFrontend(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
                            std::int64_t started_us)
     : timeline_(timeline),
       random_(random),
-      listener_(loop, at, [this](const std::shared_ptr<Call>& call) { Asked(call); }),
-      script_(loop, listener_, timeline, kUid, 0, started_us) {}
+      listener_(loop, at, [this](const std::shared_ptr<Call>& call) { OnRequest(call); }),
+      fault_schedule_(loop, listener_, timeline, kUid, 0, started_us) {}
 
-void FrontStandIn::Asked(const std::shared_ptr<Call>& call) {
-  ++requests;
-  const FaultSpan fault = timeline_.Draw(script_.NowMs(), kUid, 0, random_);
+bool StubFrontend::AnswerWithFault(Call& call, const FaultSpan& fault) {
   switch (fault.fault) {
     case Fault::kRefuse:
-      call->Answer(503);
-      return;
+      call.Answer(503);
+      return true;
     case Fault::kFull:
-      call->Answer(429, "", {{"Retry-After", fmt::format("{:.3f}", fault.ms / 1000)}});
-      return;
+      call.Answer(429, "", {{"Retry-After", fmt::format("{:.3f}", fault.ms / 1000)}});
+      return true;
     case Fault::kError:
-      call->Answer(500);
-      return;
+      call.Answer(500);
+      return true;
     case Fault::kReset:
-      return call->Reset();
+      call.Reset();
+      return true;
     case Fault::kSpoilt:
-      call->Raw("HTTP/1.1 202 Accepted\r\nContent-Length: -7\r\n\r\nzzzz");
-      return;
+      call.Raw("HTTP/1.1 202 Accepted\r\nContent-Length: -7\r\n\r\nzzzz");
+      return true;
     case Fault::kHalf:
-      call->Raw("HTTP/1.1 202 Acc");
-      return call->Close();
+      call.Raw("HTTP/1.1 202 Acc");
+      call.Close();
+      return true;
     case Fault::kSilent:
     case Fault::kLate:
-      return;
+      return true;
     default:
-      break;
+      return false;
   }
-  for (const std::string& id : IdsOf(*call)) {
-    if (!on_taken) break;
-    on_taken(id);
-    if (fault.fault == Fault::kTwice) on_taken(id);
+}
+
+void StubFrontend::OnRequest(const std::shared_ptr<Call>& call) {
+  ++requests;
+  const FaultSpan fault = timeline_.Draw(fault_schedule_.NowMs(), kUid, 0, random_);
+  if (AnswerWithFault(*call, fault)) return;
+  for (const std::string& id : SubmittedIds(*call)) {
+    if (!on_accepted) break;
+    on_accepted(id);
+    if (fault.fault == Fault::kTwice) on_accepted(id);
   }
   call->Answer(202);
 }
--- a/src/loadtest/stub/frontend.h
+++ b/src/loadtest/stub/frontend.h
@@ -1,5 +1,5 @@
-// A stand-in for a whole dispatcher, as the load generator's target: takes every message, unless its timeline
-// says otherwise. What it takes counts as delivered.
+// A stub of a whole dispatcher, as a target for the load generator: accepts every message unless its timeline
+// has a fault. What it accepts counts as delivered. Lives on one event loop; no threads.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
 
@@ -9,26 +9,35 @@
 
 #include "loadtest/load/distribution.h"
 #include "loadtest/stub/listener.h"
-#include "loadtest/stub/listener_script.h"
+#include "loadtest/stub/listener_fault_schedule.h"
 
 namespace sagetally::loadtest {
 
-class FrontStandIn {
+class StubFrontend {
  public:
-  static constexpr const char* kUid = "front";  // in the timeline
-  FrontStandIn(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
+  // The name by which timelines address it.
+  static constexpr const char* kUid = "front";
+
+  // `timeline` outlives the frontend; `started_us` is its time 0.
+  StubFrontend(EventLoop& loop, const Address& at, const Timeline& timeline, Random random,
                std::int64_t started_us);
+
   std::uint16_t port() const { return listener_.port(); }
   Listener& listener() { return listener_; }
-  std::function<void(const std::string& id)> on_taken;
+
+  // Called for each accepted message.
+  std::function<void(const std::string& id)> on_accepted;
   std::int64_t requests = 0;
 
  private:
-  void Asked(const std::shared_ptr<Call>& call);
+  void OnRequest(const std::shared_ptr<Call>& call);
+  // Returns false if the fault leaves the call to be accepted.
+  static bool AnswerWithFault(Call& call, const FaultSpan& fault);
+
   const Timeline& timeline_;
   Random random_;
   Listener listener_;
-  ListenerScript script_;
+  ListenerFaultSchedule fault_schedule_;
 };
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/stub/listener.cpp
+++ b/src/loadtest/stub/listener.cpp
@@ -18,44 +18,46 @@
 
 namespace http = boost::beast::http;
 
-class Peer {
+// One accepted connection; reads one request at a time.
+class ListenerConnection {
  public:
-  Peer(Listener& listener, evutil_socket_t fd)
+  ListenerConnection(Listener& listener, evutil_socket_t fd)
       : listener_(listener),
         buffers_(bufferevent_socket_new(listener.loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE)) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    bufferevent_setcb(buffers_.get(), Readable, Written, Happened, this);
+    bufferevent_setcb(buffers_.get(), OnReadable, OnWritten, OnEvent, this);
     bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
   }
-  ~Peer() { Leave(); }
-  Peer(const Peer&) = delete;
-  Peer& operator=(const Peer&) = delete;
+  ~ListenerConnection() { Detach(); }
+  ListenerConnection(const ListenerConnection&) = delete;
+  ListenerConnection& operator=(const ListenerConnection&) = delete;
 
-  // The connection's end: whoever has a call out hears of it.
-  void Leave() {
+  // Closes the socket and tells the handler of a call that has no response yet.
+  void Detach() {
     if (!buffers_) return;
     buffers_.reset();
     if (const auto call = std::exchange(call_, nullptr)) {
-      call->peer_ = nullptr;
-      if (const auto told = std::exchange(call->on_gone, nullptr)) told();
+      call->connection_ = nullptr;
+      if (const auto on_gone = std::exchange(call->on_gone, nullptr)) on_gone();
     }
   }
   void Write(const std::string& text) { bufferevent_write(buffers_.get(), text.data(), text.size()); }
-  void Over() {  // the call is answered; the next request may be read
-    call_->peer_ = nullptr;
+  // The response is written; the next request may be read.
+  void CompleteCall() {
+    call_->connection_ = nullptr;
     call_->on_gone = nullptr;
     call_.reset();
     bufferevent_trigger(buffers_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS);
   }
   void CloseOnceWritten() {
-    closing_ = true;
-    if (evbuffer_get_length(bufferevent_get_output(buffers_.get())) == 0) listener_.Drop(*this);
+    close_after_write_ = true;
+    if (evbuffer_get_length(bufferevent_get_output(buffers_.get())) == 0) listener_.Remove(*this);
   }
   void Reset() {
     const linger none{1, 0};
     ::setsockopt(bufferevent_getfd(buffers_.get()), SOL_SOCKET, SO_LINGER, &none, sizeof none);
-    listener_.Drop(*this);
+    listener_.Remove(*this);
   }
   void Pause(bool paused) {
     if (paused) {
@@ -68,15 +70,17 @@
  private:
   using Parser = http::request_parser<http::string_body>;
 
+  void StartParser() {
+    parser_.emplace();
+    parser_->eager(true);
+    parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
+    parser_->header_limit(1 << 20);
+  }
+
   void Read() {
     evbuffer* in = bufferevent_get_input(buffers_.get());
-    while (buffers_ && !call_ && !closing_ && evbuffer_get_length(in) > 0) {
-      if (!parser_) {
-        parser_.emplace();
-        parser_->eager(true);
-        parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
-        parser_->header_limit(1 << 20);
-      }
+    while (buffers_ && !call_ && !close_after_write_ && evbuffer_get_length(in) > 0) {
+      if (!parser_) StartParser();
       boost::system::error_code error;
       const std::size_t size = evbuffer_get_length(in);
       const std::size_t used = parser_->put(boost::asio::buffer(evbuffer_pullup(in, -1), size), error);
@@ -89,11 +93,11 @@
         if (used == 0) return;
         continue;
       }
-      HandOver();
+      DispatchRequest();
     }
   }
 
-  void HandOver() {
+  void DispatchRequest() {
     http::request<http::string_body> request = parser_->release();
     parser_.reset();
     auto call = std::make_shared<Call>();
@@ -103,28 +107,30 @@
     for (const auto& field : request) {
       call->headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
     }
-    call->peer_ = this;
+    call->connection_ = this;
     call_ = call;
     listener_.handler_(std::move(call));
   }
 
-  static void Readable(bufferevent*, void* self) { static_cast<Peer*>(self)->Read(); }
-  static void Written(bufferevent*, void* self) {
-    auto* p = static_cast<Peer*>(self);
-    if (p->closing_) p->listener_.Drop(*p);
+  static void OnReadable(bufferevent*, void* self) { static_cast<ListenerConnection*>(self)->Read(); }
+  static void OnWritten(bufferevent*, void* self) {
+    auto* connection = static_cast<ListenerConnection*>(self);
+    if (connection->close_after_write_) connection->listener_.Remove(*connection);
   }
-  static void Happened(bufferevent*, short, void* self) {
-    auto* p = static_cast<Peer*>(self);
-    p->listener_.Drop(*p);
+  static void OnEvent(bufferevent*, short, void* self) {
+    auto* connection = static_cast<ListenerConnection*>(self);
+    connection->listener_.Remove(*connection);
   }
 
   Listener& listener_;
   std::unique_ptr<bufferevent, sagetally::Free<bufferevent_free>> buffers_;
   std::optional<Parser> parser_;
   std::shared_ptr<Call> call_;
-  bool closing_ = false;
+  bool close_after_write_ = false;
 };
 
+constexpr int kNoContent = 204;
+
 std::string Call::Header(const char* name) const {
   for (const auto& [key, value] : headers) {
     if (evutil_ascii_strcasecmp(key.c_str(), name) == 0) return value;
@@ -137,9 +143,9 @@
   const auto reason = http::obsolete_reason(static_cast<http::status>(code));
   std::string head = fmt::format("HTTP/1.1 {} {}\r\n", code, reason.empty() ? "Other" : std::string(reason));
   for (const auto& [key, value] : more) head += key + ": " + value + "\r\n";
-  if (code != 204) head += fmt::format("Content-Length: {}\r\n", text.size());
-  peer_->Write(head + "\r\n" + text);
-  peer_->Over();
+  if (code != kNoContent) head += fmt::format("Content-Length: {}\r\n", text.size());
+  connection_->Write(head + "\r\n" + text);
+  connection_->CompleteCall();
   return true;
 }
 
@@ -147,77 +153,84 @@
 bool Call::Chunk(const std::string& text) { return Raw(fmt::format("{:x}\r\n{}\r\n", text.size(), text)); }
 bool Call::EndChunks() {
   if (!Raw("0\r\n\r\n")) return false;
-  peer_->Over();
+  connection_->CompleteCall();
   return true;
 }
 
 bool Call::Raw(const std::string& bytes) {
   if (gone()) return false;
-  peer_->Write(bytes);
+  connection_->Write(bytes);
   return true;
 }
 
 void Call::Close() {
-  if (!gone()) peer_->CloseOnceWritten();
+  if (!gone()) connection_->CloseOnceWritten();
 }
 
 void Call::Reset() {
-  if (!gone()) peer_->Reset();
+  if (!gone()) connection_->Reset();
 }
 
 Listener::Listener(EventLoop& loop, const Address& at, Handler handler)
-    : loop_(loop), at_(at), handler_(std::move(handler)), sweep_(loop, [this] { dropped_.clear(); }) {
+    : loop_(loop), at_(at), handler_(std::move(handler)), cleanup_timer_(loop, [this] { removed_.clear(); }) {
   Listen();
 }
 Listener::~Listener() = default;
 
 void Listener::Listen() {
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_port = htons(at_.port);
-  if (::inet_pton(AF_INET, at_.host.c_str(), &at.sin_addr) != 1)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(at_.port);
+  if (::inet_pton(AF_INET, at_.host.c_str(), &address.sin_addr) != 1)
     throw std::runtime_error("no address: " + at_.host);
-  listener_.reset(evconnlistener_new_bind(loop_.base(), Accepted, this,
-                                          LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
-                                          SOMAXCONN, reinterpret_cast<const sockaddr*>(&at), sizeof at));
+  listener_.reset(evconnlistener_new_bind(
+      loop_.base(), OnAccepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
+      SOMAXCONN, reinterpret_cast<const sockaddr*>(&address), sizeof address));
   if (!listener_) throw std::runtime_error("can't listen at " + at_.host + ":" + std::to_string(at_.port));
-  socklen_t size = sizeof at;
-  ::getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
-  at_.port = port_ = ntohs(at.sin_port);
+  socklen_t size = sizeof address;
+  ::getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &size);
+  port_ = ntohs(address.sin_port);
+  at_.port = port_;
 }
 
-void Listener::Accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-  auto* l = static_cast<Listener*>(self);
-  if (l->peers_.size() >= l->most_connections) {
+void Listener::OnAccepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  auto* listener = static_cast<Listener*>(self);
+  if (listener->connections_.size() >= listener->max_connections) {
     evutil_closesocket(fd);
     return;
   }
-  auto peer = std::make_unique<Peer>(*l, fd);
-  Peer* key = peer.get();
-  l->peers_[key] = std::move(peer);
+  auto connection = std::make_unique<ListenerConnection>(*listener, fd);
+  ListenerConnection* key = connection.get();
+  listener->connections_[key] = std::move(connection);
 }
 
-void Listener::Drop(Peer& peer) {
-  const auto at = peers_.find(&peer);
-  if (at == peers_.end()) return;
-  dropped_.push_back(std::move(at->second));
-  peers_.erase(at);
-  peer.Leave();
-  sweep_.Schedule(Duration(0));
+void Listener::Remove(ListenerConnection& connection) {
+  const auto found = connections_.find(&connection);
+  if (found == connections_.end()) return;
+  removed_.push_back(std::move(found->second));
+  connections_.erase(found);
+  connection.Detach();
+  cleanup_timer_.Schedule(Duration(0));
 }
 
-void Listener::SetUp(bool up) {
-  if (up == this->up()) return;
-  if (up) return Listen();
+void Listener::SetListening(bool is_listening) {
+  if (is_listening == this->is_listening()) return;
+  if (is_listening) return Listen();
   listener_.reset();
-  while (!peers_.empty()) peers_.begin()->second->Reset();
+  while (!connections_.empty()) connections_.begin()->second->Reset();
 }
 
 void Listener::SetPaused(bool paused) {
   if (paused == paused_) return;
   paused_ = paused;
-  if (listener_) paused ? evconnlistener_disable(listener_.get()) : evconnlistener_enable(listener_.get());
-  for (const auto& [key, peer] : peers_) peer->Pause(paused);
+  if (listener_) {
+    if (paused) {
+      evconnlistener_disable(listener_.get());
+    } else {
+      evconnlistener_enable(listener_.get());
+    }
+  }
+  for (const auto& [key, connection] : connections_) connection->Pause(paused);
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/stub/partner.cpp
+++ b/src/loadtest/stub/partner.cpp
@@ -7,23 +7,23 @@
 
 namespace sagetally::loadtest {
 
-struct Partner::Work {
+struct Partner::PendingCall {
   std::shared_ptr<Call> call;
-  Identity who;
+  Identity identity;
   std::string key;
   FaultSpan fault;
-  std::int64_t seen = -1;  // the checker's name for the call
-  bool over = false;
+  std::int64_t checker_number = -1;  // by which the checker knows the call
+  bool is_ended = false;
 };
 
-Identity IdentityByHandIn(const Call& call) {
-  Identity who;
-  who.id = call.Header("X-Request-Id");
-  if (const auto id = ParseHandInId(who.id)) {
-    who.wanted = id->destination;
-    who.repeat = id->repeat;
+Identity IdentifyBySubmissionId(const Call& call) {
+  Identity identity;
+  identity.id = call.Header("X-Request-Id");
+  if (const auto id = ParseSubmissionId(identity.id)) {
+    identity.message_destination = id->destination;
+    identity.idempotency = id->idempotency;
   }
-  return who;
+  return identity;
 }
 
 Partner::Partner(EventLoop& loop, PartnerSettings settings, const Timeline& timeline, Checker& checker,
@@ -34,167 +34,188 @@
       checker_(checker),
       random_(random),
       tokens_(settings_.burst),
-      sweep_(loop, [this] { fired_.clear(); }),
-      listener_(loop, settings_.listen, [this](std::shared_ptr<Call> call) { Called(std::move(call)); }),
-      script_(loop, listener_, timeline, settings_.uid, settings_.destination, started_us) {
-  listener_.most_connections = settings_.connections;
+      cleanup_timer_(loop, [this] { expired_timers_.clear(); }),
+      listener_(loop, settings_.listen, [this](const std::shared_ptr<Call>& call) { OnRequest(call); }),
+      fault_schedule_(loop, listener_, timeline, settings_.uid, settings_.destination, started_us) {
+  listener_.max_connections = settings_.max_connections;
   decide = [this](const Call&) {
     return timeline_.Draw(NowMs(), settings_.uid, settings_.destination, random_);
   };
 }
 Partner::~Partner() {
-  on_effect = on_delivered = nullptr;  // connections end now, and nobody is told any more
+  // Connections end now, and their calls with them: nobody is to hear of that.
+  on_effect = nullptr;
+  on_delivered = nullptr;
 }
 
-double Partner::NowMs() const { return script_.NowMs(); }
+double Partner::NowMs() const { return fault_schedule_.NowMs(); }
 
-void Partner::After(double ms, std::function<void()> then) {
+void Partner::RunAfter(double ms, std::function<void()> action) {
   const std::int64_t number = next_timer_++;
-  timers_[number] = std::make_unique<Timer>(loop_, [this, number, then = std::move(then)] {
-    fired_.push_back(std::move(timers_[number]));  // freed once its own code has returned
+  timers_[number] = std::make_unique<Timer>(loop_, [this, number, action = std::move(action)] {
+    expired_timers_.push_back(std::move(timers_[number]));
     timers_.erase(number);
-    sweep_.Schedule(Duration(0));
-    then();
+    cleanup_timer_.Schedule(Duration(0));
+    action();
   });
   timers_[number]->Schedule(Duration(static_cast<std::int64_t>(ms * 1000)));
 }
 
-void Partner::Called(std::shared_ptr<Call> call) {
+void Partner::OnRequest(const std::shared_ptr<Call>& call) {
   if (call->target != "/hook" || call->method != "POST") {
     call->Answer(404);
     return;
   }
   ++calls;
-  auto work = std::make_shared<Work>();
-  work->call = call;
-  work->who = identify(*call);
-  work->key = call->Header("Idempotency-Key");
-  work->fault = decide(*call);
-  work->seen = checker_.CallBegan(NowUs(), {work->who.id, settings_.uid, settings_.destination,
-                                            work->who.wanted, work->who.repeat, work->who.dispatcher});
-  call->on_gone = [this, work] { Over(work, CallEnd::kMayHaveRun); };
-  Befall(work);
+  auto pending = std::make_shared<PendingCall>();
+  pending->call = call;
+  pending->identity = identify(*call);
+  pending->key = call->Header("Idempotency-Key");
+  pending->fault = decide(*call);
+  CallInfo info;
+  info.id = pending->identity.id;
+  info.endpoint = settings_.uid;
+  info.destination = settings_.destination;
+  info.message_destination = pending->identity.message_destination;
+  info.idempotency = pending->identity.idempotency;
+  info.dispatcher = pending->identity.dispatcher;
+  pending->checker_number = checker_.OnCallStarted(NowUs(), info);
+  call->on_gone = [this, pending] { EndCall(pending, CallOutcome::kMayHaveExecuted); };
+  ApplyFault(pending);
 }
 
-void Partner::Befall(const WorkPtr& work) {
-  const Fault fault = work->fault.fault;
-  const bool may_run = fault == Fault::kError || fault == Fault::kReset || fault == Fault::kSilent;
-  if (may_run && (flip_ = !flip_)) Effect(*work);
+void Partner::ApplyFault(const PendingCallPtr& pending) {
+  const Fault fault = pending->fault.fault;
+  const bool is_ambiguous = fault == Fault::kError || fault == Fault::kReset || fault == Fault::kSilent;
+  if (is_ambiguous) {
+    executes_ambiguous_ = !executes_ambiguous_;
+    if (executes_ambiguous_) RecordEffect(*pending);
+  }
   switch (fault) {
     case Fault::kWell:
     case Fault::kSlow:
     case Fault::kTwice:
     case Fault::kPause:
     case Fault::kShut:
-      return Take(work);
+      return Admit(pending);
     case Fault::kRefuse:
-      return TurnAway(work, 503, 0);
+      return Reject(pending, 503, 0);
     case Fault::kFull:
-      return TurnAway(work, 429, work->fault.ms);
+      return Reject(pending, 429, pending->fault.ms);
     case Fault::kError:
-      Over(work, CallEnd::kMayHaveRun);
-      work->call->Answer(500);
+      EndCall(pending, CallOutcome::kMayHaveExecuted);
+      pending->call->Answer(500);
       return;
     case Fault::kReset:
-      return work->call->Reset();
+      return pending->call->Reset();
     case Fault::kSpoilt:
-      Effect(*work);
-      work->call->Raw("HTTP/1.1 500 nonsense\r\nContent-Length: -7\r\n\r\nzzzz");
+      RecordEffect(*pending);
+      pending->call->Raw("HTTP/1.1 500 nonsense\r\nContent-Length: -7\r\n\r\nzzzz");
       return;
     case Fault::kHalf:
-      Effect(*work);
-      work->call->Raw("HTTP/1.1 500 Internal Server Error\r\nContent-Le");
-      return work->call->Close();
+      RecordEffect(*pending);
+      pending->call->Raw("HTTP/1.1 500 Internal Server Error\r\nContent-Le");
+      return pending->call->Close();
     case Fault::kLate:
-      return After(work->fault.ms, [this, work] { Effect(*work); });
+      return RunAfter(pending->fault.ms, [this, pending] { RecordEffect(*pending); });
     case Fault::kSilent:
       return;
   }
 }
 
-std::optional<double> Partner::LimitMs() {
-  const double now = NowMs();
+std::optional<double> Partner::RequiredWaitMs() {
+  const double now_ms = NowMs();
   if (settings_.rate > 0) {
-    tokens_ = std::min(settings_.burst, tokens_ + (now - tokens_at_ms_) / 1000 * settings_.rate);
-    tokens_at_ms_ = now;
+    tokens_ = std::min(settings_.burst, tokens_ + (now_ms - tokens_updated_ms_) / 1000 * settings_.rate);
+    tokens_updated_ms_ = now_ms;
     if (tokens_ < 1) return (1 - tokens_) / settings_.rate * 1000;
   }
-  while (!window_.empty() && window_.front() <= now - settings_.window_ms) window_.pop_front();
-  if (settings_.window_calls > 0 && static_cast<int>(window_.size()) >= settings_.window_calls)
-    return window_.front() + settings_.window_ms - now;
+  while (!window_starts_ms_.empty() && window_starts_ms_.front() <= now_ms - settings_.window_ms)
+    window_starts_ms_.pop_front();
+  if (settings_.max_calls_per_window > 0 &&
+      static_cast<int>(window_starts_ms_.size()) >= settings_.max_calls_per_window)
+    return window_starts_ms_.front() + settings_.window_ms - now_ms;
   if (settings_.rate > 0) tokens_ -= 1;
-  if (settings_.window_calls > 0) window_.push_back(now);
+  if (settings_.max_calls_per_window > 0) window_starts_ms_.push_back(now_ms);
   return std::nullopt;
 }
 
-void Partner::Take(const WorkPtr& work) {
-  if (const auto wait_ms = LimitMs())
-    return settings_.tell_waits ? TurnAway(work, 429, std::ceil(*wait_ms)) : TurnAway(work, 503, 0);
-  if (settings_.capacity == 0 || working_ < settings_.capacity) return Begin(work);
-  if (static_cast<int>(queue_.size()) >= settings_.queue) return TurnAway(work, 503, 0);
-  queue_.push_back(work);
+void Partner::Admit(const PendingCallPtr& pending) {
+  if (const auto wait_ms = RequiredWaitMs()) {
+    if (settings_.announces_waits) return Reject(pending, 429, std::ceil(*wait_ms));
+    return Reject(pending, 503, 0);
+  }
+  if (settings_.capacity == 0 || active_calls_ < settings_.capacity) return StartWork(pending);
+  if (static_cast<int>(queue_.size()) >= settings_.queue_limit) return Reject(pending, 503, 0);
+  queue_.push_back(pending);
 }
 
-void Partner::Begin(const WorkPtr& work) {
-  ++working_;
+void Partner::StartWork(const PendingCallPtr& pending) {
+  ++active_calls_;
   double ms = settings_.service_ms.Draw(random_);
-  if (work->fault.fault == Fault::kSlow) ms = std::max(ms, 1.0) * work->fault.times;
-  if (static_cast<double>(NowUs() - script_.up_since_us()) / 1000 < settings_.cold_ms)
-    ms *= settings_.cold_times;
-  if (ms <= 0) return Done(work);
-  After(ms, [this, work] { Done(work); });
+  if (pending->fault.fault == Fault::kSlow) ms = std::max(ms, 1.0) * pending->fault.times;
+  if (static_cast<double>(NowUs() - fault_schedule_.listening_since_us()) / 1000 < settings_.warm_up_ms)
+    ms *= settings_.warm_up_slowdown;
+  if (ms <= 0) return FinishWork(pending);
+  RunAfter(ms, [this, pending] { FinishWork(pending); });
 }
 
-void Partner::Done(const WorkPtr& work) {
-  --working_;
-  Effect(*work);
-  if (work->fault.fault == Fault::kTwice) Effect(*work);
-  if (!work->call->gone()) {
+void Partner::FinishWork(const PendingCallPtr& pending) {
+  --active_calls_;
+  RecordEffect(*pending);
+  if (pending->fault.fault == Fault::kTwice) RecordEffect(*pending);
+  if (!pending->call->gone()) {
     ++delivered;
-    Over(work, CallEnd::kDelivered);
-    if (on_delivered) on_delivered(work->who.id);
-    work->call->Answer(200);
+    EndCall(pending, CallOutcome::kDelivered);
+    if (on_delivered) on_delivered(pending->identity.id);
+    pending->call->Answer(200);
   }
-  while (!queue_.empty() && working_ < settings_.capacity) {
-    const WorkPtr next = queue_.front();
+  while (!queue_.empty() && active_calls_ < settings_.capacity) {
+    const PendingCallPtr next = queue_.front();
     queue_.pop_front();
-    if (!next->call->gone()) Begin(next);  // who has hung up is not begun
+    if (!next->call->gone()) StartWork(next);
   }
 }
 
-void Partner::Effect(const Work& work) {
-  const std::int64_t now = NowUs();
+void Partner::ForgetOldKeys(std::int64_t now_us) {
   const auto memory_us = static_cast<std::int64_t>(settings_.key_memory_ms * 1000);
-  while (!remembered_order_.empty() && remembered_order_.front().first + memory_us <= now) {
-    const auto known = remembered_us_.find(remembered_order_.front().second);
-    if (known != remembered_us_.end() && known->second == remembered_order_.front().first)
-      remembered_us_.erase(known);
-    remembered_order_.pop_front();
+  while (!executed_keys_by_age_.empty()) {
+    const ExecutedKey& oldest = executed_keys_by_age_.front();
+    if (oldest.at_us + memory_us > now_us) return;
+    const auto found = executed_keys_.find(oldest.key);
+    if (found != executed_keys_.end() && found->second == oldest.at_us) executed_keys_.erase(found);
+    executed_keys_by_age_.pop_front();
   }
-  if (!work.key.empty() && work.who.repeat.value_or(Repeat::kKeyed) == Repeat::kKeyed) {
-    if (remembered_us_.contains(work.key)) {
+}
+
+void Partner::RecordEffect(const PendingCall& pending) {
+  const std::int64_t now_us = NowUs();
+  ForgetOldKeys(now_us);
+  const Repeat idempotency = pending.identity.idempotency.value_or(Repeat::kKeyed);
+  if (!pending.key.empty() && idempotency == Repeat::kKeyed) {
+    if (executed_keys_.contains(pending.key)) {
       ++dropped_repeats;
       return;
     }
-    remembered_us_[work.key] = now;
-    remembered_order_.emplace_back(now, work.key);
+    executed_keys_[pending.key] = now_us;
+    executed_keys_by_age_.push_back({now_us, pending.key});
   }
-  checker_.Effect(now, work.who.id, work.who.repeat);
-  if (on_effect) on_effect(work.who.id);
+  checker_.OnEffect(pending.identity.id, pending.identity.idempotency);
+  if (on_effect) on_effect(pending.identity.id);
 }
 
-void Partner::TurnAway(const WorkPtr& work, int code, double wait_ms) {
-  ++turned_away;
-  Over(work, CallEnd::kTurnedAway, static_cast<std::int64_t>(wait_ms * 1000));
-  Call::Headers more;
-  if (wait_ms > 0) more.emplace_back("X-Retry-In-Ms", std::to_string(std::llround(wait_ms)));
-  work->call->Answer(code, "", more);
+void Partner::Reject(const PendingCallPtr& pending, int status, double wait_ms) {
+  ++rejected_calls;
+  EndCall(pending, CallOutcome::kRejected, static_cast<std::int64_t>(wait_ms * 1000));
+  Call::Headers headers;
+  if (wait_ms > 0) headers.emplace_back("X-Retry-In-Ms", std::to_string(std::llround(wait_ms)));
+  pending->call->Answer(status, "", headers);
 }
 
-void Partner::Over(const WorkPtr& work, CallEnd end, std::int64_t wait_us) {
-  if (std::exchange(work->over, true)) return;
-  work->call->on_gone = nullptr;
-  checker_.CallOver(NowUs(), work->seen, end, wait_us);
+void Partner::EndCall(const PendingCallPtr& pending, CallOutcome outcome, std::int64_t wait_us) {
+  if (std::exchange(pending->is_ended, true)) return;
+  pending->call->on_gone = nullptr;
+  checker_.OnCallEnded(NowUs(), pending->checker_number, outcome, wait_us);
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/stub/sink.h
+++ b/src/loadtest/stub/sink.h
@@ -1,4 +1,5 @@
-// A sink of CloudEvents: the results that a node tells of its messages.
+// A stub of a CloudEvents sink, which receives the results that a node sends of its messages. Lives on one
+// event loop; no threads.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_SINK_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_SINK_H_
 
@@ -12,15 +13,22 @@
 
 class Sink {
  public:
+  // Port 0: any. Throws std::runtime_error if it can't listen.
   explicit Sink(EventLoop& loop, const Address& at = {"127.0.0.1", 0});
+
   std::uint16_t port() const { return listener_.port(); }
-  // An event's type and the id of the message that it speaks of (its subject).
+
+  // Called with an event's type and the id of the message it is about (its subject).
   std::function<void(const std::string& type, const std::string& id)> on_event;
-  std::deque<int> script;  // of the answers; then 204
-  std::int64_t events = 0, malformed = 0;
+  std::deque<int> status_codes;  // of the next responses; then 204
+  std::int64_t events = 0;
+  std::int64_t malformed = 0;  // events
 
  private:
-  void Asked(Call& call);
+  void OnRequest(Call& call);
+  // Reports each event of `body`. Returns false if at least one is malformed.
+  bool ReadEvents(const std::string& body);
+
   Listener listener_;
 };
 
--- /dev/null
+++ b/src/loadtest/stub/stub_server_set.cpp
@@ -0,0 +1,111 @@
+#include "loadtest/stub/stub_server_set.h"
+
+#include <fmt/format.h>
+
+#include "loadtest/clock.h"
+
+namespace sagetally::loadtest {
+namespace {
+
+constexpr const char* kPartnerApplication = "PARTNERS";  // under which partners are registered
+
+}  // namespace
+
+StubServerSet::StubServerSet(EventLoop& loop, const StubServerSettings& settings)
+    : checker(settings.rules),
+      loop_(loop),
+      listed_partners_(settings.partners),
+      timeline_(settings.timeline),
+      started_us_(NowUs()) {
+  if (settings.serve_partners) StartPartners(settings);
+  if (settings.agent) StartAgent(settings);
+  if (settings.registry) StartRegistry(*settings.registry);
+  if (settings.frontend) StartFrontend(settings);
+  if (settings.sink) StartSink(*settings.sink);
+}
+StubServerSet::~StubServerSet() = default;
+
+void StubServerSet::StartPartners(const StubServerSettings& settings) {
+  for (const PartnerSettings& partner_settings : settings.partners) {
+    auto partner =
+        std::make_unique<Partner>(loop_, partner_settings, timeline_, checker,
+                                  Stream(settings.seed, "partner " + partner_settings.uid), started_us_);
+    partner->on_effect = [this](const std::string& id) { AddObservation(ObservationKind::kEffect, id); };
+    partner->on_delivered = [this](const std::string& id) {
+      AddObservation(ObservationKind::kDelivered, id);
+    };
+    partners.push_back(std::move(partner));
+  }
+}
+
+void StubServerSet::StartAgent(const StubServerSettings& settings) {
+  agent = std::make_unique<Agent>(loop_, *settings.agent);
+  agent->keep_notices = false;
+  for (const ListedEndpoint& endpoint : ListedEndpoints()) agent->Put(endpoint);
+  agent->how = settings.agent_faults;
+  agent->on_notice = [this](const std::string& id, const std::string& status) {
+    AddObservation(status == "deferred" ? ObservationKind::kDeferred : ObservationKind::kUndeliverable, id);
+  };
+  agent->on_state_announced = [this](const std::string& uid, const std::string& state) {
+    if (state == "in_service") {
+      checker.OnInServiceAnnounced(uid);
+    } else {
+      checker.OnDrainingAnnounced(NowUs(), uid);
+    }
+  };
+  for (const EndpointStateChange& change : settings.state_changes) {
+    state_change_timers_.push_back(
+        std::make_unique<Timer>(loop_, [this, change] { agent->SetState(change.uid, change.state); }));
+    state_change_timers_.back()->Schedule(Duration(static_cast<std::int64_t>(change.at_ms * 1000)));
+  }
+}
+
+void StubServerSet::StartRegistry(const Address& address) {
+  registry = std::make_unique<Registry>(loop_, address);
+  registry->keep_asked = false;
+  for (const ListedEndpoint& endpoint : ListedEndpoints()) {
+    registry->Put(kPartnerApplication, endpoint.uid, ParseAddress(endpoint.address, "endpoint").port,
+                  fmt::format(R"(,"metadata":{{"destination":"{}","rate":"{}"}})", endpoint.destination,
+                              endpoint.rate));
+  }
+}
+
+void StubServerSet::StartFrontend(const StubServerSettings& settings) {
+  frontend = std::make_unique<StubFrontend>(loop_, *settings.frontend, timeline_,
+                                            Stream(settings.seed, "front"), started_us_);
+  frontend->on_accepted = [this](const std::string& id) { AddObservation(ObservationKind::kDelivered, id); };
+}
+
+void StubServerSet::StartSink(const Address& address) {
+  sink = std::make_unique<Sink>(loop_, address);
+  sink->on_event = [this](const std::string& type, const std::string& id) {
+    const bool is_deferred = type.ends_with("deferred");
+    AddObservation(is_deferred ? ObservationKind::kDeferred : ObservationKind::kUndeliverable, id);
+  };
+}
+
+std::vector<ListedEndpoint> StubServerSet::ListedEndpoints() const {
+  std::vector<ListedEndpoint> endpoints;
+  for (std::size_t i = 0; i < listed_partners_.size(); ++i) {
+    const PartnerSettings& partner = listed_partners_[i];
+    const std::uint16_t port = i < partners.size() ? partners[i]->port() : partner.listen.port;
+    ListedEndpoint endpoint;
+    endpoint.uid = partner.uid;
+    endpoint.address = fmt::format("{}:{}", partner.listen.host, port);
+    endpoint.destination = partner.destination;
+    if (partner.rate > 0) endpoint.rate = partner.rate;
+    endpoints.push_back(endpoint);
+  }
+  return endpoints;
+}
+
+void StubServerSet::AddObservation(ObservationKind kind, const std::string& id) {
+  Observation observation{kind, NowUs(), id};
+  if (on_observation) {
+    on_observation(observation);
+  } else {
+    observations.push_back(std::move(observation));
+  }
+}
+
+}  // namespace sagetally::loadtest
--- /dev/null
+++ b/src/loadtest/stub/stub_server_set.h
@@ -0,0 +1,63 @@
+// A set of stub servers on one event loop: partners, an agent, a service registry, an event sink and a
+// frontend, with one checker and one fault timeline for all of them. Not thread-safe; StubServerThread runs
+// one beside a load.
+#ifndef SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SET_H_
+#define SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SET_H_
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "loadtest/report/message_record.h"
+#include "loadtest/stub/agent.h"
+#include "loadtest/stub/frontend.h"
+#include "loadtest/stub/partner.h"
+#include "loadtest/stub/registry.h"
+#include "loadtest/stub/sink.h"
+#include "loadtest/stub/stub_server_settings.h"
+
+namespace sagetally::loadtest {
+
+class StubServerSet {
+ public:
+  // Starts all servers of `settings`. Throws std::runtime_error if one can't listen.
+  StubServerSet(EventLoop& loop, const StubServerSettings& settings);
+  ~StubServerSet();
+
+  // The servers; null or empty if not started. The checker outlives those that report to it.
+  Checker checker;
+  std::vector<std::unique_ptr<Partner>> partners;
+  std::unique_ptr<Agent> agent;
+  std::unique_ptr<Registry> registry;
+  std::unique_ptr<Sink> sink;
+  std::unique_ptr<StubFrontend> frontend;
+
+  // Takes each observation; if unset, they are collected in `observations`.
+  std::function<void(const Observation&)> on_observation;
+  std::vector<Observation> observations;
+
+  // Time 0 of the timeline, in microseconds of the monotonic clock.
+  std::int64_t started_us() const { return started_us_; }
+
+  // The partners' entries in the endpoint list.
+  std::vector<ListedEndpoint> ListedEndpoints() const;
+
+ private:
+  void StartPartners(const StubServerSettings& settings);
+  void StartAgent(const StubServerSettings& settings);
+  void StartRegistry(const Address& address);
+  void StartFrontend(const StubServerSettings& settings);
+  void StartSink(const Address& address);
+  void AddObservation(ObservationKind kind, const std::string& id);
+
+  EventLoop& loop_;
+  const std::vector<PartnerSettings> listed_partners_;
+  const Timeline timeline_;
+  const std::int64_t started_us_;
+  std::vector<std::unique_ptr<Timer>> state_change_timers_;
+};
+
+}  // namespace sagetally::loadtest
+
+#endif  // SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SET_H_
--- a/src/loadtest/stub/timeline.h
+++ b/src/loadtest/stub/timeline.h
@@ -1,4 +1,5 @@
-// What goes wrong at stand-ins, and when: a script, read from JSON. No I/O.
+// The fault timeline of stub servers: which faults befall which calls or listeners, and when. Read from JSON;
+// immutable afterwards, so that all servers of a set share one. No I/O.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_TIMELINE_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_TIMELINE_H_
 
@@ -13,45 +14,58 @@
 namespace sagetally::loadtest {
 
 enum class Fault {
-  kWell,
-  kSlow,    // `times` as long
-  kSilent,  // no answer; every second one has run
-  kLate,    // no answer; runs `ms` later all the same
+  kWell,    // none
+  kSlow,    // takes `times` as long
+  kSilent,  // no response; every second call is executed
+  kLate,    // no response; executed `ms` later all the same
   kRefuse,  // 503
-  kFull,    // 429, told to wait `ms`
-  kError,   // 500; every second one has run
-  kReset,   // the connection is reset; every second one has run
-  kSpoilt,  // has run; an answer that can't be read
-  kHalf,    // has run; an answer that breaks off
-  kTwice,   // runs twice: a partner's own mistake
-  kPause,   // reads and answers nothing until it is over, then everything
-  kShut     // connections are refused and reset
+  kFull,    // 429 with a wait of `ms`
+  kError,   // 500; every second call is executed
+  kReset,   // the connection is reset; every second call is executed
+  kSpoilt,  // executed; the response is malformed
+  kHalf,    // executed; the response is truncated
+  kTwice,   // executed twice: the partner's own fault
+  kPause,   // connections are neither accepted nor read until it is over
+  kShut     // connections are refused, open ones are reset
 };
+
+// The timeline's name of the fault, and back; none if it is unknown.
 const char* Name(Fault fault);
 std::optional<Fault> FaultNamed(const std::string& name);
 
+// One fault for some time. Times are in milliseconds since the start of its servers, or of a run.
 struct FaultSpan {
   Fault fault = Fault::kWell;
-  double from_ms = 0, for_ms = 0;
+  double from_ms = 0;
+  double for_ms = 0;
   std::string endpoint;            // empty: any
   std::optional<int> destination;  // none: any
   double share = 1;                // of the calls
-  double ms = 500, times = 10;
-  bool At(double now_ms, const std::string& at_endpoint, int at_destination) const {
+  double ms = 500;
+  double times = 10;
+
+  // Whether the span covers the time and the endpoint.
+  bool Covers(double now_ms, const std::string& at_endpoint, int at_destination) const {
     return now_ms >= from_ms && now_ms < from_ms + for_ms && (endpoint.empty() || endpoint == at_endpoint) &&
            (!destination || *destination == at_destination);
   }
-  bool OfListener() const { return fault == Fault::kPause || fault == Fault::kShut; }
+  // Whether it affects a listener as a whole rather than single calls.
+  bool AffectsListener() const { return fault == Fault::kPause || fault == Fault::kShut; }
 };
 
 class Timeline {
  public:
   Timeline() = default;
   explicit Timeline(std::vector<FaultSpan> spans) : spans_(std::move(spans)) {}
-  static Timeline FromJson(const nlohmann::json& list);  // validated by the stand-ins' schema
+
+  // `list`: valid by the schema of stub servers.
+  static Timeline FromJson(const nlohmann::json& list);
   nlohmann::json ToJson() const;
+
   const std::vector<FaultSpan>& spans() const { return spans_; }
-  // What befalls a call now: the first span that holds and draws it.
+
+  // The fault of a call that comes now: the first span that covers it and is drawn by its share; else
+  // Fault::kWell.
   FaultSpan Draw(double now_ms, const std::string& endpoint, int destination, Random& random) const;
 
  private:
--- a/tests/loadtest/arrivals_test.cpp
+++ b/tests/loadtest/arrivals_test.cpp
@@ -1,4 +1,5 @@
-// Distributions and arrival processes against what theory says of them, with fixed seeds.
+// Distributions, arrival processes and plans against their theory, with fixed seeds; submission ids and
+// scenarios.
 #undef NDEBUG
 #include <boost/math/distributions/chi_squared.hpp>
 #include <cassert>
@@ -6,6 +7,7 @@
 #include <cstdio>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <numeric>
 
 #include "loadtest/load/plan.h"
 #include "rejected.h"
@@ -25,7 +27,7 @@
   return boost::math::cdf(boost::math::complement(boost::math::chi_squared(kBins - 1), statistic));
 }
 
-void DistributionsAreWhatTheySay() {
+void DistributionsMatchTheirTheory() {
   const std::pair<const char*, Distribution> table[] = {
       {"exponential", Distribution::Exponential(3)},   {"uniform", Distribution::Uniform(1, 4)},
       {"lognormal", Distribution::Lognormal(20, 1.5)}, {"gamma", Distribution::Gamma(5, 0.7)},
@@ -34,14 +36,16 @@
   for (const auto& [name, d] : table) {
     Random random = Stream(11, name);
     std::vector<double> sample;
-    double sum = 0, squares = 0;
+    double sum = 0;
+    double squares = 0;
     constexpr int kCount = 50'000;
     for (int i = 0; i < kCount; ++i) {
       sample.push_back(d.Draw(random));
       sum += sample.back();
       squares += sample.back() * sample.back();
     }
-    const double mean = sum / kCount, variance = squares / kCount - mean * mean;
+    const double mean = sum / kCount;
+    const double variance = squares / kCount - mean * mean;
     assert(std::abs(mean - d.Mean()) < 4 * std::sqrt(d.Variance() / kCount));
     assert(std::abs(variance / d.Variance() - 1) < 0.25);
     assert(ChiSquared(d, sample) > 0.001);
@@ -53,17 +57,17 @@
   assert(std::isinf(Distribution::Pareto(10, 1.5).Variance()) && Distribution::Constant(7).Variance() == 0);
 }
 
-void BadDistributionsAreRefused() {
+void InvalidDistributionsAreRejected() {
   for (const char* text :
        {R"({"kind":"gamma","mean":3})", R"({"kind":"pareto","mean":3,"alpha":1})", R"({"kind":"x","mean":1})",
         R"({"kind":"exponential","mean":0})", R"({"kind":"uniform","from":3,"to":2})",
         R"({"kind":"constant","value":-1})", R"({"mean":3})", R"({"kind":"weibull","mean":"a","shape":1})"}) {
-    assert(!Refused([&] { Distribution::FromJson(nlohmann::json::parse(text)); }).empty());
+    assert(!ErrorOf([&] { Distribution::FromJson(nlohmann::json::parse(text)); }).empty());
   }
 }
 
 // Spacings in operational time, where a ramp's arrivals are a plain process again.
-void ARampStretchesSpacingsExactly() {
+void RampStretchesSpacingsExactly() {
   const Distribution spacings[] = {Distribution::Exponential(1), Distribution::Gamma(1, 4),
                                    Distribution::Lognormal(1, 0.5)};
   for (const Distribution& spacing : spacings) {
@@ -88,14 +92,23 @@
   return counts;
 }
 
-std::pair<double, double> MeanAndVariance(const std::vector<int>& counts) {
-  double sum = 0, squares = 0;
-  for (const int n : counts) sum += n, squares += static_cast<double>(n) * n;
+struct Moments {
+  double mean = 0;
+  double variance = 0;
+};
+
+Moments MeanAndVariance(const std::vector<int>& counts) {
+  double sum = 0;
+  double squares = 0;
+  for (const int count : counts) {
+    sum += count;
+    squares += static_cast<double>(count) * count;
+  }
   const auto size = static_cast<double>(counts.size());
   return {sum / size, squares / size - sum / size * (sum / size)};
 }
 
-void CountsHaveTheirMeanAndVariance() {
+void ArrivalCountsHaveExpectedMeanAndVariance() {
   {
     Arrivals poisson(Distribution::Exponential(1), ConstantRate(40), Stream(3, "poisson"));
     const auto [mean, variance] = MeanAndVariance(CountsBySecond(poisson, 5000));
@@ -115,7 +128,10 @@
   {
     // Two states: mean and asymptotic index of dispersion (Heffes and Lucantoni, 1986), at windows of 100 s
     // where stays of 2 s and 1 s have long been forgotten.
-    const double low = 20, high = 200, leave_low = 0.5, leave_high = 1;
+    const double low = 20;
+    const double high = 200;
+    const double leave_low = 0.5;
+    const double leave_high = 1;
     Arrivals bursts(Distribution::Exponential(1),
                     BurstyRate(low, high, 1 / leave_low, 1 / leave_high, Stream(3, "stays")),
                     Stream(3, "bursts"));
@@ -135,12 +151,11 @@
   }
 }
 
-void CurvesHaveTheirShape() {
+void RateCurvesHaveExpectedShape() {
   Arrivals daily(Distribution::Constant(1), DailyRate({1, 3, 2, 2}, 40, 100), Stream(1, "day"));
   const std::vector<int> counts = CountsBySecond(daily, 80);
-  int first = 0, second = 0;
-  for (int i = 0; i < 40; ++i)
-    first += counts[static_cast<std::size_t>(i)], second += counts[static_cast<std::size_t>(i + 40)];
+  const int first = std::accumulate(counts.begin(), counts.begin() + 40, 0);
+  const int second = std::accumulate(counts.begin() + 40, counts.end(), 0);
   assert(std::abs(first - 4000) <= 1 && std::abs(second - 4000) <= 1);
   assert(std::abs(counts[0] - 55) <= 3 && std::abs(counts[9] - 145) <= 3 && std::abs(counts[40] - 55) <= 3);
   Arrivals none(Distribution::Exponential(1), ConstantRate(0), Stream(1, "none"));
@@ -150,7 +165,7 @@
   assert(std::abs(late.Next() - 6) < 1e-6 && std::abs(late.Next() - 7) < 1e-6 &&
          std::abs(late.Next() - 8) < 1e-6);
   assert(std::isinf(late.Next()));
-  assert(!Refused([] { SteppedRate({{5, 1, false}, {2, 1, false}}); }).empty());
+  assert(!ErrorOf([] { SteppedRate({{5, 1, false}, {2, 1, false}}); }).empty());
 }
 
 nlohmann::json Base() {
@@ -160,48 +175,58 @@
     "callers":{"count":8,"hot":{"share":0.21,"from_s":40,"for_s":20}}})");
 }
 
-std::vector<Planned> All(const Scenario& scenario) {
+std::vector<PlannedMessage> All(const Scenario& scenario) {
   Plan plan(scenario);
-  std::vector<Planned> all;
+  std::vector<PlannedMessage> all;
   while (const auto p = plan.Next()) all.push_back(*p);
   return all;
 }
 
-void PlansAreDrawnFromTheirSeedAlone() {
-  const std::vector<Planned> all = All(ScenarioFromJson(Base()));
+void PlanDependsOnScenarioAndSeedAlone() {
+  const std::vector<PlannedMessage> all = All(ScenarioFromJson(Base()));
   assert(all == All(ScenarioFromJson(Base())));
   nlohmann::json other = Base();
   other["seed"] = 10;
   assert(all != All(ScenarioFromJson(other)));
-  std::map<int, double> classes, destinations;
-  double hot = 0, in_hot = 0, zero_before = 0;
+  std::map<int, double> classes;
+  std::map<int, double> destinations;  // outside the hot period
+  double hot_messages = 0;
+  double hot_period_messages = 0;
+  double hot_client_outside = 0;
   for (std::size_t i = 0; i < all.size(); ++i) {
     assert(all[i].number == static_cast<std::int64_t>(i) && (i == 0 || all[i].at_us >= all[i - 1].at_us));
     ++classes[all[i].message_class];
-    const bool during = all[i].at_us >= 40'000'000 && all[i].at_us < 60'000'000;
-    if (!during) ++destinations[all[i].destination], zero_before += all[i].caller == 0;
-    if (during) ++in_hot, hot += all[i].caller == 0;
+    const bool is_hot_period = all[i].at_us >= 40'000'000 && all[i].at_us < 60'000'000;
+    const double from_hot_client = all[i].client == 0 ? 1 : 0;
+    if (is_hot_period) {
+      ++hot_period_messages;
+      hot_messages += from_hot_client;
+    } else {
+      ++destinations[all[i].destination];
+      hot_client_outside += from_hot_client;
+    }
   }
   const auto count = static_cast<double>(all.size());
   assert(std::abs(count - 20'000) < 4 * std::sqrt(20'000.0));
-  assert(std::abs(classes[0] / count - 0.75) < 0.02 && zero_before == 0);
-  assert(std::abs(hot / in_hot - 0.21) < 0.03);
+  assert(std::abs(classes[0] / count - 0.75) < 0.02 && hot_client_outside == 0);
+  assert(std::abs(hot_messages / hot_period_messages - 0.21) < 0.03);
   double harmonic = 0;
   for (int n = 1; n <= 10; ++n) harmonic += 1.0 / n;
   for (int n = 1; n <= 10; ++n) {
-    const double share = 1 / (n * harmonic), of = count - in_hot;
+    const double share = 1 / (n * harmonic);
+    const double of = count - hot_period_messages;
     assert(std::abs(destinations[4 + n] / of - share) < 4 * std::sqrt(share / of));
   }
 }
 
-void ClumpsBringOneDestinationsWorthAtOnce() {
+void BurstsBringSecondsOfOneDestinationsWork() {
   nlohmann::json json = Base();
   json["arrivals"]["rate"] = 0;
   json.erase("callers");
   json["clumps"] = {
       {"every_s", 5}, {"partner_rate", 40}, {"over_ms", 300}, {"worth_least_s", 1}, {"worth_most_s", 3.5}};
-  const std::vector<Planned> all = All(ScenarioFromJson(json));
-  int clumps = 0;
+  const std::vector<PlannedMessage> all = All(ScenarioFromJson(json));
+  int bursts = 0;
   for (std::size_t i = 0; i < all.size();) {
     std::size_t j = i;  // those of one destination within the spread
     while (j < all.size() && all[j].at_us - all[i].at_us < 300'000 &&
@@ -209,25 +234,25 @@
       ++j;
     if (j == all.size() || all[j].at_us - all[j - 1].at_us > 100'000) {
       const auto size = static_cast<double>(j - i);
-      if (size >= 39 && size <= 141) ++clumps;
+      if (size >= 39 && size <= 141) ++bursts;
     }
     i = j;
   }
-  assert(clumps >= 8 && clumps <= 32);
+  assert(bursts >= 8 && bursts <= 32);
 }
 
-void HandInsAreNamedAndReadBack() {
-  const HandInId id{0xdeadbeef, 1234567, 2, 25, Repeat::kNever};
-  assert(ToText(id) == "Ldeadbeef-1234567-2-25-n" && ParseHandInId(ToText(id)) == id);
-  assert(ParseHandInId("/lab/caller-3|" + ToText(id)) == id);
+void SubmissionIdsRoundTrip() {
+  const SubmissionId id{0xdeadbeef, 1234567, 2, 25, Repeat::kNever};
+  assert(ToText(id) == "Ldeadbeef-1234567-2-25-n" && ParseSubmissionId(ToText(id)) == id);
+  assert(ParseSubmissionId("/lab/caller-3|" + ToText(id)) == id);
   for (const char* text :
        {"", "L", "Ldeadbeef-1-0-25", "Ldeadbeef-1-0-25-x", "Xdeadbeef-1-0-25-n", "Ldeadbee-1-0-25-n",
         "Ldeadbeef--1-0-25-n", "Ldeadbeef-1-0-25-n ", "Ldeadbeef-99999999999999999999-0-25-n"})
-    assert(!ParseHandInId(text));
+    assert(!ParseSubmissionId(text));
 }
 
-void ScenariosSayWhatIsWrong() {
-  const std::pair<const char*, const char*> table[] = {
+void ScenarioErrorsNameThePointer() {
+  const InvalidText table[] = {
       {R"({})", "/targets"},
       {R"({"targets":["x"]})", "/targets"},
       {R"({"targets":["127.0.0.1:1"],"seconds":-1})", "/seconds"},
@@ -236,7 +261,8 @@
       {R"({"targets":["127.0.0.1:1"],"body_bytes":{"kind":"pareto"}})", "/body_bytes"},
       {R"({"targets":["127.0.0.1:1"],"clumps":{"worth_least_s":3,"worth_most_s":2}})",
        "/clumps/worth_most_s"}};
-  EachNamesItsPlace(table, [](const char* text) { ScenarioFromJson(nlohmann::json::parse(text)); });
+  EachErrorBeginsWithItsPointer(table,
+                                [](const char* text) { ScenarioFromJson(nlohmann::json::parse(text)); });
 }
 
 }  // namespace
@@ -244,14 +270,14 @@
 
 int main() {
   using namespace sagetally::loadtest;
-  DistributionsAreWhatTheySay();
-  BadDistributionsAreRefused();
-  ARampStretchesSpacingsExactly();
-  CountsHaveTheirMeanAndVariance();
-  CurvesHaveTheirShape();
-  PlansAreDrawnFromTheirSeedAlone();
-  ClumpsBringOneDestinationsWorthAtOnce();
-  HandInsAreNamedAndReadBack();
-  ScenariosSayWhatIsWrong();
+  DistributionsMatchTheirTheory();
+  InvalidDistributionsAreRejected();
+  RampStretchesSpacingsExactly();
+  ArrivalCountsHaveExpectedMeanAndVariance();
+  RateCurvesHaveExpectedShape();
+  PlanDependsOnScenarioAndSeedAlone();
+  BurstsBringSecondsOfOneDestinationsWork();
+  SubmissionIdsRoundTrip();
+  ScenarioErrorsNameThePointer();
   std::puts("9 passed, 0 failed");
 }
--- a/tests/loadtest/cli.sh
+++ b/tests/loadtest/cli.sh
@@ -42,8 +42,8 @@
 echo '{"timeline":[{"fault":"full","ms":100,"at_ms":0,"for_ms":100}]}' >standins.json
 "$lab" standin front --file standins.json --record seen.jsonl >standin.log 2>&1 &
 standin=$!
-for _ in $(seq 500); do grep -q "front.ready" standin.log && break; sleep 0.02; done
-port=$(sed -n 's/.* front.ready port=//p' standin.log)
+for _ in $(seq 500); do grep -q "frontend.ready" standin.log && break; sleep 0.02; done
+port=$(sed -n 's/.* frontend.ready port=//p' standin.log)
 echo '{"targets":["127.0.0.1:'"$port"'"],"seconds":1,"arrivals":{"rate":200},"valid":{"lag_ms":100,"share":0.5,"run_queue_share":1}}' >scenario.json
 expect 0 "result: a-2.json" "$lab" load scenario.json --repeat 2 --output a.json --record trace.jsonl --name first
 expect 0 "result: b-2.json" "$lab" load --targets "127.0.0.1:$port" --trace trace.jsonl --seconds 5 --drain_s 0 \
--- a/tests/loadtest/load_test.cpp
+++ b/tests/loadtest/load_test.cpp
@@ -1,8 +1,9 @@
-// The load generator on sockets: a target that pauses, is silent, breaks off, delivers twice; a generator
-// that is starved or broken off; a run that is replayed.
+// The load generator on sockets: targets that pause, don't respond, break off or execute twice; a generator
+// that is starved or interrupted; a run that is replayed.
 #undef NDEBUG
 #include <sched.h>
 
+#include <algorithm>
 #include <cassert>
 #include <cmath>
 #include <csignal>
@@ -13,8 +14,9 @@
 #include <thread>
 
 #include "loadtest/load/trace.h"
-#include "loadtest/report/result.h"
-#include "loadtest/stub/thread.h"
+#include "loadtest/report/result_file.h"
+#include "loadtest/report/result_table.h"
+#include "loadtest/stub/stub_server_thread.h"
 #include "rejected.h"
 
 namespace sagetally::loadtest {
@@ -22,8 +24,8 @@
 
 using Json = nlohmann::json;
 
-StandInSettings FrontWith(const Json& timeline) {
-  return StandInSettingsFromJson({{"seed", 3}, {"front", Json::object()}, {"timeline", timeline}});
+StubServerSettings FrontendWith(const Json& timeline) {
+  return StubServerSettingsFromJson({{"seed", 3}, {"front", Json::object()}, {"timeline", timeline}});
 }
 
 Json Base(std::uint16_t port) {
@@ -36,135 +38,145 @@
           {"valid", {{"lag_ms", 50}, {"share", 0.2}, {"run_queue_share", 1}}}};
 }
 
-struct Ran {
-  Result result;
+struct CompletedRun {
+  RunResult result;
   RunRecords records;
 };
-Ran Offer(const Json& json, StandInThread* standins, const RunOptions& options = {}) {
+CompletedRun Offer(const Json& json, StubServerThread* stubs, const RunOptions& options = {}) {
   const Scenario scenario = ScenarioFromJson(json);
-  Ran ran;
+  CompletedRun ran;
   ran.records = RunLoad(scenario, options);
-  const std::vector<Sighting> seen = standins == nullptr ? std::vector<Sighting>() : standins->Sightings();
-  ran.result = MakeResult("test", scenario, ran.records, seen, standins != nullptr);
+  const std::vector<Observation> seen = stubs == nullptr ? std::vector<Observation>() : stubs->Observations();
+  ran.result = MakeResult("test", scenario, ran.records, seen, stubs != nullptr);
   return ran;
 }
-std::int64_t FateCount(const Ran& ran, Fate fate) {
-  return ran.result.account.fates[static_cast<std::size_t>(fate)];
+std::int64_t OutcomeCount(const CompletedRun& ran, FinalOutcome outcome) {
+  return ran.result.summary.outcomes[static_cast<std::size_t>(outcome)];
 }
 
-void ACleanRunIsAccountedForInFull() {
+void CleanRunAccountsForEachMessage() {
   for (const char* mode : {"platform", "binary", "structured", "batched"}) {
-    StandInThread standins(FrontWith(Json::array()));
-    Json json = Base(standins.front_port);
+    StubServerThread stubs(FrontendWith(Json::array()));
+    Json json = Base(stubs.frontend_port);
     json["threads"] = 2;
-    if (std::string(mode) != "platform") json["front"] = "events", json["mode"] = mode;
-    const Ran ran = Offer(json, &standins);
-    if (FateCount(ran, Fate::kInAim) != 499) PrintResult(ran.result, std::cerr);
-    assert(ran.result.account.offered == 499 && FateCount(ran, Fate::kInAim) == 499);
-    assert(ran.result.account.findings_count == 0 && ran.result.account.hand_ins == 499);
+    if (std::string(mode) != "platform") {
+      json["front"] = "events";
+      json["mode"] = mode;
+    }
+    const CompletedRun ran = Offer(json, &stubs);
+    if (OutcomeCount(ran, FinalOutcome::kWithinObjective) != 499) PrintResult(ran.result, std::cerr);
+    assert(ran.result.summary.offered == 499 && OutcomeCount(ran, FinalOutcome::kWithinObjective) == 499);
+    assert(ran.result.summary.violation_count == 0 && ran.result.summary.submissions == 499);
   }
 }
 
 // A pause of 3 s under 500 messages a second. Each message that was due meanwhile is charged for it; a client
 // that times its own sends sees it on its few connections only.
-void APauseIsReportedInFull() {
-  const StandInSettings settings = FrontWith({{{"fault", "pause"}, {"at_ms", 1500}, {"for_ms", 3000}}});
-  StandInThread standins(settings);
-  Json json = Base(standins.front_port);
+void PauseIsChargedToEveryMessageThatWasDue() {
+  const StubServerSettings settings = FrontendWith({{{"fault", "pause"}, {"at_ms", 1500}, {"for_ms", 3000}}});
+  StubServerThread stubs(settings);
+  Json json = Base(stubs.frontend_port);
   json["seconds"] = 8;
   json["connections"] = 4;
   json["answer_ms"] = 0;
-  const Ran ran = Offer(json, &standins);
-  const Account& account = ran.result.account;
-  const LatencyHistogram &corrected = account.answer_corrected, &as_sent = account.answer_as_sent;
-  assert(std::abs(account.offered - 4000) <= 1 && corrected.count() == account.offered);
+  const CompletedRun ran = Offer(json, &stubs);
+  const RunSummary& summary = ran.result.summary;
+  const LatencyHistogram& corrected = summary.response_corrected;
+  const LatencyHistogram& as_sent = summary.response_as_sent;
+  assert(std::abs(summary.offered - 4000) <= 1 && corrected.count() == summary.offered);
   assert(corrected.max() >= 2.98e6 && corrected.Quantile(0.999) >= 2.95e6);
-  // Who was due during the pause has waited for its end, and the histogram counts each of them; who came
-  // while the backlog was worked off waited too.
-  const std::int64_t from = standins.started_us + 1'500'000, to = from + 3'000'000;
-  int met = 0;
-  for (const Record& r : ran.records.records)
-    met += r.intended_us >= from && r.intended_us < to && r.answered_us >= to - 2'000 ? 1 : 0;
+  // Messages that were due during the pause have waited for its end, and the histogram counts each of them;
+  // those that came while the queue was drained waited too.
+  const std::int64_t from_us = stubs.started_us + 1'500'000;
+  const std::int64_t to_us = from_us + 3'000'000;
+  const auto waited_for_the_end = [&](const MessageRecord& record) {
+    return record.intended_us >= from_us && record.intended_us < to_us &&
+           record.responded_us >= to_us - 2'000;
+  };
+  const auto& records = ran.records.records;
+  const auto delayed = std::count_if(records.begin(), records.end(), waited_for_the_end);
   std::printf(
-      "pause: %d messages met it, %ld waited over 20 ms, p99.9 %.0f ms, max %.0f ms; as sent: %ld, p99.9 "
+      "pause: %ld messages met it, %ld waited over 20 ms, p99.9 %.0f ms, max %.0f ms; as sent: %ld, p99.9 "
       "%.1f ms\n",
-      met, corrected.Over(20'000), corrected.Quantile(0.999) / 1000, corrected.max() / 1000,
-      as_sent.Over(20'000), as_sent.Quantile(0.999) / 1000);
-  assert(std::abs(met / 1500.0 - 1) < 0.02 && corrected.Over(20'000) >= met - 12);
-  // The report names the fault, and who was due during it.
+      delayed, corrected.CountOver(20'000), corrected.Quantile(0.999) / 1000, corrected.max() / 1000,
+      as_sent.CountOver(20'000), as_sent.Quantile(0.999) / 1000);
+  assert(std::abs(static_cast<double>(delayed) / 1500.0 - 1) < 0.02 &&
+         corrected.CountOver(20'000) >= delayed - 12);
+  // The report names the fault, and the messages that were due during it.
   std::vector<FaultSpan> spans = settings.timeline.spans();
-  spans[0].from_ms -= static_cast<double>(ran.records.start_us - standins.started_us) / 1000;
-  const Result result =
-      MakeResult("pause", ScenarioFromJson(json), ran.records, standins.Sightings(), true, Timeline(spans));
-  assert(result.account.met.size() == 1 &&
-         std::abs(static_cast<double>(result.account.met[0].waited) / 1500 - 1) < 0.02);
+  spans[0].from_ms -= static_cast<double>(ran.records.start_us - stubs.started_us) / 1000;
+  const RunResult result =
+      MakeResult("pause", ScenarioFromJson(json), ran.records, stubs.Observations(), true, Timeline(spans));
+  assert(result.summary.fault_impacts.size() == 1 &&
+         std::abs(static_cast<double>(result.summary.fault_impacts[0].waited_long) / 1500 - 1) < 0.02);
   // One that was due just before the pause, and came just after it had begun, waits a little longer.
-  const double met_longest = result.account.met[0].answer_max_us;
-  assert(met_longest <= corrected.max() && met_longest > corrected.max() - 20'000);
-  const Result read = ResultFromJson(ToJson(result));
-  assert(read.account.met[0].waited == result.account.met[0].waited &&
+  const double longest_wait_us = result.summary.fault_impacts[0].max_response_us;
+  assert(longest_wait_us <= corrected.max() && longest_wait_us > corrected.max() - 20'000);
+  const RunResult read = ResultFromJson(ToJson(result));
+  assert(read.summary.fault_impacts[0].waited_long == result.summary.fault_impacts[0].waited_long &&
          read.faults[0].from_ms == spans[0].from_ms);
-  assert(as_sent.Over(20'000) <= 4 && as_sent.Quantile(0.99) < 0.1 * corrected.Quantile(0.99));
+  assert(as_sent.CountOver(20'000) <= 4 && as_sent.Quantile(0.99) < 0.1 * corrected.Quantile(0.99));
   double longest = 0;
-  for (const Bucket& b : account.series) longest = std::max(longest, b.corrected_max);
+  for (const TimeBucket& bucket : summary.buckets) longest = std::max(longest, bucket.corrected_max);
   assert(longest == corrected.max());
 }
 
-void ClientsBehaveAsTheProtocolSays() {
-  // Refused at first: handed in again after Retry-After, with X-Retry and a new id.
-  StandInThread full(FrontWith({{{"fault", "full"}, {"ms", 300}, {"at_ms", 0}, {"for_ms", 250}}}));
-  Json json = Base(full.front_port);
+void ClientsResubmitAsTheProtocolSays() {
+  // Rejected at first: submitted again after Retry-After, with X-Retry and a new id.
+  StubServerThread full(FrontendWith({{{"fault", "full"}, {"ms", 300}, {"at_ms", 0}, {"for_ms", 250}}}));
+  Json json = Base(full.frontend_port);
   json["seconds"] = 0.1;
-  Ran ran = Offer(json, &full);
-  assert(FateCount(ran, Fate::kInAim) == 49 && ran.result.account.hand_ins == 98);
-  assert(ran.result.account.taken.min() > 250'000 && ran.result.account.answer_corrected.max() < 250'000);
-  // Refused to the end: three hand-ins and no more.
-  StandInThread refusing(FrontWith({{{"fault", "refuse"}}}));
-  json = Base(refusing.front_port);
+  CompletedRun ran = Offer(json, &full);
+  assert(OutcomeCount(ran, FinalOutcome::kWithinObjective) == 49 && ran.result.summary.submissions == 98);
+  assert(ran.result.summary.accepted.min() > 250'000 &&
+         ran.result.summary.response_corrected.max() < 250'000);
+  // Rejected to the end: three submissions and no more.
+  StubServerThread rejecting(FrontendWith({{{"fault", "refuse"}}}));
+  json = Base(rejecting.frontend_port);
   json["seconds"] = 0.1;
   json["again_ms"] = 20;
-  ran = Offer(json, &refusing);
-  assert(FateCount(ran, Fate::kRefused) == 49 && ran.result.account.hand_ins == 147);
+  ran = Offer(json, &rejecting);
+  assert(OutcomeCount(ran, FinalOutcome::kRejected) == 49 && ran.result.summary.submissions == 147);
 }
 
-void WhatNeverAnswersIsCountedForAsLongAsItWasWaitedFor() {
+void UnansweredMessagesCountAsLongAsTheyWaited() {
   for (const char* fault : {"silent", "half", "reset", "spoilt"}) {
-    StandInThread standins(FrontWith({{{"fault", fault}}}));
-    Json json = Base(standins.front_port);
+    StubServerThread stubs(FrontendWith({{{"fault", fault}}}));
+    Json json = Base(stubs.frontend_port);
     json["seconds"] = 0.2;
     json["connections"] = 200;
     json["hand_ins_again"] = 0;
     json["answer_ms"] = 150;
-    const Ran ran = Offer(json, &standins);
-    assert(ran.result.account.offered == 99 && FateCount(ran, Fate::kUnanswered) == 99 &&
-           ran.result.account.answers_cut == 99);
-    if (std::string(fault) == "silent") assert(ran.result.account.answer_corrected.min() >= 150'000);
+    const CompletedRun ran = Offer(json, &stubs);
+    assert(ran.result.summary.offered == 99 && OutcomeCount(ran, FinalOutcome::kUnanswered) == 99 &&
+           ran.result.summary.unanswered_count == 99);
+    if (std::string(fault) == "silent") assert(ran.result.summary.response_corrected.min() >= 150'000);
   }
   // Nobody listens at all.
   Json json = Base(1);
   json["seconds"] = 0.1;
   json["hand_ins_again"] = 0;
-  assert(FateCount(Offer(json, nullptr), Fate::kUnanswered) == 49);
+  assert(OutcomeCount(Offer(json, nullptr), FinalOutcome::kUnanswered) == 49);
 }
 
-void AStalledTargetCostsBoundedMemoryAndNothingIsDroppedSilently() {
-  StandInThread standins(FrontWith({{{"fault", "silent"}}}));
-  Json json = Base(standins.front_port);
+void StalledTargetLeavesCountedUnsentMessages() {
+  StubServerThread stubs(FrontendWith({{{"fault", "silent"}}}));
+  Json json = Base(stubs.frontend_port);
   json["connections"] = 2;
   json["answer_ms"] = 0;
   json["backlog"] = 100;
   json["drain_s"] = 0.2;
-  const Ran ran = Offer(json, &standins);
-  assert(ran.result.account.offered == 499 && FateCount(ran, Fate::kUnsent) == 497 &&
-         FateCount(ran, Fate::kUnanswered) == 2);
+  const CompletedRun ran = Offer(json, &stubs);
+  assert(ran.result.summary.offered == 499 && OutcomeCount(ran, FinalOutcome::kUnsent) == 497 &&
+         OutcomeCount(ran, FinalOutcome::kUnanswered) == 2);
 }
 
-void APartnerThatDeliversTwiceIsFoundAndNamed() {
-  const StandInSettings settings = StandInSettingsFromJson(
+void CheckerReportsAPartnerThatExecutesTwice() {
+  const StubServerSettings settings = StubServerSettingsFromJson(
       {{"partners", {{{"destination", 0}}}}, {"timeline", {{{"fault", "twice"}, {"share", 0.2}}}}});
   EventLoop loop;
-  StandIns standins(loop, settings);
-  Clients clients(loop, {{"127.0.0.1", standins.partners[0]->port()}}, 4, std::chrono::seconds(5));
+  StubServerSet stubs(loop, settings);
+  HttpClientPool clients(loop, {{"127.0.0.1", stubs.partners[0]->port()}}, 4, std::chrono::seconds(5));
   int answers = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string id = ToText({1, i, 0, 0, Repeat::kNever});
@@ -176,88 +188,90 @@
     });
     loop.Run();
   }
-  assert(standins.checker.count() > 2 && standins.checker.count() < 20);
-  for (const Finding& f : standins.checker.findings())
-    assert(f.rule == "took effect twice" && ParseHandInId(f.id));
+  assert(stubs.checker.count() > 2 && stubs.checker.count() < 20);
+  for (const Finding& f : stubs.checker.findings())
+    assert(f.rule == "took effect twice" && ParseSubmissionId(f.id));
 }
 
-void ARateOfZeroOffersNothing() {
+void RateOfZeroOffersNothing() {
   Json json = Base(1);
   json["seconds"] = 0.2;
   json["arrivals"]["rate"] = 0;
-  const Ran ran = Offer(json, nullptr);
-  assert(ran.result.account.offered == 0 && ran.result.valid() && !ran.result.partial);
-  assert(ResultFromJson(ToJson(ran.result)).account.offered == 0);
+  const CompletedRun ran = Offer(json, nullptr);
+  assert(ran.result.summary.offered == 0 && ran.result.valid() && !ran.result.partial);
+  assert(ResultFromJson(ToJson(ran.result)).summary.offered == 0);
 }
 
-std::string Refusal(const Json& json) {
-  return Refused([&] { Offer(json, nullptr); });
+std::string OfferError(const Json& json) {
+  return ErrorOf([&] { Offer(json, nullptr); });
 }
 
-void WhatCannotBeDoneIsSaidBeforeTheRun() {
+void ImpossibleScenariosFailBeforeTheRun() {
   Json json = Base(1);
   json["connections"] = 1'000'000;
-  assert(Refusal(json).starts_with("connections: 1000000 need 1000064 descriptors"));
+  assert(OfferError(json).starts_with("connections: 1000000 need 1000064 descriptors"));
   json = Base(1);
   json["threads"] = 17;
-  assert(Refusal(json).starts_with("connections: expected at least one for each"));
+  assert(OfferError(json).starts_with("connections: expected at least one for each"));
   json = Base(1);
   json["max_messages"] = 10;
-  assert(Refusal(json).find("max_messages") != std::string::npos);
+  assert(OfferError(json).find("max_messages") != std::string::npos);
   json = Base(1);
   json["trace"] = "/nowhere/trace";
-  assert(Refusal(json).starts_with("/nowhere/trace: can't be read"));
+  assert(OfferError(json).starts_with("/nowhere/trace: can't be read"));
 }
 
-void ARunIsReplayedToTheSameIntendedArrivals() {
+void ReplayedRunHasTheSameIntendedArrivals() {
   char folder[] = "/tmp/sagetally-loadtest-XXXXXX";
   assert(mkdtemp(folder) != nullptr);
-  StandInThread standins(FrontWith(Json::array()));
-  Json json = Base(standins.front_port);
+  StubServerThread stubs(FrontendWith(Json::array()));
+  Json json = Base(stubs.frontend_port);
   json["arrivals"] = {{"process", "poisson"}, {"rate", 400}};
   json["body_bytes"] = {{"kind", "lognormal"}, {"mean", 300}, {"cv", 2}};
   json["destinations"] = {{"first", 2}, {"count", 9}};
   json["threads"] = 2;
   RunOptions options;
   options.record = std::string(folder) + "/trace.jsonl";
-  const auto planned = [](const Ran& ran) {
-    std::vector<Planned> all;
-    for (const Record& r : ran.records.records) all.push_back(r.planned);
-    std::sort(all.begin(), all.end(), [](const Planned& a, const Planned& b) { return a.number < b.number; });
+  const auto planned = [](const CompletedRun& ran) {
+    std::vector<PlannedMessage> all;
+    for (const MessageRecord& r : ran.records.records) all.push_back(r.planned);
+    std::sort(all.begin(), all.end(),
+              [](const PlannedMessage& a, const PlannedMessage& b) { return a.number < b.number; });
     return all;
   };
-  const std::vector<Planned> first = planned(Offer(json, &standins, options));
+  const std::vector<PlannedMessage> first = planned(Offer(json, &stubs, options));
   json.erase("arrivals");
   json["trace"] = options.record;
   json["seed"] = 77;
   json["threads"] = 1;
-  assert(first.size() > 300 && planned(Offer(json, &standins)) == first);
-  // A recorded plan that can't be one is told by its line.
+  assert(first.size() > 300 && planned(Offer(json, &stubs)) == first);
+  // An invalid trace is reported with its line.
   std::ofstream(options.record, std::ios::app) << R"({"at_us":5,"class":"aviso","destination":1})"
                                                << "\n";
-  assert(Refusal(json).find("trace.jsonl:" + std::to_string(first.size() + 2) + ": its time goes back") !=
+  assert(OfferError(json).find("trace.jsonl:" + std::to_string(first.size() + 2) + ": its time goes back") !=
          std::string::npos);
   std::filesystem::remove_all(folder);
 }
 
-void ABrokenOffRunIsPartial() {
-  StandInThread standins(FrontWith(Json::array()));
-  Json json = Base(standins.front_port);
+void InterruptedRunIsPartial() {
+  StubServerThread stubs(FrontendWith(Json::array()));
+  Json json = Base(stubs.frontend_port);
   json["seconds"] = 600;
   RunOptions options;
   int asked = 0;
   options.stop = [&] { return ++asked > 5; };
-  const Ran ran = Offer(json, &standins, options);
-  assert(ran.result.partial && ran.result.account.offered > 50 && ran.result.seconds < 60);
-  assert(FateCount(ran, Fate::kInAim) + FateCount(ran, Fate::kUnanswered) + FateCount(ran, Fate::kUnsent) ==
-         ran.result.account.offered);
+  const CompletedRun ran = Offer(json, &stubs, options);
+  assert(ran.result.partial && ran.result.summary.offered > 50 && ran.result.seconds < 60);
+  assert(OutcomeCount(ran, FinalOutcome::kWithinObjective) + OutcomeCount(ran, FinalOutcome::kUnanswered) +
+             OutcomeCount(ran, FinalOutcome::kUnsent) ==
+         ran.result.summary.offered);
   std::ostringstream text;
   PrintResult(ran.result, text);
   assert(text.str().starts_with("PARTIAL"));
 }
 
-void AStarvedGeneratorMarksItsRun() {
-  StandInThread standins(FrontWith(Json::array()));
+void StarvedGeneratorMarksItsRunInvalid() {
+  StubServerThread stubs(FrontendWith(Json::array()));
   cpu_set_t before, one;
   assert(sched_getaffinity(0, sizeof before, &before) == 0);
   CPU_ZERO(&one);
@@ -273,15 +287,15 @@
       }
     });
   }
-  Json json = Base(standins.front_port);
+  Json json = Base(stubs.frontend_port);
   json["valid"] = {{"lag_ms", 5}, {"share", 0.01}, {"run_queue_share", 0.2}};
   json["arrivals"]["rate"] = 4000;  // enough work to need the core
-  const Ran ran = Offer(json, &standins);
+  const CompletedRun ran = Offer(json, &stubs);
   stop = true;
   for (std::thread& thread : busy) thread.join();
   assert(sched_setaffinity(0, sizeof before, &before) == 0);
   assert(!ran.result.valid());
-  for (const std::string& why : ran.result.why_invalid) std::printf("starved: %s\n", why.c_str());
+  for (const std::string& reason : ran.result.invalid_reasons) std::printf("starved: %s\n", reason.c_str());
 }
 
 }  // namespace
@@ -290,16 +304,16 @@
 int main() {
   using namespace sagetally::loadtest;
   std::signal(SIGPIPE, SIG_IGN);
-  ACleanRunIsAccountedForInFull();
-  APauseIsReportedInFull();
-  ClientsBehaveAsTheProtocolSays();
-  WhatNeverAnswersIsCountedForAsLongAsItWasWaitedFor();
-  AStalledTargetCostsBoundedMemoryAndNothingIsDroppedSilently();
-  APartnerThatDeliversTwiceIsFoundAndNamed();
-  ARateOfZeroOffersNothing();
-  WhatCannotBeDoneIsSaidBeforeTheRun();
-  ARunIsReplayedToTheSameIntendedArrivals();
-  ABrokenOffRunIsPartial();
-  AStarvedGeneratorMarksItsRun();
+  CleanRunAccountsForEachMessage();
+  PauseIsChargedToEveryMessageThatWasDue();
+  ClientsResubmitAsTheProtocolSays();
+  UnansweredMessagesCountAsLongAsTheyWaited();
+  StalledTargetLeavesCountedUnsentMessages();
+  CheckerReportsAPartnerThatExecutesTwice();
+  RateOfZeroOffersNothing();
+  ImpossibleScenariosFailBeforeTheRun();
+  ReplayedRunHasTheSameIntendedArrivals();
+  InterruptedRunIsPartial();
+  StarvedGeneratorMarksItsRunInvalid();
   std::puts("11 passed, 0 failed");
 }
