--- a/src/loadtest/commands/report_command.cpp
+++ b/src/loadtest/commands/report_command.cpp
@@ -23,6 +23,7 @@
 
 std::vector<RunResult> ReadResults(const std::vector<std::string>& paths) {
   std::vector<RunResult> results;
+  results.reserve(paths.size());
   for (const std::string& path : paths) results.push_back(ReadResult(path));
   return results;
 }
