--- a/bench/dead_letter_bench.cpp
+++ b/bench/dead_letter_bench.cpp
@@ -1,7 +1,8 @@
-// Measures kept messages: what they cost live traffic, and how the store does with a million of them.
-//   kept_bench take off|on|stalled|synced SECONDS [RATE]    live messages (400 a second): time to the 202,
-//   calls kept_bench store COUNT                    fills a store, then lists with filters; memory by phase
-//   kept_bench resend RATE|0 SECONDS          live traffic beside resends of 20,000 kept messages
+// Measures dead letters: what they cost live traffic, and how the store does with a million of them.
+//   dead_letter_bench take off|on|stalled|synced SECONDS [RATE]    live messages (400 a second): time to the
+//   202, calls dead_letter_bench store COUNT                    fills a store, then lists with filters;
+//   memory by phase dead_letter_bench resend RATE|0 SECONDS          live traffic beside the redrive of
+//   20,000 dead letters
 #include <sqlite3.h>
 
 #include <fstream>
@@ -34,7 +35,8 @@
   return 0;
 }
 
-// An open-loop client: messages at fixed times over kept connections, timed from when each should have gone.
+// An open-loop client: messages at fixed times over kept-alive connections, timed from when each should have
+// gone.
 class Load {
  public:
   Load(World& w, double rate, double failing_share)
@@ -45,7 +47,7 @@
   }
   void Stop() { next_.Stop(); }
   Times times;
-  int refused = 0;
+  int rejected = 0;
 
  private:
   struct One {
@@ -83,7 +85,7 @@
   static void Done(evhttp_request* request, void* raw) {
     const std::unique_ptr<One> one(static_cast<One*>(raw));
     if (request == nullptr || evhttp_request_get_response_code(request) != 202) {
-      ++one->load->refused;
+      ++one->load->rejected;
     } else {
       one->load->times.Add(Clock::now() - one->intended);
     }
@@ -109,7 +111,7 @@
     disk_mb = 100;
     sockets = 4096;
   }
-  void Keep() {
+  void EnableDeadLetters() {
     kept.emplace();
     kept->include_deferred = true;
     kept->redrive_deferred = true;
@@ -123,7 +125,7 @@
 
 void Take(const std::string& mode, double seconds, double rate) {
   BenchWorld w;
-  if (mode == "on" || mode == "stalled") w.Keep();
+  if (mode == "on" || mode == "stalled") w.EnableDeadLetters();
   w.journal.synced = mode == "synced";
   w.Start();
   RunFor(w.loop, 300ms);
@@ -137,11 +139,11 @@
   RunFor(w.loop, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
   load.Stop();
   load.times.Print(("take, kept " + mode).c_str(), seconds);
-  std::printf("  refused %d, called %zu", load.refused, w.Calls());
+  std::printf("  refused %d, called %zu", load.rejected, w.Calls());
   if (w.dispatcher->dead_letters() != nullptr) {
-    dead_letter::DeadLetterManager& keeper = w.dispatcher->dead_letters()->keeper();
-    std::printf(", kept %ld, owed %zu, lost %ld", keeper.counters().kept, keeper.pending_transfers(),
-                keeper.counters().owed_dropped);
+    dead_letter::DeadLetterManager& manager = w.dispatcher->dead_letters()->keeper();
+    std::printf(", kept %ld, owed %zu, lost %ld", manager.counters().kept, manager.pending_transfers(),
+                manager.counters().owed_dropped);
   }
   std::printf("\n");
   sqlite3_close(lock);
@@ -205,8 +207,8 @@
 
 void Resend(double rate, double seconds) {
   BenchWorld w;
-  w.Keep();
-  {  // as an earlier life of the node left them
+  w.EnableDeadLetters();
+  {  // as an earlier process of the node left them
     std::filesystem::create_directory(w.folder.path + "/kept");
     dead_letter::Database::Settings settings;
     settings.path = w.folder.path + "/kept/kept.db";
@@ -238,7 +240,7 @@
   load.times.Print("live", seconds);
   const auto delivered = w.dispatcher->dead_letters()->keeper().counters().delivered - before;
   std::printf("  resent at %.0f/s asked: %.0f a second, live refused %d\n", rate,
-              static_cast<double>(delivered) / seconds, load.refused);
+              static_cast<double>(delivered) / seconds, load.rejected);
 }
 
 }  // namespace
@@ -253,8 +255,9 @@
   } else if (what == "resend" && argc == 4) {
     sagetally::Resend(std::atof(argv[2]), std::atof(argv[3]));
   } else {
-    std::cerr << "usage: kept_bench take off|on|stalled|synced SECONDS [RATE] | store COUNT | resend RATE "
-                 "SECONDS\n";
+    std::cerr
+        << "usage: dead_letter_bench take off|on|stalled|synced SECONDS [RATE] | store COUNT | resend RATE "
+           "SECONDS\n";
     return 2;
   }
 }
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -1,6 +1,6 @@
 // Measurements of the journal, on a disk that the caller names.
 //   journal_bench append COUNT FOLDER      records a second against raw writes, syncs and SQLite
-//   journal_bench pause LIVE SECONDS FOLDER   longest step at 120 messages a second beside LIVE held ones
+//   journal_bench pause LIVE SECONDS FOLDER   longest call at 120 messages a second beside LIVE pending ones
 //   journal_bench recover LIVE FOLDER      time and memory of a start
 #include <sqlite3.h>
 #include <sys/resource.h>
@@ -39,14 +39,14 @@
     s.node_name = "bench";
     s.disk_budget = budget;
     s.class_names = {"aviso"};
-    journal = std::make_unique<SegmentJournal>(files, s, ledger, host.clock, log, host);
+    journal = std::make_unique<SegmentJournal>(files, s, messages, host.clock, log, host);
   }
   Message& Take(std::uint64_t n) {
     Message m;
     m.request.id = "m" + std::to_string(n);
     m.request.body = std::string(200, 'b');
     m.deadline = host.clock.Now() + std::chrono::seconds(10);
-    Message& added = ledger.Add(std::move(m));
+    Message& added = messages.Add(std::move(m));
     const Message* one[] = {&added};
     if (!journal->AppendAccepted(one)) throw std::runtime_error("no room");
     return added;
@@ -60,14 +60,14 @@
   }
   void Deliver(Message& m) {
     m.is_in_flight = false;
-    ledger.Complete(m, FinalStatus::kDelivered, Duration(0), host.clock.Now());
+    messages.Complete(m, FinalStatus::kDelivered, Duration(0), host.clock.Now());
     journal->AppendCompletion(m);
-    ledger.RemoveIfFinished(m);
+    messages.RemoveIfFinished(m);
   }
   PosixFileSystem files;
   Host host;
   Logger log{LogOptions{LogFormat::kText, LogLevel::kError}};
-  MessageTable ledger;
+  MessageTable messages;
   std::unique_ptr<SegmentJournal> journal;
 };
 
@@ -155,7 +155,7 @@
     timed(calls, [&] { b.Attempt(*m); });
     out.push_back(m->number);
     if (out.size() > 60) {
-      timed(calls, [&] { b.Deliver(*b.ledger.Find(out.front())); });
+      timed(calls, [&] { b.Deliver(*b.messages.Find(out.front())); });
       out.pop_front();
     }
     if (b.host.due <= b.host.clock.Now()) {
@@ -196,7 +196,7 @@
   const double mb = static_cast<double>(b.journal->report().bytes) / 1e6;
   std::printf(
       "%d messages held, %.1f MB in %llu records: %.3f s, %.0f MB/s, peak memory %.1f MB (%.1f before)\n",
-      b.ledger.pending_count(), mb, static_cast<unsigned long long>(b.journal->report().records), seconds,
+      b.messages.pending_count(), mb, static_cast<unsigned long long>(b.journal->report().records), seconds,
       mb / seconds, static_cast<double>(PeakKb()) / 1000, static_cast<double>(before) / 1000);
 }
 
--- a/bench/loadtest_limits.sh
+++ b/bench/loadtest_limits.sh
@@ -9,18 +9,18 @@
 pids=()
 trap 'for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done; wait 2>/dev/null; rm -rf "$work"' EXIT
 cd "$work"
-lab=$build/sagetally-loadtest
+loadtest=$build/sagetally-loadtest
 wait_for() { for _ in $(seq 500); do grep -q "$1" "$2" && return; sleep 0.02; done; cat "$2"; exit 1; }
 
 if [ "$what" = generator ]; then
-  taskset -c 3 "$lab" standin front >front.log 2>&1 &
+  taskset -c 3 "$loadtest" standin front >front.log 2>&1 &
   pids+=($!)
   wait_for frontend.ready front.log
   port=$(sed -n 's/.* frontend.ready port=//p' front.log)
   for cores in 0 0,1; do
     threads=$(( (${#cores} + 1) / 2 ))
     echo "generator on $threads core(s), stand-in front on one:"
-    taskset -c $cores "$lab" limit --targets 127.0.0.1:$port --connections 64 --threads $threads --from 2000 --to 200000 \
+    taskset -c $cores "$loadtest" limit --targets 127.0.0.1:$port --connections 64 --threads $threads --from 2000 --to 200000 \
       --probe-s ${PROBE:-3} --confirm-s ${CONFIRM:-20} --p99-ms 1000000 --lag-p99-ms 1 --answer_ms 0 --hand_ins_again 0 || true
   done
   exit
@@ -28,18 +28,18 @@
 
 front=$3
 bytes=$4
-cat >standins.json <<J
+cat >stubs.json <<J
 {"partners": [{"uid": "s-0", "destination": 0}, {"uid": "s-1", "destination": 1}, {"uid": "s-2", "destination": 2}],
  "agent": {}, "sink": {}}
 J
-taskset -c 1 "$lab" standin partner agent sink --file standins.json >standins.log 2>&1 &
+taskset -c 1 "$loadtest" standin partner agent sink --file stubs.json >stubs.log 2>&1 &
 pids+=($!)
-wait_for sink.ready standins.log
-agent=$(sed -n 's/.* agent.ready port=//p' standins.log)
-sink=$(sed -n 's/.* sink.ready port=//p' standins.log)
+wait_for sink.ready stubs.log
+agent=$(sed -n 's/.* agent.ready port=//p' stubs.log)
+sink=$(sed -n 's/.* sink.ready port=//p' stubs.log)
 targets=""
 for i in 0 1 2; do
-  port=$(sed -n "s/.* partner.ready uid=s-$i .*port=//p" standins.log)
+  port=$(sed -n "s/.* partner.ready uid=s-$i .*port=//p" stubs.log)
   targets+="${targets:+,}{\"uid\":\"s-$i\",\"endpoint\":\"127.0.0.1:$port\",\"az\":\"a\",\"model\":\"partner\",\"pod_group\":$i,\"state\":\"in_service\",\"capacity_hint\":100000,\"boot_ms\":0}"
 done
 mkdir state
@@ -65,7 +65,7 @@
   how=(--front events --mode "$front")
 fi
 if [ "$what" = profile ]; then
-  taskset -c 2,3 "$lab" load --targets 127.0.0.1:$port "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
+  taskset -c 2,3 "$loadtest" load --targets 127.0.0.1:$port "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
     --destinations.count 3 --connections 128 --threads 2 --arrivals.rate "$5" --seconds 10 &
   pids+=($!)
   perf record -o perf.data -g -p $node -- sleep 8 >/dev/null 2>&1
@@ -73,6 +73,6 @@
   exit
 fi
 echo "dispatcher on one core, $front, bodies of $bytes bytes:"
-taskset -c 2,3 "$lab" limit --targets 127.0.0.1:$port "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
+taskset -c 2,3 "$loadtest" limit --targets 127.0.0.1:$port "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
   --destinations.count 3 --connections 128 --threads 2 --from 250 --to 64000 --probe-s 4 --confirm-s "${5:-60}" \
   --p99-ms 10 --lag-p99-ms 3 || true
