--- a/src/loadtest/demo/child.cpp
+++ b/src/loadtest/demo/child.cpp
@@ -69,8 +69,9 @@
   for (std::string line; std::getline(file, line);) {
     const std::size_t port = line.find(kPortField);
     const bool is_complete = !file.eof();
-    if (line.find(" ready name=") != std::string::npos && port != std::string::npos && is_complete)
+    if (line.find(" ready name=") != std::string::npos && port != std::string::npos && is_complete) {
       return static_cast<std::uint16_t>(std::stoi(line.substr(port + kPortField.size())));
+    }
   }
   return std::nullopt;
 }
--- a/src/loadtest/demo/demo.cpp
+++ b/src/loadtest/demo/demo.cpp
@@ -49,8 +49,9 @@
   const std::string program = options.program.empty()
                                   ? (fs::read_symlink("/proc/self/exe").parent_path() / "sagetally").string()
                                   : options.program;
-  if (!fs::exists(program))
+  if (!fs::exists(program)) {
     throw std::runtime_error(program + ": no such program; build it, or name it with --program");
+  }
   return program;
 }
 
@@ -81,8 +82,9 @@
 void WaitForPlanners(const StubServerThread& stubs, int count) {
   const auto deadline = std::chrono::steady_clock::now() + kRegistrationTimeout;
   while (stubs.planners() < static_cast<std::size_t>(count)) {
-    if (std::chrono::steady_clock::now() > deadline)
+    if (std::chrono::steady_clock::now() > deadline) {
       throw std::runtime_error("the planners did not register");
+    }
     std::this_thread::sleep_for(kRegistrationPollInterval);
   }
 }
@@ -94,12 +96,15 @@
     nodes.Start("n0", DemoPlatformConfigJson("n0", stubs, folder + "/n0", true), nullptr);
     return {nodes.WaitUntilReady("n0")};
   }
-  for (const std::string& planner : StartNodesOfRole("planner", options.planners, stubs, folder, nodes))
+  for (const std::string& planner : StartNodesOfRole("planner", options.planners, stubs, folder, nodes)) {
     nodes.WaitUntilReady(planner);
+  }
   WaitForPlanners(stubs, options.planners);
   std::vector<std::uint16_t> ports;
-  for (const std::string& forwarder : StartNodesOfRole("forwarder", options.forwarders, stubs, folder, nodes))
+  for (const std::string& forwarder :
+       StartNodesOfRole("forwarder", options.forwarders, stubs, folder, nodes)) {
     ports.push_back(nodes.WaitUntilReady(forwarder));
+  }
   return ports;
 }
 
--- a/src/loadtest/demo/node_processes.cpp
+++ b/src/loadtest/demo/node_processes.cpp
@@ -56,14 +56,16 @@
 std::vector<std::string> NodeProcesses::Stop() {
   std::vector<std::string> problems;
   for (const Node& node : nodes_) {
-    if (!node.process->Running())
+    if (!node.process->Running()) {
       problems.push_back(node.name + " had ended by itself:\n" + LogTail(*node.process));
+    }
     node.process->Signal(SIGTERM);
   }
   const auto deadline = SteadyClock::now() + kStopTimeout;
   for (const Node& node : nodes_) {
-    while (node.process->Running() && SteadyClock::now() < deadline)
+    while (node.process->Running() && SteadyClock::now() < deadline) {
       std::this_thread::sleep_for(kPollInterval);
+    }
     if (node.process->Running()) {
       problems.push_back(node.name + " did not end on SIGTERM");
     } else if (const int exit_code = node.process->Wait(); exit_code != 0) {
--- a/src/loadtest/load/distribution.cpp
+++ b/src/loadtest/load/distribution.cpp
@@ -27,8 +27,9 @@
 
 double PositiveMember(const nlohmann::json& json, const char* key) {
   const double value = json.at(key).get<double>();
-  if (!(value > 0) || !std::isfinite(value))
+  if (!(value > 0) || !std::isfinite(value)) {
     throw std::runtime_error(std::string(key) + ": expected a positive number, found " + json.at(key).dump());
+  }
   return value;
 }
 
--- a/src/loadtest/load/generator_monitor.cpp
+++ b/src/loadtest/load/generator_monitor.cpp
@@ -73,8 +73,9 @@
       reasons.push_back(fmt::format("sending thread {} waited for a core {:.0f}% of the time ({:.0f}% may)",
                                     i, run_queue_fraction * 100, limits.run_queue_fraction * 100));
     }
-    if (thread.clock_jumps > 0)
+    if (thread.clock_jumps > 0) {
       reasons.push_back(fmt::format("the machine's clock jumped {} times", thread.clock_jumps));
+    }
   }
   return reasons;
 }
--- a/src/loadtest/load/import.cpp
+++ b/src/loadtest/load/import.cpp
@@ -36,8 +36,9 @@
 std::optional<int> ParseInteger(const std::string& text) {
   int number = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size())
+  if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) {
     return std::nullopt;
+  }
   return number;
 }
 
@@ -213,8 +214,9 @@
   }
 
   void AddMessage(const Entry& entry) {
-    if (!std::isfinite(entry.at_s) || std::abs(entry.at_s) > kMaxTimeS)
+    if (!std::isfinite(entry.at_s) || std::abs(entry.at_s) > kMaxTimeS) {
       throw LineError(1, "a time within reason");
+    }
     PlannedMessage message;
     message.at_us = std::llround(entry.at_s * 1e6);
     message.message_class = ClassIndex(entry.message_class);
--- a/src/loadtest/load/import_grammar.cpp
+++ b/src/loadtest/load/import_grammar.cpp
@@ -43,16 +43,18 @@
   } catch (const x3::expectation_failure<Iterator>& failure) {
     throw LineError(static_cast<std::size_t>(failure.where() - line.begin()) + 1, failure.which());
   }
-  if (position != line.end())
+  if (position != line.end()) {
     throw LineError(static_cast<std::size_t>(position - line.begin()) + 1, "the end of the line");
+  }
 }
 
 struct MonthNames : x3::symbols<unsigned> {
   MonthNames() {
     unsigned month = 0;
     for (const char* name :
-         {"Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"})
+         {"Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"}) {
       add(name, ++month);
+    }
   }
 } const month_names;
 
@@ -71,8 +73,9 @@
 double SecondsSinceEpoch(const Calendar& calendar) {
   using namespace std::chrono;
   const year_month_day date{year(calendar.year), month(calendar.month), day(calendar.day)};
-  if (!date.ok() || calendar.hour > 23 || calendar.minute > 59 || !(calendar.second < 61))
+  if (!date.ok() || calendar.hour > 23 || calendar.minute > 59 || !(calendar.second < 61)) {
     throw LineError(1, "a day and time that exist");
+  }
   const auto days = sys_days(date).time_since_epoch().count();
   return static_cast<double>(days) * 86400 + calendar.hour * 3600 + calendar.minute * 60 + calendar.second -
          calendar.zone_minutes * 60;
--- a/src/loadtest/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -20,9 +20,10 @@
   const std::string process = arrivals.value("process", "poisson");
   if (process == "constant") return Distribution::Constant(1);
   if (process == "poisson") return Distribution::Exponential(1);
-  if (!arrivals.contains("spacing"))
+  if (!arrivals.contains("spacing")) {
     throw std::runtime_error(
         "/arrivals/spacing: expected a distribution for a renewal process, found nothing");
+  }
   const Distribution spacing = Distribution::FromJson(arrivals["spacing"]);
   if (!(spacing.Mean() > 0)) throw std::runtime_error("/arrivals/spacing: expected a mean over 0");
   return spacing;
@@ -67,11 +68,13 @@
                 Stream(scenario.seed, "arrivals")),
       next_s_(arrivals_.Next()),
       next_burst_s_(HUGE_VAL) {
-  if (scenario.destination_bursts)
+  if (scenario.destination_bursts) {
     next_burst_s_ = Distribution::Exponential(scenario.destination_bursts->every_s).Draw(burst_random_);
+  }
   if (scenario.hot_client) {
-    for (int i = 0; i < scenario.hot_client->destination_count; ++i)
+    for (int i = 0; i < scenario.hot_client->destination_count; ++i) {
       hot_destinations_.push_back(scenario.first_destination + destinations_(client_random_));
+    }
   }
 }
 
@@ -149,8 +152,9 @@
   const auto grammar = x3::lit('L') >> run[to(id.run)] >> '-' >> number[to(id.number)] >> '-' >>
                        x3::int_[to(id.submission)] >> '-' >> x3::int_[to(id.destination)] >> '-' >>
                        x3::char_("fkn")[to(idempotency_code)] >> x3::eoi;
-  if (!x3::parse(text.begin(), text.end(), grammar) || id.number < 0 || id.submission < 0)
+  if (!x3::parse(text.begin(), text.end(), grammar) || id.number < 0 || id.submission < 0) {
     return std::nullopt;
+  }
   id.idempotency = IdempotencyFromCode(idempotency_code);
   return id;
 }
--- a/src/loadtest/load/rate.cpp
+++ b/src/loadtest/load/rate.cpp
@@ -62,8 +62,9 @@
   double last_s = 0;
   for (std::size_t i = 0; i < points.size(); ++i) {
     const RatePoint& point = points[i];
-    if (point.at_s < last_s || point.rate < 0)
+    if (point.at_s < last_s || point.rate < 0) {
       throw std::runtime_error("rate points: expected rising times, no rate below 0");
+    }
     if (i == 0 && point.at_s > 0) segments.push_back({point.at_s, point.rate, point.rate});
     last_s = point.at_s;
     if (i + 1 == points.size()) {
@@ -71,8 +72,9 @@
       continue;
     }
     const RatePoint& next = points[i + 1];
-    if (next.at_s > point.at_s)
+    if (next.at_s > point.at_s) {
       segments.push_back({next.at_s - point.at_s, point.rate, point.ramp ? next.rate : point.rate});
+    }
   }
   if (segments.empty()) throw std::runtime_error("rate points: expected at least one");
   return std::make_unique<PiecewiseRate>(std::move(segments), false);
@@ -80,8 +82,9 @@
 
 std::unique_ptr<RateCurve> DailyRate(std::vector<double> weights, double day_s, double mean) {
   const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
-  if (weights.empty() || !(sum > 0) || !(day_s > 0))
+  if (weights.empty() || !(sum > 0) || !(day_s > 0)) {
     throw std::runtime_error("daily rate: expected weights with a sum over 0, and a day over 0");
+  }
   std::vector<RateSegment> segments;
   const auto parts = static_cast<double>(weights.size());
   const double scale = mean * parts / sum;  // linear segments between the weights keep their mean
@@ -99,8 +102,9 @@
 std::unique_ptr<RateCurve> RateFromJson(const nlohmann::json& json, Random random) {
   if (json.contains("points")) {
     std::vector<RatePoint> points;
-    for (const auto& point : json["points"])
+    for (const auto& point : json["points"]) {
       points.push_back({point.at("at_s"), point.at("rate"), point.value("ramp", false)});
+    }
     return SteppedRate(std::move(points));
   }
   const double rate = json.value("rate", 0.0);
--- a/src/loadtest/load/run.cpp
+++ b/src/loadtest/load/run.cpp
@@ -43,9 +43,10 @@
   void Distribute() {
     std::int64_t count = 0;
     while (const auto planned = source_->Next()) {
-      if (++count > scenario_.max_messages)
+      if (++count > scenario_.max_messages) {
         throw std::runtime_error("the plan holds more than max_messages (" +
                                  std::to_string(scenario_.max_messages) + "): raise it, or offer less");
+      }
       if (writer_) writer_->Write(*planned);
       auto& queue = feeds_[static_cast<std::size_t>(planned->number) % feeds_.size()]->queue;
       while (!queue.push(*planned)) {
@@ -115,8 +116,9 @@
 
 RunRecords RunLoad(const Scenario& scenario, const RunOptions& options) {
   EnsureDescriptorLimit(scenario.connections);
-  if (scenario.connections < scenario.threads)
+  if (scenario.connections < scenario.threads) {
     throw std::runtime_error("connections: expected at least one for each of the threads");
+  }
   std::atomic<bool> stop = false;
   std::vector<std::unique_ptr<PlanFeed>> feeds;
   for (int i = 0; i < scenario.threads; ++i) feeds.push_back(std::make_unique<PlanFeed>());
--- a/src/loadtest/load/scenario.cpp
+++ b/src/loadtest/load/scenario.cpp
@@ -68,8 +68,9 @@
   bursts.max_work_s = json.value("worth_most_s", bursts.max_work_s);
   bursts.destination_rate = json.value("partner_rate", bursts.destination_rate);
   bursts.spread_ms = json.value("over_ms", bursts.spread_ms);
-  if (bursts.max_work_s < bursts.min_work_s)
+  if (bursts.max_work_s < bursts.min_work_s) {
     throw std::runtime_error("/clumps/worth_most_s: expected at least worth_least_s");
+  }
   return bursts;
 }
 
@@ -122,8 +123,9 @@
   scenario.targets = TargetsFromJson(json.at("targets"));
   ReadClientSettings(json, scenario);
   scenario.arrivals = json.value("arrivals", Json::object());
-  for (const Json& message_class : json.value("classes", Json::array({{{"name", "aviso"}}})))
+  for (const Json& message_class : json.value("classes", Json::array({{{"name", "aviso"}}}))) {
     scenario.classes.push_back(MessageClassFromJson(message_class));
+  }
   const Json destinations = json.value("destinations", Json::object());
   scenario.first_destination = destinations.value("first", 0);
   scenario.destination_count = destinations.value("count", 1);
--- a/src/loadtest/load/sender.cpp
+++ b/src/loadtest/load/sender.cpp
@@ -51,8 +51,9 @@
 
 bool Sender::IsFinished(std::int64_t now_us) const {
   const double end_s = scenario_.seconds + scenario_.drain_s;
-  if (stop_.load(std::memory_order_relaxed) || static_cast<double>(now_us - start_us_) > end_s * 1e6)
+  if (stop_.load(std::memory_order_relaxed) || static_cast<double>(now_us - start_us_) > end_s * 1e6) {
     return true;
+  }
   return !next_message_ && feed_.done && feed_.queue.read_available() == 0 && requests_in_flight_ == 0 &&
          queued_.empty() && retries_.empty() && open_batch_.empty();
 }
@@ -128,12 +129,15 @@
 }
 
 void Sender::SubmitOrBatch(std::size_t record) {
-  if (scenario_.protocol != TargetProtocol::kCloudEvents || scenario_.event_mode != CloudEventsMode::kBatched)
+  if (scenario_.protocol != TargetProtocol::kCloudEvents ||
+      scenario_.event_mode != CloudEventsMode::kBatched) {
     return SendOrQueue({record});
+  }
   open_batch_.push_back(record);
   if (static_cast<int>(open_batch_.size()) >= scenario_.batch_size) return CloseBatch();
-  if (open_batch_.size() == 1)
+  if (open_batch_.size() == 1) {
     batch_timer_.Schedule(NonNegativeDuration(static_cast<std::int64_t>(scenario_.batch_wait_ms * 1000)));
+  }
 }
 
 void Sender::CloseBatch() {
@@ -144,8 +148,9 @@
 void Sender::SendOrQueue(RecordIndices records) {
   if (!clients_.busy() && queued_.empty()) return SendNow(std::move(records));
   const auto count = static_cast<std::int64_t>(records.size());
-  if (queued_messages_ + count > scenario_.max_queued_messages)
+  if (queued_messages_ + count > scenario_.max_queued_messages) {
     return;  // their records show that they were not sent
+  }
   queued_messages_ += count;
   queued_.push_back(std::move(records));
   SendQueued();
--- a/src/loadtest/load/trace.cpp
+++ b/src/loadtest/load/trace.cpp
@@ -71,16 +71,18 @@
   const auto json = nlohmann::json::parse(line);
   const auto class_name = json.at("class").get<std::string>();
   const auto found = std::find(classes_.begin(), classes_.end(), class_name);
-  if (found == classes_.end())
+  if (found == classes_.end()) {
     throw std::runtime_error("class '" + class_name + "' is none of the scenario's");
+  }
   PlannedMessage message;
   message.at_us = json.at("at_us");
   message.message_class = static_cast<std::int32_t>(found - classes_.begin());
   message.destination = json.at("destination");
   message.body_bytes = std::clamp(json.value("bytes", 200), 1, 65536);
   message.client = json.value("caller", 0);
-  if (message.at_us < last_us_)
+  if (message.at_us < last_us_) {
     throw std::runtime_error("its time goes back; traces are sorted when they are imported");
+  }
   return message;
 }
 
--- a/src/loadtest/load/wire.cpp
+++ b/src/loadtest/load/wire.cpp
@@ -29,8 +29,9 @@
       "POST /{0} HTTP/1.1\r\nHost: lab\r\nX-Request-Id: {1}\r\nX-Class: {0}\r\nX-Deadline: {2:.0f}m\r\n"
       "X-Envelope: dest={3}\r\nContent-Length: {4}\r\n",
       submission.message_class->name, id, submission.remaining_ms, message.destination, message.body_bytes);
-  if (submission.message_class->idempotency == Repeat::kKeyed)
+  if (submission.message_class->idempotency == Repeat::kKeyed) {
     text += "Idempotency-Key: " + IdempotencyKey(run, message) + "\r\n";
+  }
   if (submission.number > 0) text += submission.after_no_answer ? "X-Retry: again\r\n" : "X-Retry: 1\r\n";
   text += "\r\n";
   text += Body(message);
@@ -47,8 +48,9 @@
                           {"deadlinems", static_cast<std::int64_t>(submission.remaining_ms)},
                           {"datacontenttype", "text/plain"},
                           {"data", Body(*submission.message)}};
-  if (submission.message_class->idempotency == Repeat::kKeyed)
+  if (submission.message_class->idempotency == Repeat::kKeyed) {
     event["idempotencykey"] = IdempotencyKey(run, *submission.message);
+  }
   return event;
 }
 
@@ -60,8 +62,9 @@
       "Content-Length: {}\r\n",
       id, SourceUri(*submission.message), submission.message_class->name, submission.message->destination,
       submission.remaining_ms, submission.message->body_bytes);
-  if (submission.message_class->idempotency == Repeat::kKeyed)
+  if (submission.message_class->idempotency == Repeat::kKeyed) {
     text += "ce-idempotencykey: " + IdempotencyKey(run, *submission.message) + "\r\n";
+  }
   text += "\r\n";
   text += Body(*submission.message);
   return text;
@@ -85,8 +88,9 @@
   std::string body;
   if (is_batched) {
     nlohmann::json batch = nlohmann::json::array();
-    for (const Submission& submission : submissions)
+    for (const Submission& submission : submissions) {
       batch.push_back(EventJson(run, IdOf(scenario, run, submission), submission));
+    }
     body = batch.dump();
   } else {
     body = EventJson(run, id, first).dump();
--- a/src/loadtest/report/histogram.cpp
+++ b/src/loadtest/report/histogram.cpp
@@ -84,8 +84,9 @@
   for (const auto& bin : json.at("bins")) {
     const int index = bin.at(0).get<int>();
     const auto count = bin.at(1).get<std::int64_t>();
-    if (index < -1 || index > kBins || count < 0)
+    if (index < -1 || index > kBins || count < 0) {
       throw std::runtime_error("a histogram's bin is out of range");
+    }
     histogram.counts_.at(index) = static_cast<std::uint64_t>(count);
     histogram.count_ += count;
   }
--- a/src/loadtest/report/report.cpp
+++ b/src/loadtest/report/report.cpp
@@ -77,8 +77,9 @@
   std::ostringstream text;
   PrintResult(result, text);
   html += "<pre>" + EscapeHtml(text.str()) + "</pre>";
-  for (const Plot& plot : DrawPlots(result, folder, fmt::format("run{}-", number)))
+  for (const Plot& plot : DrawPlots(result, folder, fmt::format("run{}-", number))) {
     html += PlotSection(plot, folder);
+  }
   return html;
 }
 
--- a/src/loadtest/report/result_file.cpp
+++ b/src/loadtest/report/result_file.cpp
@@ -110,13 +110,15 @@
   json["series_columns"] = kBucketColumns;
   json["series"] = Json::array();
   for (const TimeBucket& bucket : summary.buckets) json["series"].push_back(BucketToJson(bucket));
-  for (const NamedHistogram& named : kHistograms)
+  for (const NamedHistogram& named : kHistograms) {
     json["latency"][named.name] = HistogramToJson(summary.*named.histogram);
+  }
   json["classes"] = Json::object();
   for (const auto& [name, outcomes] : summary.classes) json["classes"][name] = OutcomesToJson(outcomes);
   json["destinations"] = Json::object();
-  for (const auto& [number, count] : summary.destinations)
+  for (const auto& [number, count] : summary.destinations) {
     json["destinations"][std::to_string(number)] = count;
+  }
   json["findings"] = Json::array();
   for (const Finding& violation : summary.violations) {
     json["findings"].push_back(
@@ -134,16 +136,21 @@
   summary.abandoned_observations = json.at("given_up");
   summary.violation_count = json.at("findings_count");
   for (const Json& bucket : json.at("series")) summary.buckets.push_back(BucketFromJson(bucket));
-  for (const NamedHistogram& named : kHistograms)
+  for (const NamedHistogram& named : kHistograms) {
     summary.*named.histogram = LatencyHistogram::FromJson(json.at("latency").at(named.name));
-  for (const auto& [name, outcomes] : json.at("classes").items())
+  }
+  for (const auto& [name, outcomes] : json.at("classes").items()) {
     summary.classes[name] = OutcomesFromJson(outcomes);
-  for (const auto& [number, count] : json.at("destinations").items())
+  }
+  for (const auto& [number, count] : json.at("destinations").items()) {
     summary.destinations[std::stoi(number)] = count;
-  for (const Json& violation : json.at("findings"))
+  }
+  for (const Json& violation : json.at("findings")) {
     summary.violations.push_back({violation.at("rule"), violation.at("id"), violation.at("detail")});
-  for (const Json& fault : json.at("faults"))
+  }
+  for (const Json& fault : json.at("faults")) {
     summary.fault_impacts.push_back(FaultImpactFromJson(fault.at("met")));
+  }
   return summary;
 }
 
--- a/src/loadtest/report/result_table.cpp
+++ b/src/loadtest/report/result_table.cpp
@@ -88,10 +88,12 @@
     out << summary.abandoned_observations
         << " deliveries or ends came under hand-ins that clients had given up\n";
   }
-  for (const Finding& violation : summary.violations)
+  for (const Finding& violation : summary.violations) {
     out << "BROKEN RULE: " << violation.rule << ": " << violation.id << ": " << violation.detail << "\n";
-  if (summary.violation_count > static_cast<std::int64_t>(summary.violations.size()))
+  }
+  if (summary.violation_count > static_cast<std::int64_t>(summary.violations.size())) {
     out << "... " << summary.violation_count << " in all\n";
+  }
   for (const std::string& reason : result.invalid_reasons) out << "NOT VALID: " << reason << "\n";
 }
 
--- a/src/loadtest/report/run_summary.cpp
+++ b/src/loadtest/report/run_summary.cpp
@@ -44,8 +44,9 @@
                        std::size_t messages, std::uint32_t run) {
     observed_outcomes_.resize(messages);
     accepted_submissions_.assign(messages, -1);
-    for (const MessageRecord& record : records)
+    for (const MessageRecord& record : records) {
       accepted_submissions_[static_cast<std::size_t>(record.planned.number)] = record.accepted_submission;
+    }
     for (const Observation& observation : observations) {
       const auto id = ParseSubmissionId(observation.id);
       if (!id || id->run != run) {
@@ -105,8 +106,9 @@
  private:
   void AddViolation(const std::string& rule, const std::string& id, const std::string& detail) {
     ++summary_.violation_count;
-    if (summary_.violations.size() < kMaxRecordedViolations)
+    if (summary_.violations.size() < kMaxRecordedViolations) {
       summary_.violations.push_back({rule, id, detail});
+    }
   }
 
   void AddObservation(const SubmissionId& id, const Observation& observation) {
@@ -159,8 +161,9 @@
     const ObservedOutcome& observed = observed_outcomes_[static_cast<std::size_t>(record.planned.number)];
     const MessageClass& message_class = ClassOf(record);
     const std::string id = std::to_string(record.planned.number);
-    if (observed.delivered_us != kNever && observed.notices > 0)
+    if (observed.delivered_us != kNever && observed.notices > 0) {
       AddViolation("two ends", id, "delivered, and told as undelivered too");
+    }
     if (observed.delivered_us != kNever) {
       const auto objective_us = static_cast<std::int64_t>(message_class.latency_objective_ms * 1000);
       const bool is_within_objective = observed.delivered_us - record.intended_us <= objective_us;
@@ -198,8 +201,9 @@
     const ObservedOutcome& observed = observed_outcomes_[static_cast<std::size_t>(record.planned.number)];
     if (observed.delivered_us != kNever) summary_.delivered.Add(since_intended(observed.delivered_us));
     const std::int64_t notified_us = std::max(observed.undeliverable_us, observed.deferred_us);
-    if (observed.delivered_us == kNever && notified_us != kNever)
+    if (observed.delivered_us == kNever && notified_us != kNever) {
       summary_.undelivered.Add(since_intended(notified_us));
+    }
   }
 
   static bool IsDueDuring(const MessageRecord& record, const FaultSpan& fault) {
@@ -215,8 +219,9 @@
     const bool has_response = record.responded_us != kNever && record.first_status != 0;
     const std::int64_t waited_us = record.responded_us - record.intended_us;
     impact.waited_long += AsCount(!has_response || waited_us > kLongWaitUs);
-    if (record.responded_us != kNever)
+    if (record.responded_us != kNever) {
       impact.max_response_us = std::max(impact.max_response_us, static_cast<double>(waited_us));
+    }
   }
 
   static void AddToBucket(TimeBucket& bucket, const MessageRecord& record, FinalOutcome outcome) {
--- a/src/loadtest/stub/agent.cpp
+++ b/src/loadtest/stub/agent.cpp
@@ -37,8 +37,9 @@
 
 std::string Agent::ListJson() const {
   Json list = {{"rev", revision_}, {"all", true}, {"targets", Json::array()}};
-  for (const auto& [uid, endpoint] : how.stale ? initial_endpoints_ : endpoints_)
+  for (const auto& [uid, endpoint] : how.stale ? initial_endpoints_ : endpoints_) {
     list["targets"].push_back(EndpointToJson(endpoint));
+  }
   return list.dump();
 }
 
--- a/src/loadtest/stub/checker.cpp
+++ b/src/loadtest/stub/checker.cpp
@@ -74,8 +74,9 @@
         "repeat window over", call.id,
         fmt::format("called again {:.0f} ms after it may have run", Milliseconds(now_us - *executed_us)));
   }
-  if (message.delivered && call.idempotency == Repeat::kNever)
+  if (message.delivered && call.idempotency == Repeat::kNever) {
     AddViolation("delivered again", call.id, "called again after it was answered as delivered");
+  }
 }
 
 void Checker::OnCallEnded(std::int64_t now_us, std::int64_t call_number, CallOutcome outcome,
@@ -88,8 +89,9 @@
   MessageState& message = messages_[ended.call.id];
   --message.in_flight;
   if (outcome == CallOutcome::kDelivered) message.delivered = true;
-  if (outcome == CallOutcome::kMayHaveExecuted && !message.may_have_executed_us)
+  if (outcome == CallOutcome::kMayHaveExecuted && !message.may_have_executed_us) {
     message.may_have_executed_us = ended.started_us;
+  }
   if (wait_us > 0) {
     std::vector<Wait>& waits = waits_[ended.call.destination];
     std::erase_if(waits, [&](const Wait& wait) { return wait.until_us <= now_us; });
@@ -100,8 +102,9 @@
 void Checker::OnEffect(const std::string& id, std::optional<Repeat> idempotency) {
   ++effect_count_;
   const int effects = ++messages_[id].effects;
-  if (effects > 1 && idempotency && *idempotency != Repeat::kFree)
+  if (effects > 1 && idempotency && *idempotency != Repeat::kFree) {
     AddViolation("took effect twice", id, fmt::format("took effect {} times", effects));
+  }
 }
 
 void Checker::OnDrainingAnnounced(std::int64_t now_us, const std::string& endpoint) {
--- a/src/loadtest/stub/listener.cpp
+++ b/src/loadtest/stub/listener.cpp
@@ -181,8 +181,9 @@
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(at_.port);
-  if (::inet_pton(AF_INET, at_.host.c_str(), &address.sin_addr) != 1)
+  if (::inet_pton(AF_INET, at_.host.c_str(), &address.sin_addr) != 1) {
     throw std::runtime_error("no address: " + at_.host);
+  }
   listener_.reset(evconnlistener_new_bind(
       loop_.base(), OnAccepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
       SOMAXCONN, reinterpret_cast<const sockaddr*>(&address), sizeof address));
--- a/src/loadtest/stub/partner.cpp
+++ b/src/loadtest/stub/partner.cpp
@@ -130,11 +130,13 @@
     tokens_updated_ms_ = now_ms;
     if (tokens_ < 1) return (1 - tokens_) / settings_.rate * 1000;
   }
-  while (!window_starts_ms_.empty() && window_starts_ms_.front() <= now_ms - settings_.window_ms)
+  while (!window_starts_ms_.empty() && window_starts_ms_.front() <= now_ms - settings_.window_ms) {
     window_starts_ms_.pop_front();
+  }
   if (settings_.max_calls_per_window > 0 &&
-      static_cast<int>(window_starts_ms_.size()) >= settings_.max_calls_per_window)
+      static_cast<int>(window_starts_ms_.size()) >= settings_.max_calls_per_window) {
     return window_starts_ms_.front() + settings_.window_ms - now_ms;
+  }
   if (settings_.rate > 0) tokens_ -= 1;
   if (settings_.max_calls_per_window > 0) window_starts_ms_.push_back(now_ms);
   return std::nullopt;
@@ -154,8 +156,9 @@
   ++active_calls_;
   double ms = settings_.service_ms.Draw(random_);
   if (pending->fault.fault == Fault::kSlow) ms = std::max(ms, 1.0) * pending->fault.times;
-  if (static_cast<double>(NowUs() - fault_schedule_.listening_since_us()) / 1000 < settings_.warm_up_ms)
+  if (static_cast<double>(NowUs() - fault_schedule_.listening_since_us()) / 1000 < settings_.warm_up_ms) {
     ms *= settings_.warm_up_slowdown;
+  }
   if (ms <= 0) return FinishWork(pending);
   RunAfter(ms, [this, pending] { FinishWork(pending); });
 }
--- a/src/loadtest/stub/registry.cpp
+++ b/src/loadtest/stub/registry.cpp
@@ -52,15 +52,17 @@
 
 std::string Registry::FullListJson() const {
   std::string apps;
-  for (const auto& [key, instance] : instances_)
+  for (const auto& [key, instance] : instances_) {
     apps += (apps.empty() ? "" : ",") + ApplicationJson(key.first, instance + "}");
+  }
   return ListJson(apps, instances_.size());
 }
 
 std::string Registry::DeltaJson() const {
   std::string apps;
-  for (const Change& change : changes_)
+  for (const Change& change : changes_) {
     apps += (apps.empty() ? "" : ",") + ApplicationJson(change.app, change.instance);
+  }
   return ListJson(apps, instances_.size());
 }
 
--- a/src/loadtest/stub/stub_server_settings.cpp
+++ b/src/loadtest/stub/stub_server_settings.cpp
@@ -76,8 +76,9 @@
     settings.agent_faults.late_ms = agent.value("late_ms", 0.0);
     settings.agent_faults.lost = agent.value("lost", false);
     settings.agent_faults.stale = agent.value("stale", false);
-    for (const Json& change : agent.value("changes", Json::array()))
+    for (const Json& change : agent.value("changes", Json::array())) {
       settings.state_changes.push_back({change.value("at_ms", 0.0), change.at("uid"), change.at("state")});
+    }
   }
   return settings;
 }
--- a/tests/loadtest/arrivals_test.cpp
+++ b/tests/loadtest/arrivals_test.cpp
@@ -19,8 +19,9 @@
 double ChiSquared(const Distribution& d, const std::vector<double>& sample) {
   constexpr int kBins = 50;
   std::vector<double> bins(kBins);
-  for (const double x : sample)
+  for (const double x : sample) {
     ++bins[std::min<std::size_t>(kBins - 1, static_cast<std::size_t>(d.Cdf(x) * kBins))];
+  }
   const double expected = static_cast<double>(sample.size()) / kBins;
   double statistic = 0;
   for (const double n : bins) statistic += (n - expected) * (n - expected) / expected;
@@ -230,8 +231,9 @@
   for (std::size_t i = 0; i < all.size();) {
     std::size_t j = i;  // those of one destination within the spread
     while (j < all.size() && all[j].at_us - all[i].at_us < 300'000 &&
-           all[j].destination == all[i].destination)
+           all[j].destination == all[i].destination) {
       ++j;
+    }
     if (j == all.size() || all[j].at_us - all[j - 1].at_us > 100'000) {
       const auto size = static_cast<double>(j - i);
       if (size >= 39 && size <= 141) ++bursts;
@@ -247,8 +249,9 @@
   assert(ParseSubmissionId("/lab/caller-3|" + ToText(id)) == id);
   for (const char* text :
        {"", "L", "Ldeadbeef-1-0-25", "Ldeadbeef-1-0-25-x", "Xdeadbeef-1-0-25-n", "Ldeadbee-1-0-25-n",
-        "Ldeadbeef--1-0-25-n", "Ldeadbeef-1-0-25-n ", "Ldeadbeef-99999999999999999999-0-25-n"})
+        "Ldeadbeef--1-0-25-n", "Ldeadbeef-1-0-25-n ", "Ldeadbeef-99999999999999999999-0-25-n"}) {
     assert(!ParseSubmissionId(text));
+  }
 }
 
 void ScenarioErrorsNameThePointer() {
--- a/tests/loadtest/load_test.cpp
+++ b/tests/loadtest/load_test.cpp
@@ -189,8 +189,9 @@
     loop.Run();
   }
   assert(stubs.checker.count() > 2 && stubs.checker.count() < 20);
-  for (const Finding& f : stubs.checker.findings())
+  for (const Finding& f : stubs.checker.findings()) {
     assert(f.rule == "took effect twice" && ParseSubmissionId(f.id));
+  }
 }
 
 void RateOfZeroOffersNothing() {
