--- a/src/app/client_servers.cpp
+++ b/src/app/client_servers.cpp
@@ -20,14 +20,16 @@
       DivideDescriptors(config_, node_file_.cloudevents.has_value(), has_platform_server);
   if (has_platform_server) {
     platform_server_ = std::make_unique<HttpServer>(
-        loop_, config_.listen, HttpServer::Limits{RequestValidator::kMaxBodyBytes, shares.platform_connections},
+        loop_, config_.listen,
+        HttpServer::Limits{RequestValidator::kMaxBodyBytes, shares.platform_connections},
         [this](const std::shared_ptr<Exchange>& exchange) { platform_frontend_.Handle(exchange); },
         received != nullptr ? std::move(received->platform_listener) : FileDescriptor());
   }
   if (node_file_.cloudevents) {
     cloudevents_server_ = std::make_unique<HttpServer>(
         loop_, node_file_.cloudevents->listen,
-        HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections, CloudEventsFrontend::kMaxHeadBytes},
+        HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections,
+                           CloudEventsFrontend::kMaxHeadBytes},
         [this](const std::shared_ptr<Exchange>& exchange) { cloudevents_frontend_.Handle(exchange); },
         received != nullptr ? std::move(received->cloudevents_listener) : FileDescriptor());
     log_.Info("cloudevents.ready",
--- a/src/app/client_servers.h
+++ b/src/app/client_servers.h
@@ -39,7 +39,9 @@
   std::uint16_t port() const { return platform_server_ ? platform_server_->port() : 0; }
   std::uint16_t cloudevents_port() const { return cloudevents_server_ ? cloudevents_server_->port() : 0; }
   // Of the platform's server alone, and of all.
-  std::size_t platform_connections() const { return platform_server_ ? platform_server_->connection_count() : 0; }
+  std::size_t platform_connections() const {
+    return platform_server_ ? platform_server_->connection_count() : 0;
+  }
   std::size_t connections() const;
 
   // Whether no answer is owed to a client or still to be written.
--- a/src/app/dead_letter_service.cpp
+++ b/src/app/dead_letter_service.cpp
@@ -54,7 +54,9 @@
 void DeadLetterService::Start(MessagePipeline& pipeline, bool journal_is_new) {
   manager_.Start(
       {.accept_redrive =
-           [&pipeline](Message message) { return pipeline.admission_controller.AcceptRedrive(std::move(message)); },
+           [&pipeline](Message message) {
+             return pipeline.admission_controller.AcceptRedrive(std::move(message));
+           },
        .has_usable_endpoint =
            [&pipeline](int destination) { return pipeline.router.HasUsableEndpoint(destination); },
        .on_dead_lettered =
--- a/src/app/dispatcher.cpp
+++ b/src/app/dispatcher.cpp
@@ -109,15 +109,17 @@
   }
   client_servers_.Start(received());
   if (node_file_.eureka) {  // a planner registers the port at which it listens by now
-    const Instance own_instance = node_file_.role == Role::kPlanner
-                                      ? MakePlannerInstance(config_.name, *node_file_.eureka, cloudevents_port())
-                                      : Instance();
+    const Instance own_instance =
+        node_file_.role == Role::kPlanner
+            ? MakePlannerInstance(config_.name, *node_file_.eureka, cloudevents_port())
+            : Instance();
     endpoint_list_source_ =
         FollowRegistry(loop_, log_, config_.site, *node_file_.eureka, own_instance, on_list_update);
   }
   if (predecessor_) client_servers_.AdoptClients(*received());
   if (config_.admin) {
-    admin_.Start(config_.admin->host, std::move(admin_listener_), DivideDescriptors(config_, false).admin_connections);
+    admin_.Start(config_.admin->host, std::move(admin_listener_),
+                 DivideDescriptors(config_, false).admin_connections);
   }
   if (CanHandOver(node_file_)) OfferHandover();
   readiness_.OnStarted();
@@ -193,7 +195,8 @@
   if (handed_over()) {
     return !endpoint_pool_.is_idle() || (predecessor_ && predecessor_->has_calls_in_flight());
   }
-  const bool is_notifying = !platform_notifications_.is_idle() || (result_events_ && !result_events_->is_idle());
+  const bool is_notifying =
+      !platform_notifications_.is_idle() || (result_events_ && !result_events_->is_idle());
   return is_notifying || messages_.pending_count() != 0;
 }
 
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -64,7 +64,8 @@
       [this](const std::shared_ptr<Exchange>& exchange) { OnPlatformRequest(exchange); });
   cloudevents_server_ = std::make_unique<HttpServer>(
       loop_, cloudevents_address_,
-      HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections, CloudEventsFrontend::kMaxHeadBytes},
+      HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections,
+                         CloudEventsFrontend::kMaxHeadBytes},
       [this](const std::shared_ptr<Exchange>& exchange) { OnCloudEventsRequest(exchange); });
   log_.Info(
       "ready",
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -46,11 +46,11 @@
 // How a process divides its descriptors and its memory. Clients get a third of the descriptors, so that
 // calls, the journal and discovery always find one free.
 struct DescriptorLimits {
-  std::size_t platform_connections = 0;       // connections of clients in the platform's protocol
-  std::size_t cloudevents_connections = 0;      // connections of clients that send CloudEvents
-  std::size_t cloudevents_body_bytes = 0;  // bytes of the body of one request with CloudEvents
-  std::size_t endpoint_connections = 0;       // connections to endpoints
-  std::size_t admin_connections = 0;       // connections to the admin server
+  std::size_t platform_connections = 0;     // connections of clients in the platform's protocol
+  std::size_t cloudevents_connections = 0;  // connections of clients that send CloudEvents
+  std::size_t cloudevents_body_bytes = 0;   // bytes of the body of one request with CloudEvents
+  std::size_t endpoint_connections = 0;     // connections to endpoints
+  std::size_t admin_connections = 0;        // connections to the admin server
 };
 // `events_on` and `plain_on` say which frontends this process has.
 DescriptorLimits DivideDescriptors(const Config& config, bool events_on, bool plain_on = true);
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -88,7 +88,7 @@
 
   FinalStatus final_status = FinalStatus::kPending;
   Duration retry_after{0};            // kRejected: when the client may submit it again
-  Time completed_at{0};                   // when the final status was set
+  Time completed_at{0};               // when the final status was set
   bool notification_pending = false;  // the client has not acknowledged the final status
   bool client_answered = true;        // the client has the response to its request
 
--- a/src/core/message_table.cpp
+++ b/src/core/message_table.cpp
@@ -104,6 +104,8 @@
   return true;
 }
 
-void MessageTable::Retain(const Message& message) { retained_.push_back({message.completed_at, message.number}); }
+void MessageTable::Retain(const Message& message) {
+  retained_.push_back({message.completed_at, message.number});
+}
 
 }  // namespace sagetally
--- a/src/dead_letter/operator_requests.h
+++ b/src/dead_letter/operator_requests.h
@@ -17,8 +17,8 @@
 
 inline constexpr int kControlVersion = 1;
 inline constexpr std::size_t kMaxRequestBytes = 512 * 1024;
-inline constexpr int kMaxPageSize = 1000;  // messages of one list
-inline constexpr int kMaxPageSizeWithBodies = 50;   // messages of one list with bodies
+inline constexpr int kMaxPageSize = 1000;          // messages of one list
+inline constexpr int kMaxPageSizeWithBodies = 50;  // messages of one list with bodies
 
 struct OperatorRequest {
   enum class Kind { kStatus, kList, kShow, kStats, kDryRun, kAct };
--- a/src/handover/handover_state.h
+++ b/src/handover/handover_state.h
@@ -33,7 +33,7 @@
 struct HandoverState {
   Timestamp now = {};
   std::vector<std::string> class_names = {};  // names of the message classes, by number
-  std::int64_t endpoint_list_revision = 0;              // of the endpoint list
+  std::int64_t endpoint_list_revision = 0;    // of the endpoint list
   std::vector<EndpointUpdate> endpoints = {};
   std::vector<CompletedAttempt> recent_attempts = {};  // oldest first
   std::vector<InFlightCall> in_flight_calls = {};
--- a/src/loadtest/report/run_summary.h
+++ b/src/loadtest/report/run_summary.h
@@ -95,7 +95,7 @@
   std::vector<TimeBucket> buckets;
   std::map<std::string, OutcomeCounts> classes;
   std::map<std::int32_t, std::int64_t> destinations;  // messages offered to each
-  std::vector<Violation> violations;                    // the first kMaxRecordedViolations
+  std::vector<Violation> violations;                  // the first kMaxRecordedViolations
   std::int64_t violation_count = 0;
   std::int64_t foreign_observations = 0;    // of messages that no sender of this run knows
   std::int64_t abandoned_observations = 0;  // of submissions that their client had given up
--- a/src/loadtest/stub/agent.h
+++ b/src/loadtest/stub/agent.h
@@ -63,12 +63,12 @@
   // Whether `line` is part of the notices received.
   bool HasNotice(const std::string& line) const { return notices.find(line) != std::string::npos; }
 
-  std::shared_ptr<Call> watch;     // the newest; null: none
+  std::shared_ptr<Call> watch;              // the newest; null: none
   std::vector<std::string> watch_requests;  // request targets of all watches
-  std::string notices;             // bodies received; empty unless `keep_notices`
+  std::string notices;                      // bodies received; empty unless `keep_notices`
   bool keep_notices = true;
-  std::deque<int> notice_statuses;      // statuses of the next responses to notices; then 204
-  std::int64_t malformed = 0;  // notices
+  std::deque<int> notice_statuses;  // statuses of the next responses to notices; then 204
+  std::int64_t malformed = 0;       // notices
 
  private:
   void OnRequest(const std::shared_ptr<Call>& call);
--- a/src/loadtest/stub/checker.h
+++ b/src/loadtest/stub/checker.h
@@ -35,7 +35,7 @@
   std::string endpoint;
   int destination = 0;                     // of the endpoint
   std::optional<int> message_destination;  // unknown: not checked
-  std::optional<Idempotency> idempotency;       // unknown: not checked
+  std::optional<Idempotency> idempotency;  // unknown: not checked
   std::string dispatcher;                  // whose limit of concurrent calls it counts for
 };
 
@@ -61,11 +61,13 @@
   // The dispatcher was restarted: it has forgotten all waits, and its calls have ended.
   void OnDispatcherRestarted(const std::string& dispatcher);
 
-  std::int64_t count() const { return count_; }                         // of violations
-  const std::vector<Violation>& violations() const { return violations_; }  // the first kMaxRecordedViolations
+  std::int64_t count() const { return count_; }  // of violations
+  const std::vector<Violation>& violations() const {
+    return violations_;
+  }  // the first kMaxRecordedViolations
   std::int64_t calls() const { return next_call_number_; }
   std::int64_t effects() const { return effect_count_; }
-  int max_in_flight() const { return max_in_flight_; }              // calls of one dispatcher at once
+  int max_in_flight() const { return max_in_flight_; }               // calls of one dispatcher at once
   std::size_t in_flight() const { return in_flight_calls_.size(); }  // calls now
 
  private:
--- a/src/loadtest/stub/listener_fault_schedule.cpp
+++ b/src/loadtest/stub/listener_fault_schedule.cpp
@@ -14,8 +14,9 @@
 
 }  // namespace
 
-ListenerFaultSchedule::ListenerFaultSchedule(EventLoop& loop, Listener& listener, const FaultTimeline& timeline,
-                                             std::string endpoint, int destination, std::int64_t started_us)
+ListenerFaultSchedule::ListenerFaultSchedule(EventLoop& loop, Listener& listener,
+                                             const FaultTimeline& timeline, std::string endpoint,
+                                             int destination, std::int64_t started_us)
     : listener_(listener),
       timeline_(timeline),
       endpoint_(std::move(endpoint)),
--- a/src/loadtest/stub/listener_fault_schedule.h
+++ b/src/loadtest/stub/listener_fault_schedule.h
@@ -14,8 +14,8 @@
  public:
   // The references outlive the schedule. `endpoint`, `destination`: by which the timeline addresses the
   // listener. `started_us`: time 0 of the timeline, on the monotonic clock.
-  ListenerFaultSchedule(EventLoop& loop, Listener& listener, const FaultTimeline& timeline, std::string endpoint,
-                        int destination, std::int64_t started_us);
+  ListenerFaultSchedule(EventLoop& loop, Listener& listener, const FaultTimeline& timeline,
+                        std::string endpoint, int destination, std::int64_t started_us);
 
   double NowMs() const;  // since the timeline's time 0
   // When the listener last began to listen, on the monotonic clock.
--- a/src/loadtest/stub/partner.h
+++ b/src/loadtest/stub/partner.h
@@ -33,8 +33,8 @@
   double window_ms = 1000;
   bool announces_waits = true;  // limits answer with 429 and X-Retry-In-Ms; else with 503
   std::size_t max_connections = 100'000;
-  double warm_up_ms = 0;          // after each start
-  double warm_up_slowdown = 4;    // by which work takes longer while warming up
+  double warm_up_ms = 0;             // after each start
+  double warm_up_slowdown = 4;       // by which work takes longer while warming up
   double key_retention_ms = 10'000;  // repeats of an idempotency key are answered and not executed again
 };
 
--- a/src/loadtest/stub/timeline.cpp
+++ b/src/loadtest/stub/timeline.cpp
@@ -56,7 +56,8 @@
   return list;
 }
 
-FaultSpan FaultTimeline::Draw(double now_ms, const std::string& endpoint, int destination, Random& random) const {
+FaultSpan FaultTimeline::Draw(double now_ms, const std::string& endpoint, int destination,
+                              Random& random) const {
   for (const FaultSpan& span : spans_) {
     if (span.AffectsListener() || !span.Covers(now_ms, endpoint, destination)) continue;
     if (span.share >= 1 || boost::random::uniform_01<>()(random) < span.share) return span;
--- a/src/loadtest/stub/timeline.h
+++ b/src/loadtest/stub/timeline.h
@@ -14,19 +14,19 @@
 namespace sagetally::loadtest {
 
 enum class Fault {
-  kNone,    // none
-  kSlow,    // takes `times` as long
-  kNoResponse,  // no response; every second call is executed
-  kLateExecution,    // no response; executed `ms` later all the same
+  kNone,                // none
+  kSlow,                // takes `times` as long
+  kNoResponse,          // no response; every second call is executed
+  kLateExecution,       // no response; executed `ms` later all the same
   kServiceUnavailable,  // 503
-  kTooManyRequests,    // 429 with a wait of `ms`
-  kError,   // 500; every second call is executed
-  kReset,   // the connection is reset; every second call is executed
-  kMalformedResponse,  // executed; the response is malformed
-  kTruncatedResponse,    // executed; the response is truncated
-  kDoubleExecution,   // executed twice: the partner's own fault
-  kPause,   // connections are neither accepted nor read until it is over
-  kConnectionRefused     // connections are refused, open ones are reset
+  kTooManyRequests,     // 429 with a wait of `ms`
+  kError,               // 500; every second call is executed
+  kReset,               // the connection is reset; every second call is executed
+  kMalformedResponse,   // executed; the response is malformed
+  kTruncatedResponse,   // executed; the response is truncated
+  kDoubleExecution,     // executed twice: the partner's own fault
+  kPause,               // connections are neither accepted nor read until it is over
+  kConnectionRefused    // connections are refused, open ones are reset
 };
 
 // The timeline's name of the fault, and back; none if it is unknown.
--- a/src/net/handover_channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -162,7 +162,7 @@
 }
 
 void HandoverChannel::StartReceiving(EventLoop& loop, std::function<void(Packet)> on_packet,
-                                 std::function<void()> on_ended) {
+                                     std::function<void()> on_ended) {
   on_packet_ = std::move(on_packet);
   on_ended_ = std::move(on_ended);
   read_event_ = StartReadEvent(loop, socket_.get(), OnSocketReadable, this);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -78,7 +78,8 @@
 HttpClient::~HttpClient() = default;
 
 void HttpClient::Send(const Address& address, evhttp_cmd_type method, const std::string& path,
-                      const HttpHeaders& headers, const std::string& body, Duration timeout, ResultCallback done) {
+                      const HttpHeaders& headers, const std::string& body, Duration timeout,
+                      ResultCallback done) {
   auto owned = std::make_unique<PendingCall>(*this, address, std::move(done));
   PendingCall* call = owned.get();
   evhttp_request* request = evhttp_request_new(PendingCall::OnResponse, call);
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -52,8 +52,8 @@
   assert(std::chrono::steady_clock::now() - started_at < 20 * 1s);
   std::size_t open = 0;
   for (const auto& client : crowd) open += client->closed ? 0 : 1;
-  assert(open <=
-         DivideDescriptors(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false).admin_connections);
+  assert(open <= DivideDescriptors(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false)
+                     .admin_connections);
   for (const char* noise : {"status\n", "\n", "STATUS\nSTATUS\n", "\xff\xff\n", "PAUSE \n"}) {
     assert(w.SendAdminLine(noise).starts_with("error "));
   }
@@ -118,7 +118,7 @@
   w.SendAdminLine("RESUME\n");
   const auto resumed = std::chrono::steady_clock::now();
   RunUntil(w.loop,
-        [&] { return std::chrono::steady_clock::now() - resumed > Readiness::kIdleCloseDelay + 200ms; });
+           [&] { return std::chrono::steady_clock::now() - resumed > Readiness::kIdleCloseDelay + 200ms; });
   assert(!keep_alive.closed);
 }
 
@@ -156,13 +156,15 @@
   assert(w.Metric("upstream_tries") == 4 && w.Metric("in_progress") == 0);
   w.endpoints[0]->default_status = 0;
   int rejected = 0;
-  for (int i = 0; i < 8; ++i) rejected += w.AwaitStatus(w.Post("pedido", "p" + std::to_string(i))) == 429 ? 1 : 0;
+  for (int i = 0; i < 8; ++i)
+    rejected += w.AwaitStatus(w.Post("pedido", "p" + std::to_string(i))) == 429 ? 1 : 0;
   assert(rejected > 0 && w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
   assert(w.Metric("in_progress") + w.Metric("dropped.pedido") == 8);
   const std::uint64_t written = w.Metric("upstream_tries");
   assert(written == w.CountCalls());
   w.Post("nothing", "x");  // malformed: counts for no class
-  assert(w.AwaitStatus(*w.client_requests.back()) == 400 && w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
+  assert(w.AwaitStatus(*w.client_requests.back()) == 400 &&
+         w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
 }
 
 }  // namespace
--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -82,7 +82,7 @@
     expected_ = ExpectedCounts();
     ++restarts;
     node_ = std::make_unique<PipelineNode>(disk_, clock_, config_, SmallJournal(),
-                                    [this](const Message& message) { OnNotified(message); });
+                                           [this](const Message& message) { OnNotified(message); });
     node_->pipeline.admission_controller.is_accepting = [this] { return !draining_; };
     node_->RunPending();
   }
@@ -118,12 +118,12 @@
     }
     const bool client_leaves = Draw(6) == 0;
     node_->pipeline.request_validator.Submit(std::move(requests),
-                                  [this, ids, client_leaves](const AdmissionResult& result) {
-                                    for (const std::string& id : ids) {
-                                      OnAdmission(messages_.at(id), result, client_leaves);
-                                    }
-                                    return !client_leaves;
-                                  });
+                                             [this, ids, client_leaves](const AdmissionResult& result) {
+                                               for (const std::string& id : ids) {
+                                                 OnAdmission(messages_.at(id), result, client_leaves);
+                                               }
+                                               return !client_leaves;
+                                             });
     node_->RunPending();
   }
   void OnAdmission(KnownMessage& known, const AdmissionResult& result, bool client_left) {
--- a/tests/app/clients_test.cpp
+++ b/tests/app/clients_test.cpp
@@ -128,8 +128,9 @@
   }
   RunUntil(w.loop, [&] { return slow.received.find(" 202 ") != std::string::npos || slow.closed; });
   assert(slow.received.find(" 202 ") != std::string::npos && w.dispatcher->client_connections() <= 128 / 3);
-  RunUntil(w.loop,
-        [&] { return w.CountCallsOf("slow") == 1 && w.CountCalls() == static_cast<std::size_t>(messages) + 1; });
+  RunUntil(w.loop, [&] {
+    return w.CountCallsOf("slow") == 1 && w.CountCalls() == static_cast<std::size_t>(messages) + 1;
+  });
 }
 
 // Thousands of connections at once, at half of each of the platform's limits: a message on a new connection
--- a/tests/app/cloudevents_test.cpp
+++ b/tests/app/cloudevents_test.cpp
@@ -159,8 +159,7 @@
   World w;
   std::string received;
   int request_count = 0;
-  w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0},
-                                        HttpServer::Limits{1 << 20, 200},
+  w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
                                         [&](const std::shared_ptr<Exchange>& e) {
                                           if (request_count++ == 0) return void(e->Respond(503));
                                           received += e->body();
@@ -186,8 +185,7 @@
   const auto play = [&](bool events_first) {
     World w(1, 4, 40);
     std::string results;
-    w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0},
-                                          HttpServer::Limits{1 << 20, 200},
+    w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
                                           [&](const std::shared_ptr<Exchange>& e) {
                                             results += e->body();
                                             e->Respond(200);
--- a/tests/app/endpoints_test.cpp
+++ b/tests/app/endpoints_test.cpp
@@ -164,7 +164,8 @@
   void Call(std::uint64_t number) { pool.StartCall({number, &request, "s", 5s}); }
   EventLoop loop;
   std::map<std::uint64_t, Outcome> outcomes;
-  EndpointPool pool{loop, {1s, 15s, 8, 8}, [this](const CallResult& r) { outcomes[r.message_number] = r.outcome; }};
+  EndpointPool pool{
+      loop, {1s, 15s, 8, 8}, [this](const CallResult& r) { outcomes[r.message_number] = r.outcome; }};
   RawEndpoint raw{loop};
   Request request;
 };
--- a/tests/app/fleet_test.cpp
+++ b/tests/app/fleet_test.cpp
@@ -63,13 +63,14 @@
   for (const char* name : classes) {
     for (auto& node : nodes) {
       const std::string id = std::string(name) + std::to_string(submitted++);
-      w.client_requests.push_back(std::make_unique<ClientRequest>(w.loop, node->port(), "/" + std::string(name),
-                                             Headers{{"X-Request-Id", id},
-                                                     {"X-Class", name},
-                                                     {"X-Deadline", "9000m"},
-                                                     {"X-Envelope", "dest=7"},
-                                                     {"Idempotency-Key", "k-" + id}},
-                                             "x"));
+      w.client_requests.push_back(std::make_unique<ClientRequest>(w.loop, node->port(),
+                                                                  "/" + std::string(name),
+                                                                  Headers{{"X-Request-Id", id},
+                                                                          {"X-Class", name},
+                                                                          {"X-Deadline", "9000m"},
+                                                                          {"X-Envelope", "dest=7"},
+                                                                          {"Idempotency-Key", "k-" + id}},
+                                                                  "x"));
       assert(w.AwaitStatus(*w.client_requests.back()) == 202);
     }
     // If idle connections kept their places for 15 s, eight of the twelve would never have one.
--- a/tests/app/http_test_clients.h
+++ b/tests/app/http_test_clients.h
@@ -36,7 +36,7 @@
 class ClientRequest {
  public:
   ClientRequest(EventLoop& loop, std::uint16_t port, const std::string& path, const Headers& request_headers,
-      const std::string& body, evhttp_cmd_type method = EVHTTP_REQ_POST)
+                const std::string& body, evhttp_cmd_type method = EVHTTP_REQ_POST)
       : connection_(evhttp_connection_base_new(loop.base(), nullptr, "127.0.0.1", port)) {
     evhttp_connection_set_retries(connection_.get(), 0);
     evhttp_request* request = evhttp_request_new(OnDone, this);
@@ -86,7 +86,9 @@
   }
   void Write(const std::string& text) { bufferevent_write(connection_.get(), text.data(), text.size()); }
   // Whether an error was answered or the connection was closed.
-  bool failed() const { return closed || (received.starts_with("HTTP/1.1 ") && (received[9] == '4' || received[9] == '5')); }
+  bool failed() const {
+    return closed || (received.starts_with("HTTP/1.1 ") && (received[9] == '4' || received[9] == '5'));
+  }
 
   std::string received;  // all bytes that came
   bool closed = false;
--- a/tests/app/node.h
+++ b/tests/app/node.h
@@ -78,19 +78,19 @@
   // A full snapshot of the endpoint list.
   void UpdateEndpointList(Time now, std::vector<EndpointRecord> entries) {
     Process(now, {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
-                                   .endpoints = std::move(entries)}});
+                                      .endpoints = std::move(entries)}});
   }
-  static MessageAccepted Accepted(std::string id, int message_class = kIdempotentClass, Duration time_left = 20s,
-                               std::string key = "", int destination = 1) {
+  static MessageAccepted Accepted(std::string id, int message_class = kIdempotentClass,
+                                  Duration time_left = 20s, std::string key = "", int destination = 1) {
     return {std::move(id), destination, message_class, time_left, std::move(key)};
   }
   void Accept(Time now, std::string id, int message_class = kIdempotentClass, Duration time_left = 20s,
-            std::string key = "", int destination = 1) {
+              std::string key = "", int destination = 1) {
     Process(now, {Accepted(std::move(id), message_class, time_left, std::move(key), destination)});
   }
   // The completion of the last attempt of a message.
   AttemptCompleted Completed(const std::string& id, Outcome outcome, Duration latency = 100ms,
-                         Duration retry_after = 0ms) const {
+                             Duration retry_after = 0ms) const {
     AttemptCompleted event;
     event.id = id;
     event.attempt = attempts_.at(id) - 1;
@@ -101,7 +101,7 @@
     return event;
   }
   void Complete(Time now, const std::string& id, Outcome outcome, Duration latency = 100ms,
-           Duration retry_after = 0ms) {
+                Duration retry_after = 0ms) {
     Process(now, {Completed(id, outcome, latency, retry_after)});
   }
 
--- a/tests/app/restart_test.cpp
+++ b/tests/app/restart_test.cpp
@@ -31,8 +31,9 @@
     }
     for (auto& endpoint : w.endpoints) endpoint->Release();
     w.Start();
-    RunUntil(w.loop,
-          [&] { return std::ranges::all_of(ids, [&](const auto& id) { return w.CountCallsOf(id) == 1; }); });
+    RunUntil(w.loop, [&] {
+      return std::ranges::all_of(ids, [&](const auto& id) { return w.CountCallsOf(id) == 1; });
+    });
     assert(w.agent.notices.empty());
     w.dispatcher->Shutdown();
     event_base_dispatch(w.loop.base());  // until no message is pending
@@ -58,7 +59,8 @@
     w.Kill();
     w.endpoints[0]->Release();
     const auto down = std::chrono::steady_clock::now();
-    RunUntil(w.loop, [&] { return std::chrono::steady_clock::now() > down + 210ms; });  // the window's own time
+    RunUntil(w.loop,
+             [&] { return std::chrono::steady_clock::now() > down + 210ms; });  // the window's own time
     w.Start();
     RunUntil(w.loop, [&] { return w.CountCallsOf("out") == 2 || w.agent.HasNotice("\"out\""); });
     assert(w.CountCallsOf("out") == (over ? 1 : 2) && w.agent.HasNotice("\"out\"") == over);
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -45,16 +45,18 @@
     RunUntil(w.loop, [&] { return forwarder->planners_up() == planners_up; });
   }
   ClientRequest& Plain(const std::string& id, int destination) {
-    asks.push_back(std::make_unique<ClientRequest>(w.loop, forwarder->port(), "/aviso",
-                                         Headers{{"X-Request-Id", id},
-                                                 {"X-Class", "aviso"},
-                                                 {"X-Deadline", "9000m"},
-                                                 {"X-Envelope", "dest=" + std::to_string(destination)}},
-                                         "x"));
+    asks.push_back(
+        std::make_unique<ClientRequest>(w.loop, forwarder->port(), "/aviso",
+                                        Headers{{"X-Request-Id", id},
+                                                {"X-Class", "aviso"},
+                                                {"X-Deadline", "9000m"},
+                                                {"X-Envelope", "dest=" + std::to_string(destination)}},
+                                        "x"));
     return *asks.back();
   }
   ClientRequest& Events(const Headers& headers, const std::string& body) {
-    asks.push_back(std::make_unique<ClientRequest>(w.loop, forwarder->cloudevents_port(), "/", headers, body));
+    asks.push_back(
+        std::make_unique<ClientRequest>(w.loop, forwarder->cloudevents_port(), "/", headers, body));
     return *asks.back();
   }
 
@@ -136,14 +138,15 @@
 void ForwarderAndPlannersDeliverToPartners() {
   ForwarderAndPlanners nodes(2);
   for (int d = 0; d < 10; ++d) assert(nodes.w.AwaitStatus(nodes.Plain("p" + std::to_string(d), d)) == 202);
-  assert(nodes.w.AwaitStatus(nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) ==
+  assert(nodes.w.AwaitStatus(
+             nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) == 202);
+  assert(nodes.w.AwaitStatus(nodes.Events(kBatch, "[" + Member("b1", 3) + "," + Member("b2", 3) + "]")) ==
          202);
-  assert(nodes.w.AwaitStatus(nodes.Events(kBatch, "[" + Member("b1", 3) + "," + Member("b2", 3) + "]")) == 202);
   RunUntil(nodes.w.loop, [&] { return nodes.w.CountCalls() == 13; });
   assert(nodes.w.CountCallsOf("/s|e") == 1 && nodes.w.CountCallsOf("/sagetally/plain|p0") == 1);
   // A duplicate: its planner knows it, and makes no second call.
-  assert(nodes.w.AwaitStatus(nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) ==
-         202);
+  assert(nodes.w.AwaitStatus(
+             nodes.Events({{"Content-Type", "application/cloudevents+json"}}, Member("e", 3))) == 202);
   std::string all;
   for (int d = 0; d < 10; ++d) all += (d == 0 ? "" : ",") + Member("x" + std::to_string(d), d);
   assert(nodes.w.AwaitStatus(nodes.Events(kBatch, "[" + all + "]")) ==
@@ -175,13 +178,13 @@
   assert(nodes.w.AwaitStatus(nodes.Plain("a", 1)) == 503);  // no planner is up
   std::vector<std::string> ids;
   std::vector<std::shared_ptr<Exchange>> unanswered;
-  auto planner = std::make_unique<HttpServer>(nodes.w.loop, Address{"127.0.0.1", 0},
-                                              HttpServer::Limits{1 << 20, 200},
-                                              [&](const std::shared_ptr<Exchange>& e) {
-                                                ids.push_back(e->Header("ce-id"));
-                                                unanswered.push_back(e);
-                                                if (ids.size() == 4) e->Respond(202);
-                                              });
+  auto planner =
+      std::make_unique<HttpServer>(nodes.w.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
+                                   [&](const std::shared_ptr<Exchange>& e) {
+                                     ids.push_back(e->Header("ce-id"));
+                                     unanswered.push_back(e);
+                                     if (ids.size() == 4) e->Respond(202);
+                                   });
   nodes.registry->Put("SAGETALLY", "silent", planner->port());
   RunUntil(nodes.w.loop, [&] { return nodes.forwarder->planners_up() == 1; });
   assert(nodes.w.AwaitStatus(nodes.Plain("b", 1)) ==
--- a/tests/app/rules_test.cpp
+++ b/tests/app/rules_test.cpp
@@ -39,7 +39,8 @@
   const std::string body(60000, 'b');
   int accepted = 0;
   while (w.AwaitStatus(w.Post("aviso", "m" + std::to_string(accepted), body)) == 202) assert(++accepted < 40);
-  assert(w.client_requests.back()->status_code == 429 && HeaderValue(w.client_requests.back()->headers, "Retry-After") == "1.000");
+  assert(w.client_requests.back()->status_code == 429 &&
+         HeaderValue(w.client_requests.back()->headers, "Retry-After") == "1.000");
   std::size_t bytes = 0;
   for (const auto& file : std::filesystem::recursive_directory_iterator(w.folder.path)) {
     if (file.is_regular_file()) bytes += file.file_size();
@@ -113,7 +114,8 @@
   assert(w.AwaitStatus(w.Post("aviso", "late")) == 202);
   RunUntil(w.loop, [&] { return w.CountCallsOf("late") == 1; });
   for (const auto& endpoint : w.endpoints) {
-    for (const ReceivedCall& call : endpoint->calls) assert(call.id != "late" || call.at >= answered_at + 390ms);
+    for (const ReceivedCall& call : endpoint->calls)
+      assert(call.id != "late" || call.at >= answered_at + 390ms);
   }
   assert(w.CountCalls() > before);
 }
@@ -149,7 +151,8 @@
   assert(w.AwaitStatus(w.Post("pagamento", "out")) == 202);
   assert(w.AwaitStatus(w.Post("aviso", "again")) == 202);
   RunUntil(w.loop, [&] { return w.CountCalls() == 2; });
-  for (int i = 0; i < 3; ++i) assert(w.AwaitStatus(w.Post("pagamento", "pending" + std::to_string(i))) == 202);
+  for (int i = 0; i < 3; ++i)
+    assert(w.AwaitStatus(w.Post("pagamento", "pending" + std::to_string(i))) == 202);
   w.Kill();
   w.endpoints[0]->pending_calls.clear();
   w.endpoints[0]->default_status = 200;
@@ -182,7 +185,8 @@
       "aviso", "a2");  // the platform's frontend doesn't know of the shutdown yet: accepted, and delivered
   assert(w.AwaitStatus(late) == 202 && HeaderValue(late.headers, "Connection") == "close");
   RunUntil(w.loop, [&] { return w.CountCallsOf("a2") == 1; });
-  RunUntil(w.loop, [&] { return std::chrono::steady_clock::now() > start + Readiness::kAcceptDuration + 50ms; });
+  RunUntil(w.loop,
+           [&] { return std::chrono::steady_clock::now() > start + Readiness::kAcceptDuration + 50ms; });
   slow.Write("X-Request-Id: a3\r\nX-Class: aviso\r\nX-Deadline: 900m\r\nX-Envelope: dest=7\r\n\r\n");
   RunUntil(w.loop, [&] { return slow.received.find("\r\n\r\n") != std::string::npos; });
   assert(slow.received.find(" 503 ") != std::string::npos);
@@ -218,7 +222,8 @@
   w.Start();
   RunUntil(w.loop, [&] { return w.agent.watch != nullptr; });
   w.agent.SendWatchLine("{\"rev\":42,\"all\":false,\"targets\":[]}");
-  assert(w.AwaitStatus(w.Post("pagamento", "out")) == 202 && w.AwaitStatus(w.Post("aviso", "pending")) == 202);
+  assert(w.AwaitStatus(w.Post("pagamento", "out")) == 202 &&
+         w.AwaitStatus(w.Post("aviso", "pending")) == 202);
   RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
   Config next = ParseWithoutVariables(w.ConfigText());
   next.peer_listen = "127.0.0.1:1";
@@ -247,9 +252,9 @@
   World w;
   w.Start();
   for (int i = 0; i < 5; ++i) {
-    ClientRequest gone(w.loop, w.dispatcher->port(), "/aviso",
-             {{"X-Request-Id", "g"}, {"X-Class", "aviso"}, {"X-Deadline", "400m"}, {"X-Envelope", "dest=7"}},
-             "x");
+    ClientRequest gone(
+        w.loop, w.dispatcher->port(), "/aviso",
+        {{"X-Request-Id", "g"}, {"X-Class", "aviso"}, {"X-Deadline", "400m"}, {"X-Envelope", "dest=7"}}, "x");
     event_base_loop(w.loop.base(), EVLOOP_ONCE);
   }
   assert(w.AwaitStatus(w.Post("aviso", "a1")) == 202);
--- a/tests/app/world.h
+++ b/tests/app/world.h
@@ -42,8 +42,8 @@
   // i.
   std::string Entry(std::size_t i, const std::string& state = "in_service") const {
     return R"({"uid":"s-)" + std::to_string(i) + R"(","endpoint":")" + At(ports[i]) +
-           R"(","az":"z","model":"k","pod_group":)" + std::to_string(7 + (one_destination_each ? i : 0)) + R"(,"state":")" +
-           state + R"(","capacity_hint":)" + std::to_string(rate) + R"(,"boot_ms":0})";
+           R"(","az":"z","model":"k","pod_group":)" + std::to_string(7 + (one_destination_each ? i : 0)) +
+           R"(,"state":")" + state + R"(","capacity_hint":)" + std::to_string(rate) + R"(,"boot_ms":0})";
   }
   // A full snapshot of the endpoint list.
   std::string List(const std::string& state = "in_service") const {
@@ -82,7 +82,7 @@
 
   // A message to destination 7 by the platform's protocol.
   ClientRequest& Post(const std::string& class_name, const std::string& id, const std::string& body = "x",
-            const std::string& deadline = "9000m") {
+                      const std::string& deadline = "9000m") {
     const Headers headers = {{"X-Request-Id", id},
                              {"X-Class", class_name},
                              {"X-Deadline", deadline},
@@ -95,7 +95,8 @@
     return *client_requests.back();
   }
   ClientRequest& PostEvent(const Headers& headers, const std::string& body) {
-    client_requests.push_back(std::make_unique<ClientRequest>(loop, dispatcher->cloudevents_port(), "/", headers, body));
+    client_requests.push_back(
+        std::make_unique<ClientRequest>(loop, dispatcher->cloudevents_port(), "/", headers, body));
     return *client_requests.back();
   }
   // Waits for the answer.
@@ -120,7 +121,7 @@
   EventLoop loop;
   Logger log;
   TemporaryFolder folder;
-  int max_concurrent_calls;      // calls in flight at once
+  int max_concurrent_calls;  // calls in flight at once
   int max_pending_messages;  // pending messages at once
   int sockets = 256;
   double disk_mb = 3;
@@ -132,7 +133,7 @@
   std::unique_ptr<Dispatcher> dispatcher;
   std::optional<DeadLetterSettings> dead_letters;
   JournalFileSettings journal;
-  bool admin = false;   // operators' requests are served
+  bool admin = false;                 // operators' requests are served
   bool one_destination_each = false;  // each endpoint is a destination of its own, from 7 on
   int repeat_window_ms = 10000;
   double rate = 50;  // calls a second that the list gives of the destination
--- a/tests/dead_letter/partner.h
+++ b/tests/dead_letter/partner.h
@@ -31,8 +31,9 @@
     partner_.choose_fault = [this](const loadtest::Call&) {
       loadtest::FaultSpan span;
       span.fault = menu[boost::random::uniform_int_distribution<std::size_t>(0, menu.size() - 1)(random_)];
-      span.ms =
-          span.fault == Fault::kTooManyRequests ? 20 : 300;  // timed out by the dispatcher, and run later all the same
+      span.ms = span.fault == Fault::kTooManyRequests
+                    ? 20
+                    : 300;  // timed out by the dispatcher, and run later all the same
       return span;
     };
     partner_.on_delivered = [this](const std::string& name) { ++delivered[name]; };
@@ -45,10 +46,23 @@
 
   // Mostly what a partner answers at once: long silences would be an outage, with one call a second.
   static std::vector<Fault> FaultsOfEveryKind() {
-    std::vector<Fault> faults = {Fault::kTooManyRequests,  Fault::kTooManyRequests,  Fault::kServiceUnavailable, Fault::kServiceUnavailable, Fault::kError,
-                                 Fault::kError, Fault::kError, Fault::kError,  Fault::kError,  Fault::kReset,
-                                 Fault::kReset, Fault::kReset, Fault::kMalformedResponse, Fault::kLateExecution,   Fault::kNoResponse,
-                                 Fault::kError, Fault::kReset};
+    std::vector<Fault> faults = {Fault::kTooManyRequests,
+                                 Fault::kTooManyRequests,
+                                 Fault::kServiceUnavailable,
+                                 Fault::kServiceUnavailable,
+                                 Fault::kError,
+                                 Fault::kError,
+                                 Fault::kError,
+                                 Fault::kError,
+                                 Fault::kError,
+                                 Fault::kReset,
+                                 Fault::kReset,
+                                 Fault::kReset,
+                                 Fault::kMalformedResponse,
+                                 Fault::kLateExecution,
+                                 Fault::kNoResponse,
+                                 Fault::kError,
+                                 Fault::kReset};
     faults.resize(30, Fault::kNone);
     return faults;
   }
@@ -128,7 +142,8 @@
         {"X-Deadline", std::to_string(deadline_ms) + "m"},
         {"X-Envelope", "dest=" + std::to_string(7 + posted % static_cast<int>(destinations))},
         {"Idempotency-Key", "key-" + name}};
-    requests_[name] = std::make_unique<ClientRequest>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
+    requests_[name] =
+        std::make_unique<ClientRequest>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
     next_.Schedule(every_);
   }
   EventLoop& loop_;
--- a/tests/dead_letter/simulated_node.h
+++ b/tests/dead_letter/simulated_node.h
@@ -207,7 +207,8 @@
 
   void StartManager() {
     manager.Start(
-        {.accept_redrive = [this](Message m) { return pipeline.admission_controller.AcceptRedrive(std::move(m)); },
+        {.accept_redrive =
+             [this](Message m) { return pipeline.admission_controller.AcceptRedrive(std::move(m)); },
          .has_usable_endpoint =
              [this](int destination) { return pipeline.router.HasUsableEndpoint(destination); },
          .on_dead_lettered =
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -162,11 +162,11 @@
     Upgrades w(program, 2);
     w.partner.menu = {Partner::Fault::kNoResponse};
     w.client_requests.push_back(std::make_unique<ClientRequest>(w.loop, w.serving->Port(), "/pagamento",
-                                           Headers{{"X-Request-Id", "p0"},
-                                                   {"X-Class", "pagamento"},
-                                                   {"X-Deadline", "20000m"},
-                                                   {"X-Envelope", "dest=7"}},
-                                           "p0"));
+                                                                Headers{{"X-Request-Id", "p0"},
+                                                                        {"X-Class", "pagamento"},
+                                                                        {"X-Deadline", "20000m"},
+                                                                        {"X-Envelope", "dest=7"}},
+                                                                "p0"));
     RunUntil(w.loop, [&] { return w.partner.calls["p0"] == 1; });
     w.partner.menu = {Partner::Fault::kNone};
     w.Upgrade(signal);
--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -94,8 +94,15 @@
   }
 
   void ConfigurePartner() {
-    partner_.menu = {Fault::kTooManyRequests,  Fault::kServiceUnavailable, Fault::kError, Fault::kError, Fault::kReset,
-                     Fault::kReset, Fault::kMalformedResponse, Fault::kLateExecution,  Fault::kNoResponse};
+    partner_.menu = {Fault::kTooManyRequests,
+                     Fault::kServiceUnavailable,
+                     Fault::kError,
+                     Fault::kError,
+                     Fault::kReset,
+                     Fault::kReset,
+                     Fault::kMalformedResponse,
+                     Fault::kLateExecution,
+                     Fault::kNoResponse};
     partner_.menu.resize(30, Fault::kNone);
   }
 
--- a/tests/loadtest/load_test.cpp
+++ b/tests/loadtest/load_test.cpp
@@ -105,8 +105,8 @@
   // The report names the fault, and the messages that were due during it.
   std::vector<FaultSpan> spans = settings.timeline.spans();
   spans[0].from_ms -= static_cast<double>(ran.records.start_us - stubs.started_us) / 1000;
-  const RunResult result =
-      MakeResult("pause", ScenarioFromJson(json), ran.records, stubs.Observations(), true, FaultTimeline(spans));
+  const RunResult result = MakeResult("pause", ScenarioFromJson(json), ran.records, stubs.Observations(),
+                                      true, FaultTimeline(spans));
   assert(result.summary.fault_impacts.size() == 1 &&
          std::abs(static_cast<double>(result.summary.fault_impacts[0].waited_long) / 1500 - 1) < 0.02);
   // One that was due just before the pause, and came just after it had begun, waits a little longer.
@@ -189,8 +189,9 @@
     loop.Run();
   }
   assert(stubs.checker.count() > 2 && stubs.checker.count() < 20);
-  for (const Violation& f : stubs.checker.violations())
+  for (const Violation& f : stubs.checker.violations()) {
     assert(f.rule == "took effect twice" && ParseSubmissionId(f.id));
+  }
 }
 
 void RateOfZeroOffersNothing() {
--- a/tests/loadtest/report_test.cpp
+++ b/tests/loadtest/report_test.cpp
@@ -94,7 +94,8 @@
 }
 
 Observation Saw(ObservationKind kind, std::int64_t number, std::int64_t after_us, int submission = 0) {
-  const SubmissionId id{7, number, submission, 3, number == 9 ? Idempotency::kNotIdempotent : Idempotency::kIdempotent};
+  const SubmissionId id{7, number, submission, 3,
+                        number == 9 ? Idempotency::kNotIdempotent : Idempotency::kIdempotent};
   return {kind, 1'000'000 + number * 1000 + after_us, ToText(id)};
 }
 
@@ -177,7 +178,8 @@
  public:
   CheckerHarness() : checker(TwoConcurrentCalls()) {}
 
-  std::int64_t Start(std::int64_t at_ms, const std::string& id, Idempotency idempotency = Idempotency::kIdempotent) {
+  std::int64_t Start(std::int64_t at_ms, const std::string& id,
+                     Idempotency idempotency = Idempotency::kIdempotent) {
     return StartAt(at_ms, id, 3, "e", idempotency);
   }
   std::int64_t StartAt(std::int64_t at_ms, const std::string& id, int destination,
--- a/tests/loadtest/stub_test.cpp
+++ b/tests/loadtest/stub_test.cpp
@@ -145,7 +145,8 @@
   };
   const Json slow = {{"service_ms", {{"kind", "constant"}, {"value", 30}}}};
   assert(run(Partner(slow), [](Fixture& b) { b.Post(Id(1)), b.Post(Id(1)), b.loop.Run(); }) == "second copy");
-  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Idempotency::kIdempotent, 8)); }) == "wrong destination");
+  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Idempotency::kIdempotent, 8)); }) ==
+         "wrong destination");
   assert(run(Partner(slow), [](Fixture& b) {
            for (int i = 0; i < 5; ++i) b.Post(Id(i));
            b.loop.Run();
@@ -167,11 +168,13 @@
            const std::string id = Id(1, Idempotency::kIdempotentWithKey);
            b.Call(id, "k"), b.Call(id, "k"), b.Wait(std::chrono::milliseconds(470)), b.Call(id, "k");
          }) == "repeat window over");
-  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent)); }) !=
-         "0");
+  assert(run(Partner(), [](Fixture& b) {
+           b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent));
+         }) != "0");
   // A clean run, with everything that is allowed.
   assert(run(Partner(slow, AlwaysFault("error")), [](Fixture& b) {
-           const std::string keyed = Id(1, Idempotency::kIdempotentWithKey), free = Id(2), never = Id(3, Idempotency::kNotIdempotent);
+           const std::string keyed = Id(1, Idempotency::kIdempotentWithKey), free = Id(2),
+                             never = Id(3, Idempotency::kNotIdempotent);
            b.Call(keyed, "k"), b.Call(keyed, "k"), b.Call(free), b.Call(free), b.Call(never);
            for (int i = 10; i < 14; ++i) b.Post(Id(i));
            b.loop.Run();
--- a/tests/net/discovery_races_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -84,8 +84,9 @@
       };
     }
   }
-  RunUntil(loop,
-        [&] { return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); }); });
+  RunUntil(loop, [&] {
+    return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); });
+  });
   for (const auto& fixture : all) {
     assert(fixture->updated_at - fixture->silent_at < 8s && fixture->requests.size() <= 4);
   }
@@ -111,8 +112,9 @@
       call.Chunk(List(42, "terminating") + "\n");
     };
   }
-  RunUntil(loop,
-        [&] { return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); }); });
+  RunUntil(loop, [&] {
+    return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); });
+  });
   assert(Clock::now() - back_at < 6s);
 }
 
--- a/tests/net/endpoint_pool_races_test.cpp
+++ b/tests/net/endpoint_pool_races_test.cpp
@@ -256,7 +256,7 @@
   RunUntil(world.loop, [&] { return (fd = FileDescriptor(endpoint.Accept())).get() >= 0; });
   std::string received;
   RunUntil(world.loop,
-        [&] { return (received += Receive(fd)).find("X-Request-Id: late\r\n") != received.npos; });
+           [&] { return (received += Receive(fd)).find("X-Request-Id: late\r\n") != received.npos; });
   const auto first = std::chrono::steady_clock::now();
   endpoint.StallConnects();
   ResetConnection(fd);  // it may have run: the retry waits for its connection
--- a/tests/net/http_server_races_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -198,8 +198,9 @@
   Client unread(world.dispatcher->port());
   assert(idle.Send(message("idle")) && half.Send(message("half").substr(0, 40)) &&
          unread.Send(message("first")));
-  RunUntil(world.loop,
-        [&] { return idle.ResponseCount() == 1 && unread.ResponseCount() == 1 && world.CountCalls() == 2; });
+  RunUntil(world.loop, [&] {
+    return idle.ResponseCount() == 1 && unread.ResponseCount() == 1 && world.CountCalls() == 2;
+  });
   assert(unread.Send(message("unread")));
   Client queued(world.dispatcher->port());
   assert(queued.Send(message("queued")));
@@ -218,7 +219,8 @@
   world.endpoints[0]->Release();
   world.Start();  // accepted messages are in the journal
   RunUntil(world.loop, [&] {
-    return world.CountCallsOf("half") > 0 && world.CountCallsOf("unread") > 0 && world.CountCallsOf("queued") > 0;
+    return world.CountCallsOf("half") > 0 && world.CountCallsOf("unread") > 0 &&
+           world.CountCallsOf("queued") > 0;
   });
 }
 
--- a/tests/pipeline/pipeline_node.h
+++ b/tests/pipeline/pipeline_node.h
@@ -21,7 +21,7 @@
 struct PipelineNode : EndpointClient, Notifier, Scheduler, JournalHost {
   // `on_notified` is called for each notification, and may be empty.
   PipelineNode(FaultInjectingFileSystem& files, TestClock& clock, const Config& config,
-        const JournalSettings& settings, std::function<void(const Message&)> on_notified = {})
+               const JournalSettings& settings, std::function<void(const Message&)> on_notified = {})
       : clock(clock),
         on_notified(std::move(on_notified)),
         journal(files, settings, messages, clock, log, *this),
