--- a/bench/dead_letter_bench.cpp
+++ b/bench/dead_letter_bench.cpp
@@ -106,20 +106,20 @@
 struct BenchWorld : World {
   BenchWorld() : World(1, 64, 2000) {
     ports.push_back(1);
-    spread = true;
+    one_destination_each = true;
     rate = 100'000;
     disk_mb = 100;
     sockets = 4096;
   }
   void EnableDeadLetters() {
-    kept.emplace();
-    kept->include_deferred = true;
-    kept->redrive_deferred = true;
-    kept->max_pending_bytes = 10'000'000;
-    kept->budget_bytes = 2'000'000'000;
-    kept->concurrency_fraction = 0.25;
-    kept->destination_rate = 100'000;
-    kept->max_age = std::chrono::hours(24 * 9000);
+    dead_letters.emplace();
+    dead_letters->include_deferred = true;
+    dead_letters->redrive_deferred = true;
+    dead_letters->max_pending_bytes = 10'000'000;
+    dead_letters->budget_bytes = 2'000'000'000;
+    dead_letters->concurrency_fraction = 0.25;
+    dead_letters->destination_rate = 100'000;
+    dead_letters->max_age = std::chrono::hours(24 * 9000);
   }
 };
 
@@ -139,11 +139,11 @@
   RunFor(w.loop, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
   load.Stop();
   load.times.Print(("take, kept " + mode).c_str(), seconds);
-  std::printf("  refused %d, called %zu", load.rejected, w.Calls());
+  std::printf("  refused %d, called %zu", load.rejected, w.CountCalls());
   if (w.dispatcher->dead_letters() != nullptr) {
-    dead_letter::DeadLetterManager& manager = w.dispatcher->dead_letters()->keeper();
-    std::printf(", kept %ld, owed %zu, lost %ld", manager.counters().kept, manager.pending_transfers(),
-                manager.counters().owed_dropped);
+    dead_letter::DeadLetterManager& manager = w.dispatcher->dead_letters()->manager();
+    std::printf(", kept %ld, owed %zu, lost %ld", manager.counters().stored, manager.pending_transfers(),
+                manager.counters().transfers_given_up);
   }
   std::printf("\n");
   sqlite3_close(lock);
@@ -169,7 +169,7 @@
 }
 
 void Million(std::int64_t count) {
-  const Folder folder;
+  const TemporaryFolder folder;
   dead_letter::Database::Settings settings;
   settings.path = folder.path + "/kept.db";
   settings.budget_bytes = 8'000'000'000;
@@ -226,19 +226,19 @@
     db.Store(all);
   }
   if (rate > 0) {
-    w.kept->rules_path = w.folder.path + "/rules";
-    std::ofstream(w.kept->rules_path)
+    w.dead_letters->rules_path = w.folder.path + "/rules";
+    std::ofstream(w.dead_letters->rules_path)
         << "rule all: when true then resend rate " << static_cast<int>(rate) << "/s window 9000d after 0s;";
   }
   w.Start();
   RunFor(w.loop, 500ms);
-  const auto before = w.dispatcher->dead_letters()->keeper().counters().delivered;
+  const auto before = w.dispatcher->dead_letters()->manager().counters().delivered;
   Load load(w, 400, 0);
   load.Start();
   RunFor(w.loop, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
   load.Stop();
   load.times.Print("live", seconds);
-  const auto delivered = w.dispatcher->dead_letters()->keeper().counters().delivered - before;
+  const auto delivered = w.dispatcher->dead_letters()->manager().counters().delivered - before;
   std::printf("  resent at %.0f/s asked: %.0f a second, live refused %d\n", rate,
               static_cast<double>(delivered) / seconds, load.rejected);
 }
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -78,7 +78,7 @@
   const std::string bytes(430, 'r');  // a state of the messages below
   const auto begun = Steady::now();
   for (std::uint64_t i = 0; i < count; ++i) {
-    WriteAll(*file, bytes, error);
+    WriteAll(*file, bytes);
     if (synced) file->Sync();
   }
   std::printf("raw write%s: %.0f records a second\n", synced ? " and fdatasync" : "",
--- a/src/app/handover_transfer.cpp
+++ b/src/app/handover_transfer.cpp
@@ -41,7 +41,7 @@
   state.endpoint_list_revision = revision;
   state.endpoints = pipeline.router.EndpointList();
   state.recent_attempts = pipeline.attempt_history.Recent();
-  for (const auto& [number, message] : pipeline.messages.messages()) {
+  for (const auto& [number, message] : pipeline.messages().messages()) {
     if (!message.is_in_flight) continue;
     state.in_flight_calls.push_back({number, message.in_flight_endpoint, message.in_flight_since,
                                      message.first_uncertain_attempt, message.first_uncertain_endpoint});
@@ -51,10 +51,10 @@
 
 std::set<std::uint64_t> RestoreHandoverState(const HandoverState& state, const SiteSettings& site,
                                              MessagePipeline& pipeline) {
-  std::set<std::uint64_t> in_flight = MarkInFlightCalls(state, pipeline.messages);
+  std::set<std::uint64_t> in_flight = MarkInFlightCalls(state, pipeline.messages());
   Router& router = pipeline.router;
   ReplayHandoverState(
-      state, site.classes, site.kinds.size(), pipeline.messages,
+      state, site.classes, site.kinds.size(), pipeline.messages(),
       [&router](Time at, const std::vector<Event>& events) { router.ReplayEvents(at, events); });
   router.FinishReplay();
   for (const CompletedAttempt& attempt : state.recent_attempts) pipeline.attempt_history.Add(attempt);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -48,7 +48,7 @@
   try {
     node.Reload(options.ReadConfiguration(requirements));
   } catch (const std::exception& error) {
-    log.Error("reload.refused", {{"why", error.what()}});
+    log.Error("reload.rejected", {{"why", error.what()}});
   }
 }
 
--- a/src/pipeline/message_pipeline.h
+++ b/src/pipeline/message_pipeline.h
@@ -50,6 +50,9 @@
   void RunPolicy();
   // Whether nothing waits for durable records.
   bool IsQuiescent() const;
+  // The messages that this pipeline works on; owned by whoever made the pipeline.
+  MessageTable& messages() { return messages_; }
+  const MessageTable& messages() const { return messages_; }
 
   AttemptHistory attempt_history;
   CompletionHandler completion_handler;
--- a/tests/app/process.sh
+++ b/tests/app/process.sh
@@ -49,7 +49,7 @@
 pid=$!
 until grep -q " ready " out; do sleep 0.02; done
 config nowhere
-reload_logs "error reload.refused why=.*listen"
+reload_logs "error reload.rejected why=.*listen"
 config 127.0.0.1:0
 reload_logs "reload.done discovery=127.0.0.1:1"
 kill -TERM $pid
--- a/tests/dead_letter/cli.sh
+++ b/tests/dead_letter/cli.sh
@@ -75,10 +75,10 @@
 # A rule file that can't be used changes nothing; the next one is taken over.
 cp bad.rules deploy/kept.rules
 kill -HUP $pid
-until grep -q "reload.refused why=.*line 1, column 25" log; do sleep 0.02; done
+until grep -q "reload.rejected why=.*line 1, column 25" log; do sleep 0.02; done
 echo 'rule all: when true then hold;' >deploy/kept.rules
 kill -HUP $pid
-until [ "$(grep -c "kept.rules " log)" = 2 ]; do sleep 0.02; done
+until [ "$(grep -c "dead_letter.rules_loaded " log)" = 2 ]; do sleep 0.02; done
 kill -TERM $pid
 wait $pid
 pid=
--- a/tests/dead_letter/crash_test.cpp
+++ b/tests/dead_letter/crash_test.cpp
@@ -11,7 +11,7 @@
 
 using StateCounts = std::array<int, dead_letter::kDeadLetterStateCount>;
 
-std::map<std::string, dead_letter::DeadLetter> StoredByRequestId(const Environment& environment) {
+std::map<std::string, dead_letter::DeadLetter> StoredByRequestId(const SimulatedWorld& environment) {
   std::map<std::string, dead_letter::DeadLetter> stored;
   OpenStore(environment)
       .ForEach(dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& dead_letter) {
@@ -22,7 +22,7 @@
 }
 
 // Each accepted message was delivered, or is stored and at rest.
-void CheckAccounts(Environment& environment, const std::set<std::string>& accepted, StateCounts& states) {
+void CheckAccounts(SimulatedWorld& environment, const std::set<std::string>& accepted, StateCounts& states) {
   const std::map<std::string, dead_letter::DeadLetter> stored = StoredByRequestId(environment);
   for (const std::string& name : accepted) {
     const auto found = stored.find(name);
@@ -55,7 +55,7 @@
 // Six messages fail, are stored and redriven. The process dies after `crash_at` steps, and again
 // `second_crash_after` steps later if that is not 0. Returns how many steps there were.
 int RunWithCrashes(int crash_at, int second_crash_after, StateCounts& states) {
-  Environment environment;
+  SimulatedWorld environment;
   const NodeConfig config(environment);
   auto node = std::make_unique<SimulatedNode>(environment, config);
   std::set<std::string> accepted;
@@ -112,7 +112,7 @@
 }
 
 void AWaitingDeadLetterIsNotRedrivenOnceItsClientResubmitsIt() {
-  Environment environment;
+  SimulatedWorld environment;
   NodeConfig config(environment);
   config.settings.initial_backoff = seconds(30);
   config.settings.max_backoff = seconds(30);
@@ -128,7 +128,7 @@
 }
 
 void AResubmissionIsRejectedWhileTheDeadLetterIsRedriven() {
-  Environment environment;
+  SimulatedWorld environment;
   const NodeConfig config(environment);
   SimulatedNode node(environment, config);
   assert(node.Submit("pagamento", "first", IngressProtocol::kCloudEvents));
@@ -145,7 +145,7 @@
 }
 
 void FailedRedrivesCountTheAttemptsOfOneMessage() {
-  Environment environment;
+  SimulatedWorld environment;
   const NodeConfig config(environment);
   auto node = std::make_unique<SimulatedNode>(environment, config);
   assert(node->Submit("aviso", "a"));
@@ -164,7 +164,7 @@
 
 // What fits goes on waiting; the rest is given up and counted, lowest priority weight first.
 void DeliveryGoesOnWhileTheStoreFails() {
-  Environment environment;
+  SimulatedWorld environment;
   NodeConfig config(environment);
   config.settings.max_pending_bytes = kMaxPendingBytes;
   auto node = std::make_unique<SimulatedNode>(environment, config);
@@ -186,7 +186,7 @@
 // It ends while the redrive waits for a slot, or for a destination that has no endpoint.
 void ADeduplicationWindowThatEndsWhileARedriveWaitsForbidsIt() {
   for (const bool removes_endpoints : {false, true}) {
-    Environment environment;
+    SimulatedWorld environment;
     const NodeConfig config(environment);
     auto node = std::make_unique<SimulatedNode>(environment, config);
     assert(node->Submit("pedido", "k"));
@@ -246,7 +246,7 @@
 
 // Switched off with a failed message that waits for the store and a redrive in flight, then on again.
 void SwitchingOffAndOnLosesAndRepeatsNothing() {
-  Environment environment;
+  SimulatedWorld environment;
   const NodeConfig config(environment);
   auto node = std::make_unique<SimulatedNode>(environment, config);
   assert(node->Submit("pagamento", "first"));
--- a/tests/dead_letter/simulated_node.h
+++ b/tests/dead_letter/simulated_node.h
@@ -23,8 +23,8 @@
 
 // What outlasts a crash: the folder, the clock, and the partner with all that took effect there. By message
 // name.
-struct Environment {
-  Folder folder;
+struct SimulatedWorld {
+  TemporaryFolder folder;
   ManualClock clock;
   std::map<std::string, int> effects;
   std::map<std::string, int> calls;
@@ -40,7 +40,7 @@
 
 // Short backoffs and no limit on redrives but the calls, so that the tests see many of them.
 struct NodeConfig {
-  explicit NodeConfig(const Environment& environment) {
+  explicit NodeConfig(const SimulatedWorld& environment) {
     World world(0, 4, 40);
     world.ports = {9};
     config = ParseConfig(world.ConfigText(), [](const char*) { return nullptr; });
@@ -60,7 +60,7 @@
 // the test has them answered.
 class SimulatedNode : public EndpointClient, public Notifier, public Scheduler, public IdleJournalHost {
  public:
-  SimulatedNode(Environment& environment, const NodeConfig& node, bool stores_dead_letters = true)
+  SimulatedNode(SimulatedWorld& environment, const NodeConfig& node, bool stores_dead_letters = true)
       : environment(environment),
         journal(files, JournalSettingsOf(node.config), messages, environment.clock, log, *this),
         jobs(DatabaseSettingsOf(node)),
@@ -171,7 +171,7 @@
     return is_accepted;
   }
 
-  Environment& environment;
+  SimulatedWorld& environment;
   Time policy_wakeup = Time::max();
   Time manager_wakeup = Time::max();
   Time journal_wakeup = Time::max();
@@ -230,13 +230,13 @@
 };
 
 // The store of a node that is not running.
-inline dead_letter::Database OpenStore(const Environment& environment) {
+inline dead_letter::Database OpenStore(const SimulatedWorld& environment) {
   dead_letter::Database::Settings settings;
   settings.path = environment.folder.path + "/kept/kept.db";
   return dead_letter::Database(settings);
 }
 
-inline std::int64_t CountStored(const Environment& environment, const std::string& filter) {
+inline std::int64_t CountStored(const SimulatedWorld& environment, const std::string& filter) {
   return OpenStore(environment).Count(dead_letter::ParseCondition(filter, {}), Time(0));
 }
 
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -117,9 +117,10 @@
 
 void UpgradesUnderLoadLoseNothing(const std::string& program, int upgrades, std::uint64_t seed) {
   Upgrades w(program, seed);
-  using enum Partner::Fault;
-  w.partner.menu = {kFull, kRefuse, kError, kReset, kSpoilt, kLate, kSilent};
-  w.partner.menu.resize(40, kWell);
+  using Fault = Partner::Fault;
+  w.partner.menu = {Fault::kTooManyRequests,   Fault::kServiceUnavailable, Fault::kError,     Fault::kReset,
+                    Fault::kMalformedResponse, Fault::kLateExecution,      Fault::kNoResponse};
+  w.partner.menu.resize(40, Fault::kNone);
   w.clients->Start(4ms);
   for (int i = 0; i < upgrades; ++i) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(300 + 37 * (i % 7));
