--- a/bench/loadtest_limits.sh
+++ b/bench/loadtest_limits.sh
@@ -7,7 +7,12 @@
 what=$2
 work=$(mktemp -d)
 pids=()
-trap 'for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done; wait 2>/dev/null; rm -rf "$work"' EXIT
+cleanup() {
+  for pid in "${pids[@]}"; do kill "$pid" 2>/dev/null || true; done
+  wait 2>/dev/null
+  rm -rf "$work"
+}
+trap cleanup EXIT
 cd "$work"
 loadtest=$build/sagetally-loadtest
 wait_for() { for _ in $(seq 500); do grep -q "$1" "$2" && return; sleep 0.02; done; cat "$2"; exit 1; }
@@ -20,8 +25,8 @@
   for cores in 0 0,1; do
     threads=$(( (${#cores} + 1) / 2 ))
     echo "generator on $threads core(s), stand-in front on one:"
-    taskset -c $cores "$loadtest" limit --targets 127.0.0.1:$port --connections 64 --threads $threads --from 2000 --to 200000 \
-      --probe-s ${PROBE:-3} --confirm-s ${CONFIRM:-20} --p99-ms 1000000 --lag-p99-ms 1 --answer_ms 0 --hand_ins_again 0 || true
+    taskset -c "$cores" "$loadtest" limit --targets "127.0.0.1:$port" --connections 64 --threads "$threads" --from 2000 --to 200000 \
+      --probe-s "${PROBE:-3}" --confirm-s "${CONFIRM:-20}" --p99-ms 1000000 --lag-p99-ms 1 --answer_ms 0 --hand_ins_again 0 || true
   done
   exit
 fi
@@ -55,7 +60,7 @@
 echo "{\"cloudevents\":{\"listen\":\"127.0.0.1:0\",\"sink\":\"127.0.0.1:$sink\"}}" >node.json
 taskset -c 0 "$build/sagetally" serve --config n0.json --node-file node.json >n0.log 2>&1 &
 node=$!
-pids+=($node)
+pids+=("$node")
 wait_for " ready name=" n0.log
 if [ "$front" = platform ]; then
   port=$(sed -n 's/.* ready name=n0 port=//p' n0.log)
@@ -65,14 +70,14 @@
   how=(--front events --mode "$front")
 fi
 if [ "$what" = profile ]; then
-  taskset -c 2,3 "$loadtest" load --targets 127.0.0.1:$port "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
+  taskset -c 2,3 "$loadtest" load --targets "127.0.0.1:$port" "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
     --destinations.count 3 --connections 128 --threads 2 --arrivals.rate "$5" --seconds 10 &
   pids+=($!)
-  perf record -o perf.data -g -p $node -- sleep 8 >/dev/null 2>&1
+  perf record -o perf.data -g -p "$node" -- sleep 8 >/dev/null 2>&1
   perf report -i perf.data --no-children --stdio 2>/dev/null | grep -v '^#' | grep '%' | head -40
   exit
 fi
 echo "dispatcher on one core, $front, bodies of $bytes bytes:"
-taskset -c 2,3 "$loadtest" limit --targets 127.0.0.1:$port "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
+taskset -c 2,3 "$loadtest" limit --targets "127.0.0.1:$port" "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
   --destinations.count 3 --connections 128 --threads 2 --from 250 --to 64000 --probe-s 4 --confirm-s "${5:-60}" \
   --p99-ms 10 --lag-p99-ms 3 || true
--- a/src/app/dead_letter_service.cpp
+++ b/src/app/dead_letter_service.cpp
@@ -86,7 +86,8 @@
 }
 
 void DeadLetterService::UseRules(LoadedRules rules) {
-  log_.Info("dead_letter.rules_loaded", {{"file", settings_.rules_path}, {"rules", rules.rules->rules.size()}});
+  log_.Info("dead_letter.rules_loaded",
+            {{"file", settings_.rules_path}, {"rules", rules.rules->rules.size()}});
   manager_.SetRules(std::move(rules.rules), rules.text);
 }
 
