--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -199,9 +199,10 @@
   shares.endpoint_connections = config.socket_limit - clients - kOther - shares.admin_connections;
   if (events_on) shares.cloudevents_connections = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
   shares.platform_connections = clients - shares.cloudevents_connections;
-  if (events_on)
+  if (events_on) {
     shares.cloudevents_body_bytes =
         std::min(kMaxBatchBytes, config.memory_limit_bytes / 4 / shares.cloudevents_connections);
+  }
   return shares;
 }
 
--- a/src/loadtest/demo/demo.cpp
+++ b/src/loadtest/demo/demo.cpp
@@ -46,9 +46,9 @@
 };
 
 std::string FindProgram(const DemoOptions& options) {
-  const std::string program = options.program.empty()
-                                  ? (fs::read_symlink("/proc/self/exe").parent_path() / "sagetally").string()
-                                  : options.program;
+  std::string program = options.program.empty()
+                            ? (fs::read_symlink("/proc/self/exe").parent_path() / "sagetally").string()
+                            : options.program;
   if (!fs::exists(program)) {
     throw std::runtime_error(program + ": no such program; build it, or name it with --program");
   }
@@ -72,7 +72,7 @@
   std::vector<std::string> names;
   for (int i = 0; i < count; ++i) {
     const std::string name = fmt::format("{}{}", role, i);
-    const std::string state = folder + "/" + name;
+    const std::string state = fmt::format("{}/{}", folder, name);
     nodes.Start(name, DemoPlatformConfigJson(name, stubs, state, false), DemoNodeFileJson(role, stubs));
     names.push_back(name);
   }
@@ -133,7 +133,7 @@
   const std::string name = options.two_levels ? "try, two levels" : "try, one dispatcher";
   while (true) {
     run.ended_us = NowUs();
-    const RunResult result = MakeResult(name, scenario, run, stubs.Observations(), true, timeline);
+    RunResult result = MakeResult(name, scenario, run, stubs.Observations(), true, timeline);
     const bool is_interrupted = options.stop && options.stop();
     const std::int64_t pending = result.summary.outcomes[static_cast<std::size_t>(FinalOutcome::kPending)];
     if (is_interrupted || pending == 0) return result;
--- a/src/loadtest/load/import_grammar.cpp
+++ b/src/loadtest/load/import_grammar.cpp
@@ -14,6 +14,8 @@
 namespace x3 = boost::spirit::x3;
 using Iterator = std::string_view::const_iterator;
 
+// Rules are named as the grammar reads, which is the manner of X3.
+// NOLINTBEGIN(readability-identifier-naming)
 x3::rule<struct QuotedFieldTag, std::string> const quoted_field =
     "a quoted field and a comma or the end of the line";
 const auto quoted_field_def = '"' > *((x3::char_ - '"') | ("\"\"" >> x3::attr('"'))) > '"';
@@ -76,7 +78,7 @@
   if (!date.ok() || calendar.hour > 23 || calendar.minute > 59 || !(calendar.second < 61)) {
     throw LineError(1, "a day and time that exist");
   }
-  const auto days = sys_days(date).time_since_epoch().count();
+  const auto days = sys_days{date}.time_since_epoch().count();
   return static_cast<double>(days) * 86400 + calendar.hour * 3600 + calendar.minute * 60 + calendar.second -
          calendar.zone_minutes * 60;
 }
@@ -124,4 +126,6 @@
   throw LineError(1, "a time: a number, ISO 8601 or day/Mon/year:hour:minute:second zone");
 }
 
+// NOLINTEND(readability-identifier-naming)
+
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -31,6 +31,7 @@
 
 std::vector<double> ClassWeights(const std::vector<MessageClass>& classes) {
   std::vector<double> weights;
+  weights.reserve(classes.size());
   for (const MessageClass& message_class : classes) weights.push_back(message_class.weight);
   return weights;
 }
@@ -147,8 +148,8 @@
   SubmissionId id;
   char idempotency_code = 0;
   const auto to = [](auto& out) { return [&out](auto& context) { out = x3::_attr(context); }; };
-  static const x3::int_parser<std::int64_t, 10, 1, 18> number;
-  static const x3::uint_parser<std::uint32_t, 16, 8, 8> run;
+  const x3::int_parser<std::int64_t, 10, 1, 18> number;
+  const x3::uint_parser<std::uint32_t, 16, 8, 8> run;
   const auto grammar = x3::lit('L') >> run[to(id.run)] >> '-' >> number[to(id.number)] >> '-' >>
                        x3::int_[to(id.submission)] >> '-' >> x3::int_[to(id.destination)] >> '-' >>
                        x3::char_("fkn")[to(idempotency_code)] >> x3::eoi;
--- a/src/loadtest/load/run.cpp
+++ b/src/loadtest/load/run.cpp
@@ -121,6 +121,7 @@
   }
   std::atomic<bool> stop = false;
   std::vector<std::unique_ptr<PlanFeed>> feeds;
+  feeds.reserve(static_cast<std::size_t>(scenario.threads));
   for (int i = 0; i < scenario.threads; ++i) feeds.push_back(std::make_unique<PlanFeed>());
   PlanDistributor distributor(scenario, feeds, options.record, stop);
   RunRecords run;
--- a/src/loadtest/stub/listener.cpp
+++ b/src/loadtest/stub/listener.cpp
@@ -101,11 +101,11 @@
     http::request<http::string_body> request = parser_->release();
     parser_.reset();
     auto call = std::make_shared<Call>();
-    call->method = std::string(request.method_string());
-    call->target = std::string(request.target());
+    call->method = std::string{request.method_string()};
+    call->target = std::string{request.target()};
     call->body = std::move(request.body());
     for (const auto& field : request) {
-      call->headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
+      call->headers.emplace_back(std::string{field.name_string()}, std::string{field.value()});
     }
     call->connection_ = this;
     call_ = call;
@@ -141,8 +141,8 @@
 bool Call::Answer(int code, const std::string& text, const Headers& more) {
   if (gone()) return false;
   const auto reason = http::obsolete_reason(static_cast<http::status>(code));
-  std::string head = fmt::format("HTTP/1.1 {} {}\r\n", code, reason.empty() ? "Other" : std::string(reason));
-  for (const auto& [key, value] : more) head += key + ": " + value + "\r\n";
+  std::string head = fmt::format("HTTP/1.1 {} {}\r\n", code, reason.empty() ? "Other" : std::string{reason});
+  for (const auto& [key, value] : more) head += fmt::format("{}: {}\r\n", key, value);
   if (code != kNoContent) head += fmt::format("Content-Length: {}\r\n", text.size());
   connection_->Write(head + "\r\n" + text);
   connection_->CompleteCall();
