--- a/tests/handover/state_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -1,7 +1,7 @@
 // What a process hands over, and what the dispatch policy of the next one learns from it. No I/O.
 #include <gtest/gtest.h>
 
-#include "../app/node.h"
+#include "../policy/policy_driver.h"
 #include "core/attempt_history.h"
 #include "core/policy_message_id.h"
 #include "handover/handover_state.h"
@@ -30,7 +30,7 @@
   state.class_names = {"safe", "keyed", "unsafe"};
   state.endpoint_list_revision = 41;
   EndpointUpdate endpoint;
-  endpoint.record = At("e1", 0, 1, 10);
+  endpoint.record = EndpointAt("e1", 0, 1, 10);
   endpoint.address = "127.0.0.1:1";
   state.endpoints = {endpoint};
   state.recent_attempts = {MakeAttempt(98s, 99s, Outcome::kRejected, 3s)};
@@ -139,14 +139,14 @@
 
 TEST(StateReplay, RetryAfterStatedBeforeTheHandoverIsRespected) {
   SuccessorPolicy policy(MakeState());
-  EXPECT_TRUE(policy.Process(100s, {Node::Accepted("m")}).empty());
+  EXPECT_TRUE(policy.Process(100s, {PolicyDriver::Accepted("m")}).empty());
   EXPECT_TRUE(policy.Process(101s + 900ms, {TimerFired{}}).empty());
   EXPECT_EQ(policy.Process(102s + 100ms, {TimerFired{}}), kOnlyM);
 }
 
 TEST(StateReplay, MessageIsSentAtOnceWithoutAttemptsBeforeTheHandover) {
   SuccessorPolicy policy(MakeStateWithoutAttempts());
-  EXPECT_EQ(policy.Process(100s, {Node::Accepted("m")}), kOnlyM);
+  EXPECT_EQ(policy.Process(100s, {PolicyDriver::Accepted("m")}), kOnlyM);
 }
 
 TEST(StateReplay, OutlierSeenBeforeTheHandoverIsAvoided) {
@@ -157,7 +157,7 @@
   }
   SuccessorPolicy policy(state);
   EXPECT_EQ(policy.AvoidedEndpointCount(), 1);
-  EXPECT_TRUE(policy.Process(100s, {Node::Accepted("m", kNotIdempotentClass)}).empty())
+  EXPECT_TRUE(policy.Process(100s, {PolicyDriver::Accepted("m", kNotIdempotentClass)}).empty())
       << "an outlier gets no messages that can't be retried";
 }
 
@@ -192,7 +192,7 @@
 
 TEST_F(InFlightReplay, CallsCountAgainstTheLimitUntilTheyCompleteAndFailedOnesAreRetried) {
   SuccessorPolicy policy(MakeStateWithoutAttempts(), messages);
-  EXPECT_TRUE(policy.Process(100s, {Node::Accepted("m")}).empty());
+  EXPECT_TRUE(policy.Process(100s, {PolicyDriver::Accepted("m")}).empty());
   EXPECT_EQ(policy.Process(100s + 1ms, {Completed(8)}), kOnlyM);
   for (std::uint64_t number = 2; number <= 7; ++number) policy.Process(100s + 1ms, {Completed(number)});
 
