--- a/src/app/admin_service.cpp
+++ b/src/app/admin_service.cpp
@@ -17,20 +17,20 @@
 
 void AdminService::Start(const std::string& host, FileDescriptor listener, std::size_t max_connections) {
   AdminHandlers handlers;
-  handlers.status = [this] { return Answer(readiness_.IsReady()); };
-  handlers.pause = [this] { return Answer(Pause()); };
-  handlers.resume = [this] { return Answer(Resume()); };
-  handlers.metrics = [this] { return MetricsPage(); };
+  handlers.status = [this] { return FormatStatusResponse(readiness_.IsReady()); };
+  handlers.pause = [this] { return FormatStatusResponse(Pause()); };
+  handlers.resume = [this] { return FormatStatusResponse(Resume()); };
+  handlers.metrics = [this] { return FormatMetricsResponse(); };
   server_ = std::make_unique<AdminServer>(loop_, std::move(listener), max_connections, std::move(handlers));
   log_.Info("admin.ready", {{"host", host}, {"port", server_->port()}});
 }
 
-std::string AdminService::Answer(bool success) const {
+std::string AdminService::FormatStatusResponse(bool success) const {
   const std::string status = readiness_.StatusWord(gauges_().in_progress, servers_.connections());
   return (success ? "done " : "error ") + status + "\n";
 }
 
-std::string AdminService::MetricsPage() const { return metrics_.FormatStatsd(gauges_()) + "end\n"; }
+std::string AdminService::FormatMetricsResponse() const { return metrics_.FormatStatsd(gauges_()) + "end\n"; }
 
 bool AdminService::Pause() {
   const bool was_closing = readiness_.IsClosingConnections();
--- a/src/app/admin_service.h
+++ b/src/app/admin_service.h
@@ -1,5 +1,6 @@
-// The operators' interface of a dispatcher: answers status, metrics, pause and resume, and drains the client
-// servers while the dispatcher is paused. All on the loop's thread.
+// Serves the operators' requests of a dispatcher (status, metrics, pause and resume) on its admin server, and
+// drains the client servers while the dispatcher is paused. Owned by the Dispatcher; used on the event loop's
+// thread only.
 #ifndef SAGETALLY_SRC_APP_ADMIN_SERVICE_H_
 #define SAGETALLY_SRC_APP_ADMIN_SERVICE_H_
 
@@ -20,23 +21,26 @@
 
 namespace sagetally {
 
+// The admin server of one dispatcher together with its request handlers.
 class AdminService {
  public:
-  // `gauges`: their present values. All references must outlive this object.
+  // `gauges` returns the current values of the gauges. All references must outlive this object.
   AdminService(EventLoop& loop, Logger& log, Readiness& readiness, ClientServers& servers,
                const Metrics& metrics, const Clock& clock, std::function<GaugeValues()> gauges);
 
-  // Accepts connections, `max_connections` at once, on a listening socket of `host`.
+  // Starts to accept connections on `listener`, a listening socket at the address `host`, at most
+  // `max_connections` at once.
   void Start(const std::string& host, FileDescriptor listener, std::size_t max_connections);
-  // Clients' idle connections are not closed any more because of a pause.
+  // Cancels the closing of clients' idle connections that a pause has scheduled.
   void CancelDrain() { close_idle_timer_.Stop(); }
 
+  // The port of the admin server; 0 before Start().
   std::uint16_t port() const { return server_ ? server_->port() : 0; }
 
  private:
-  std::string Answer(bool success) const;
-  std::string MetricsPage() const;
-  // False: the process shuts down, or has handed over.
+  std::string FormatStatusResponse(bool success) const;
+  std::string FormatMetricsResponse() const;
+  // Both return false if the process is shutting down or has handed over to its successor.
   bool Pause();
   bool Resume();
 
--- a/src/app/client_servers.cpp
+++ b/src/app/client_servers.cpp
@@ -17,12 +17,12 @@
 
 void ClientServers::Start(ReceivedHandover* received) {
   const bool has_platform_server = node_file_.role != Role::kPlanner;
-  const DescriptorLimits shares =
+  const DescriptorLimits limits =
       DivideDescriptors(config_, node_file_.cloudevents.has_value(), has_platform_server);
   if (has_platform_server) {
     platform_server_ = std::make_unique<HttpServer>(
         loop_, config_.listen,
-        HttpServer::Limits{RequestValidator::kMaxBodyBytes, shares.platform_connections},
+        HttpServer::Limits{RequestValidator::kMaxBodyBytes, limits.platform_connections},
         [this](const std::shared_ptr<Exchange>& exchange) {
           request_log_.OnRequest(*exchange);
           platform_frontend_.Handle(exchange);
@@ -33,7 +33,7 @@
   if (node_file_.cloudevents) {
     cloudevents_server_ = std::make_unique<HttpServer>(
         loop_, node_file_.cloudevents->listen,
-        HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections,
+        HttpServer::Limits{limits.cloudevents_body_bytes, limits.cloudevents_connections,
                            CloudEventsFrontend::kMaxHeadBytes},
         [this](const std::shared_ptr<Exchange>& exchange) {
           request_log_.OnRequest(*exchange);
@@ -107,7 +107,7 @@
   }
 }
 
-void ClientServers::ReleaseAll() {
+void ClientServers::ReleaseTransferred() {
   for (HttpServer* server : Servers()) server->ReleaseTransferred();
 }
 
--- a/src/app/client_servers.h
+++ b/src/app/client_servers.h
@@ -1,5 +1,6 @@
-// The HTTP servers on which clients submit messages, each with its frontend: the platform's protocol (absent
-// in a planner) and CloudEvents (if the operator's file has it). All on the loop's thread.
+// Owns the HTTP servers on which clients submit messages, each with its frontend. One server speaks the
+// platform's protocol; a planner does not have it. The other one accepts CloudEvents; it exists if the
+// operator's file configures it. Owned by the Dispatcher; used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_APP_CLIENT_SERVERS_H_
 #define SAGETALLY_SRC_APP_CLIENT_SERVERS_H_
 
@@ -24,44 +25,48 @@
 
 namespace sagetally {
 
+// The servers for clients of one dispatcher.
 class ClientServers {
  public:
   // All references must outlive this object.
   ClientServers(EventLoop& loop, Logger& log, const Config& config, const NodeFile& node_file,
                 RequestValidator& validator, const Readiness& readiness);
 
-  // Listens; uses the listeners of `received`, which may be null, if they are for the same addresses. Throws
-  // std::runtime_error if it can't listen.
+  // Starts to listen. Listeners that `received` holds are used if they are bound to the configured addresses;
+  // `received` may be null. Throws std::runtime_error if it can't listen.
   void Start(ReceivedHandover* received);
-  // Goes on with the client connections of another process.
+  // Continues to serve the client connections received from the predecessor. Those of a server that this
+  // process does not have are dropped.
   void AdoptClients(ReceivedHandover& received);
 
-  // Of the platform's server and of the one for CloudEvents; 0 if there is none.
+  // The ports of the platform's server and of the CloudEvents server; 0 if there is no such server.
   std::uint16_t port() const { return platform_server_ ? platform_server_->port() : 0; }
   std::uint16_t cloudevents_port() const { return cloudevents_server_ ? cloudevents_server_->port() : 0; }
-  // Of the platform's server alone, and of all.
+  // The number of open client connections, first of the platform's server alone, then of all servers.
   std::size_t platform_connections() const {
     return platform_server_ ? platform_server_->connection_count() : 0;
   }
   std::size_t connections() const;
 
-  // Whether no answer is owed to a client or still to be written.
+  // Returns whether every request that has been read has its response, and every response has been written.
   bool IsSettled() const;
-  // Whether every answer from now on ends its connection.
+  // Sets whether each response from now on is the last one on its connection.
   void SetClosing(bool closing);
-  // Every answer from now on ends its connection, and idle connections are closed.
+  // Closes idle connections, and makes each response from now on the last one on its connection.
   void CloseIdleConnections();
-  // As CloseIdleConnections, and also closes the connections on which no request has ever come.
+  // Does the same as CloseIdleConnections(), and also closes connections on which no byte of a request has
+  // arrived.
   void CloseUnusedConnections();
-  // Stops listening, and closes idle connections as CloseIdleConnections does.
+  // Stops listening, and does the same as CloseIdleConnections().
   void StopListening();
-  // `on_closed` is called after each connection that is closed.
+  // Sets a callback that runs after each connection that is closed.
   void SetOnClosed(const std::function<void()>& on_closed);
 
-  // Adds the listeners and clients that another process can go on with.
+  // Adds to `offer` the listeners and the client connections that another process can continue to serve.
   void AddToOffer(HandoverOffer& offer) const;
-  // They have been handed over: closes this process's own descriptors of them.
-  void ReleaseAll();
+  // Closes this process's descriptors of the listeners and clients that AddToOffer() has added. Called once
+  // the successor serves them.
+  void ReleaseTransferred();
 
  private:
   std::vector<HttpServer*> Servers() const;
--- a/src/app/dead_letter_control.cpp
+++ b/src/app/dead_letter_control.cpp
@@ -7,8 +7,8 @@
 namespace sagetally {
 namespace {
 
-// The answer to `request`, an error included. Throws StoreError: the thread that runs it handles the store's
-// faults.
+// Returns the line that answers `request`, which may report an error. A StoreError is passed on to the thread
+// that runs this function, because that thread handles errors of the store.
 std::string ExecuteOnStore(const dead_letter::OperatorRequest& request, dead_letter::Database& database,
                            const dead_letter::ReviewSettings* review, const Timestamp& now) {
   try {
@@ -67,7 +67,7 @@
   if (!runner.Run(job, on_done)) respond(dead_letter::ErrorLine("busy: ask again"));
 }
 
-// The names are of the protocol.
+// The keys are part of the control socket's protocol.
 nlohmann::json DeadLetterControl::Status() const {
   const dead_letter::DeadLetterManager::Counters& counters = manager_.counters();
   return {{"owed", manager_.pending_transfers()},
--- a/src/app/dead_letter_control.h
+++ b/src/app/dead_letter_control.h
@@ -1,6 +1,6 @@
-// Answers operators' requests about dead letters on the node's control socket. The requests run on the
-// store's threads; everything here happens on the loop's thread. The protocol is docs/kept.md, "The control
-// socket".
+// Answers operators' requests about dead letters on the node's control socket. The requests are executed on
+// the threads of the dead-letter store; this class itself is used on the event loop's thread only. Owned by
+// DeadLetterService. The protocol is described in docs/kept.md, "The control socket".
 #ifndef SAGETALLY_SRC_APP_DEAD_LETTER_CONTROL_H_
 #define SAGETALLY_SRC_APP_DEAD_LETTER_CONTROL_H_
 
@@ -18,17 +18,19 @@
 
 namespace sagetally {
 
+// The control socket of one node.
 class DeadLetterControl {
  public:
-  // `writer` gets the requests that change something, `reader` all others. All references must outlive this
-  // object. Throws std::runtime_error if it can't listen at `socket_path`.
+  // `writer` executes the requests that change the store, `reader` all others. `classes` are the names of the
+  // message classes by number. All references must outlive this object. Throws std::runtime_error if it can't
+  // listen at `socket_path`.
   DeadLetterControl(EventLoop& loop, const std::string& socket_path, const std::vector<std::string>& classes,
                     const Clock& clock, dead_letter::DeadLetterManager& manager,
                     dead_letter::JobRunner& writer, dead_letter::JobRunner& reader);
 
  private:
   void OnRequest(std::string_view line, const ControlServer::Responder& respond);
-  // Runs the request on a thread of the store, and responds from the loop.
+  // Executes the request on a thread of the store, and responds on the loop's thread.
   void Execute(dead_letter::OperatorRequest request, const ControlServer::Responder& respond);
   nlohmann::json Status() const;
 
--- a/src/app/dead_letter_service.cpp
+++ b/src/app/dead_letter_service.cpp
@@ -11,8 +11,8 @@
 
 constexpr mode_t kFolderMode = 0700;
 
-// A folder that can't be made shows when the store is opened.
-std::string MakeFolder(std::string folder) {
+// Creates the folder and returns its path. Errors are ignored here, because opening the store reports them.
+std::string CreateFolder(std::string folder) {
   ::mkdir(folder.c_str(), kFolderMode);
   return folder;
 }
@@ -34,7 +34,7 @@
       settings_(settings),
       classes_(config.site.classes),
       clock_(clock),
-      folder_(MakeFolder(dead_letter::DatabaseFolder(settings, config.state_folder))),
+      folder_(CreateFolder(dead_letter::DatabaseFolder(settings, config.state_folder))),
       socket_path_(dead_letter::SocketPath(config.state_folder)),
       result_wakeup_(loop,
                      [this] {
@@ -70,7 +70,7 @@
   try {
     control_ = std::make_unique<DeadLetterControl>(loop_, socket_path_, classes_, clock_, manager_, writer_,
                                                    reader_);
-  } catch (const std::exception& error) {  // delivery does not depend on it
+  } catch (const std::exception& error) {  // messages can be delivered without the control socket
     log_.Error("dead_letter.control_socket_failed", {{"why", error.what()}});
   }
 }
--- a/src/app/dead_letter_service.h
+++ b/src/app/dead_letter_service.h
@@ -1,5 +1,5 @@
-// Dead letters within a dispatcher: owns the manager, the store's two threads and the control socket. All on
-// the loop's thread.
+// Stores and redrives the dead letters of a dispatcher: owns the dead-letter manager, the two threads of the
+// store and the control socket. Owned by the Dispatcher; used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_APP_DEAD_LETTER_SERVICE_H_
 #define SAGETALLY_SRC_APP_DEAD_LETTER_SERVICE_H_
 
@@ -20,31 +20,36 @@
 
 namespace sagetally {
 
+// The dead letters of one dispatcher.
 class DeadLetterService {
  public:
-  // Redrive rules that were read from their file and are not yet in use.
+  // Redrive rules that have been read from their file and are not used yet, with the text of that file.
   struct LoadedRules {
     std::shared_ptr<const dead_letter::RuleSet> rules;
     std::string text;
   };
 
-  // Loads the redrive rules. Throws std::runtime_error naming the file and place at fault in them.
+  // Loads the redrive rules. `loop`, `log`, `messages` and `clock` must outlive this object. Throws
+  // std::runtime_error that names the file of the rules and the position of the error.
   DeadLetterService(EventLoop& loop, Logger& log, const Config& config, const DeadLetterSettings& settings,
                     MessageTable& messages, const Clock& clock);
   ~DeadLetterService();
 
-  // Takes over dead letters and redrives them by `pipeline`, which must outlive this object.
-  // `journal_is_new`: nothing was on record in the journal, so it may have been lost. A control socket that
-  // can't be opened is logged only.
+  // Starts to store dead letters and to redrive them through `pipeline`, which must outlive this object.
+  // `journal_is_new` says that the journal held no record at the start, so it may have been lost. Failure to
+  // open the control socket is only logged.
   void Start(MessagePipeline& pipeline, bool journal_is_new);
-  // No more redrives are begun.
+  // Starts no more redrives from now on. Dead letters are still stored.
   void Stop() { manager_.Stop(); }
 
-  // The rules as their file has them now. Throws as the constructor does.
+  // Reads the rules from their file, without using them. Throws what the constructor throws.
   LoadedRules LoadRules() const;
+  // Uses `rules` from now on.
   void UseRules(LoadedRules rules);
 
+  // The interface by which the pipeline passes messages on. Never null.
   DeadLetterSink* sink() { return &manager_; }
+  // The manager, which also counts what happens to dead letters.
   dead_letter::DeadLetterManager& manager() { return manager_; }
 
  private:
@@ -59,7 +64,8 @@
   const std::string socket_path_;
   WakeupDescriptor result_wakeup_;
   dead_letter::Worker writer_;
-  dead_letter::Worker reader_;  // on its own, so that operators' reading never delays a transfer to the store
+  // A thread of its own, so that operators' queries never delay the transfer of messages to the store.
+  dead_letter::Worker reader_;
   Timer work_timer_;
   dead_letter::DeadLetterManager manager_;
   std::unique_ptr<DeadLetterControl> control_;
--- a/src/app/dispatcher.cpp
+++ b/src/app/dispatcher.cpp
@@ -9,19 +9,21 @@
 namespace sagetally {
 namespace {
 
-// Connections to one endpoint above the calls that the policy allows at once.
+// How many connections to one endpoint may be open beyond the number of concurrent calls that the policy
+// allows.
 constexpr int kSpareConnectionsPerEndpoint = 2;
-// Of the dead letters: two connections to the store with its log and index, the control socket and its
-// clients.
+// The number of descriptors that dead letters need: two connections to the store, which also open its log and
+// index, the control socket and its clients.
 constexpr std::size_t kDeadLetterDescriptors = 20;
-// The policy ends all messages this long before the loop is broken.
+// The policy starts no attempt that it expects to end less than this long before the event loop is broken.
+// Messages that are still pending then are left to the next process.
 constexpr Duration kShutdownMargin = std::chrono::milliseconds(100);
 
 EndpointPool::Limits MakePoolLimits(const Config& config, const NodeFile& node_file) {
-  const DescriptorLimits shares = DivideDescriptors(config, node_file.cloudevents.has_value());
+  const DescriptorLimits limits = DivideDescriptors(config, node_file.cloudevents.has_value());
   return {config.site.connect_timeout, config.site.policy.connection_idle_timeout,
           config.site.policy.max_concurrent_calls + kSpareConnectionsPerEndpoint,
-          shares.endpoint_connections - (node_file.dead_letters ? kDeadLetterDescriptors : 0)};
+          limits.endpoint_connections - (node_file.dead_letters ? kDeadLetterDescriptors : 0)};
 }
 
 std::string AddressText(const Address& address) { return address.host + ":" + std::to_string(address.port); }
@@ -109,13 +111,14 @@
     endpoint_list_source_ = WatchDiscovery(loop_, log_, config_, known_revision, on_list_update);
   }
   client_servers_.Start(received());
-  if (node_file_.eureka) {  // a planner registers the port at which it listens by now
+  // Comes after the servers have started, because a planner registers the port at which it listens.
+  if (node_file_.eureka) {
     const Instance own_instance =
         node_file_.role == Role::kPlanner
             ? MakePlannerInstance(config_.name, *node_file_.eureka, cloudevents_port())
             : Instance();
     endpoint_list_source_ =
-        FollowRegistry(loop_, log_, config_.site, *node_file_.eureka, own_instance, on_list_update);
+        PollRegistry(loop_, log_, config_.site, *node_file_.eureka, own_instance, on_list_update);
   }
   if (predecessor_) client_servers_.AdoptClients(*received());
   if (config_.admin) {
@@ -133,7 +136,7 @@
   if (handed_over()) return shutdown_.Begin();
   readiness_.Stop(clock_.Now());
   admin_.CancelDrain();
-  successor_.reset();  // a process that starts now waits for this one's end
+  successor_.reset();  // a process that starts from now on waits until this one has exited
   if (dead_letters_) dead_letters_->Stop();
   pipeline_.router.QueueEvent(ShutdownStarted{ShutdownSequence::kMaxDuration - kShutdownMargin});
   shutdown_.Begin();
@@ -142,7 +145,7 @@
 
 void Dispatcher::Reload(const Config& config) {
   if (shutdown_.is_requested() || handed_over()) return;
-  // All that may fail comes before anything is changed.
+  // Every step that may fail comes before the first change.
   if (config.peer_listen != config_.peer_listen) {
     throw std::runtime_error("peer_listen can't change while the process runs");
   }
@@ -152,10 +155,10 @@
   if (rules) dead_letters_->UseRules(std::move(*rules));
   config_.peers = config.peers;
   config_.broadcast_peer = config.broadcast_peer;
-  const bool has_moved =
+  const bool has_discovery_changed =
       config.discovery.host != config_.discovery.host || config.discovery.port != config_.discovery.port;
   config_.discovery = config.discovery;
-  if (has_moved) {
+  if (has_discovery_changed) {
     endpoint_list_source_->ChangeDiscoveryAddress(config_.discovery);
     platform_notifications_.ChangeAddress(config_.discovery);
   }
@@ -180,7 +183,7 @@
     request_log_.OnAttemptCompleted(*message, result);
   }
   if (!handed_over()) return pipeline_.outcome_handler.OnCallResult(result);
-  successor_->Report(result);
+  successor_->ReportCallResult(result);
   shutdown_.ExitIfDone();
 }
 
@@ -212,7 +215,7 @@
 }
 
 void Dispatcher::WriteLogLine(const std::string& line) {
-  // The policy writes "event: detail".
+  // The policy writes lines of the form "event: detail".
   const std::size_t colon = line.find(": ");
   if (colon == std::string::npos) return log_.Info("policy.note", {{"detail", line}});
   log_.Info("policy." + line.substr(0, colon), {{"detail", line.substr(colon + 2)}});
--- a/src/app/dispatcher_handover.cpp
+++ b/src/app/dispatcher_handover.cpp
@@ -1,4 +1,4 @@
-// The dispatcher's part in a handover, in both directions.
+// The member functions of Dispatcher that take part in a handover, as the new process and as the old one.
 #include <utility>
 
 #include "app/dispatcher.h"
@@ -12,8 +12,8 @@
 
 void Dispatcher::TakeOver() {
   const ReceivedHandover& offer = *received();
-  predecessor_->FollowCalls(loop_, RestoreHandoverState(offer.state, config_.site, pipeline_),
-                            [this](const CallResult& result) { OnCallResult(result); });
+  predecessor_->TrackCalls(loop_, RestoreHandoverState(offer.state, config_.site, pipeline_),
+                           [this](const CallResult& result) { OnCallResult(result); });
   log_.Info("handover.received", {{"pending", messages_.pending_count()},
                                   {"calls_in_flight", offer.state.in_flight_calls.size()},
                                   {"clients", offer.platform_clients.size()},
@@ -37,7 +37,9 @@
   callbacks.make_offer = [this] { return MakeHandoverOffer(); };
   callbacks.reclaim_journal = [this] { return journal_.journal().Reclaim(); };
   callbacks.on_handed_over = [this] { OnHandedOver(); };
-  callbacks.on_journal_lost = [this] { Fail("the process that was taking over has died with the journal"); };
+  callbacks.on_journal_lost = [this] {
+    Fail("the process that was taking over has died, and its journal can't be reclaimed");
+  };
   callbacks.cancel_call = [this](std::uint64_t number) { endpoint_pool_.CancelCall(number); };
   callbacks.cancel_call_if_unsent = [this](std::uint64_t number) {
     endpoint_pool_.CancelCallIfUnsent(number);
@@ -48,8 +50,8 @@
 bool Dispatcher::IsSettledForHandover() {
   pipeline_.RunPolicy();
   bool is_settled = pipeline_.IsQuiescent() && client_servers_.IsSettled();
-  // A call that nobody waits for any more ends here: the next process knows nothing of its message, and would
-  // use its slot.
+  // Cancels the calls of messages that are complete. The successor does not know these messages, so it would
+  // use the slots of their calls for other calls.
   for (const auto& [number, message] : messages_.messages()) {
     if (!message.is_in_flight || message.final_status == FinalStatus::kPending) continue;
     CancelCall(number);
@@ -81,7 +83,7 @@
   policy_run_timer_.Stop();
   policy_timer_.Stop();
   admin_.CancelDrain();
-  client_servers_.ReleaseAll();
+  client_servers_.ReleaseTransferred();
   platform_notifications_.Shutdown();
   if (result_events_) result_events_->Shutdown();
   endpoint_list_source_.reset();
--- a/src/app/endpoint_list_source.cpp
+++ b/src/app/endpoint_list_source.cpp
@@ -65,9 +65,9 @@
   return std::make_unique<DiscoverySource>(loop, log, config, known_revision, std::move(on_update));
 }
 
-std::unique_ptr<EndpointListSource> FollowRegistry(EventLoop& loop, Logger& log, const SiteSettings& site,
-                                                   const EurekaSettings& settings, Instance own_instance,
-                                                   EndpointListCallback on_update) {
+std::unique_ptr<EndpointListSource> PollRegistry(EventLoop& loop, Logger& log, const SiteSettings& site,
+                                                 const EurekaSettings& settings, Instance own_instance,
+                                                 EndpointListCallback on_update) {
   return std::make_unique<RegistrySource>(loop, log, site, settings, std::move(own_instance),
                                           std::move(on_update));
 }
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kMaxShutdownDuration = milliseconds(3000);
-// After SIGTERM new connections still come for this long.
+// How long new connections still arrive after SIGTERM.
 constexpr Duration kLateConnectionDelay = milliseconds(400);
 
 Headers RetryAfterHeaders(const HttpResult& result) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// One submission of a client, from its request to its answer.
+// One submission of a client, from its request to the response.
 struct Forwarder::ForwardedSubmission {
   ForwardedSubmission(EventLoop& loop, std::shared_ptr<Exchange> client_exchange, Address planner_address,
                       std::function<void(const ForwardedSubmission*)> on_retry)
@@ -37,7 +37,8 @@
   const Address planner;
   Headers headers;
   std::string body;
-  // From then on only the same planner may be asked, and no rejection be made up here.
+  // Whether the planner may have accepted the submission. Then it may only be sent to the same planner again,
+  // and the forwarder must not reject it by itself.
   bool may_be_accepted = false;
   const std::chrono::steady_clock::time_point give_up_at =
       std::chrono::steady_clock::now() + kForwardingTimeout;
@@ -58,13 +59,13 @@
 Forwarder::~Forwarder() = default;
 
 void Forwarder::Start() {
-  const DescriptorLimits shares = DivideDescriptors(config_, true);
+  const DescriptorLimits limits = DivideDescriptors(config_, true);
   platform_server_ = std::make_unique<HttpServer>(
-      loop_, config_.listen, HttpServer::Limits{RequestValidator::kMaxBodyBytes, shares.platform_connections},
+      loop_, config_.listen, HttpServer::Limits{RequestValidator::kMaxBodyBytes, limits.platform_connections},
       [this](const std::shared_ptr<Exchange>& exchange) { OnPlatformRequest(exchange); });
   cloudevents_server_ = std::make_unique<HttpServer>(
       loop_, cloudevents_address_,
-      HttpServer::Limits{shares.cloudevents_body_bytes, shares.cloudevents_connections,
+      HttpServer::Limits{limits.cloudevents_body_bytes, limits.cloudevents_connections,
                          CloudEventsFrontend::kMaxHeadBytes},
       [this](const std::shared_ptr<Exchange>& exchange) { OnCloudEventsRequest(exchange); });
   log_.Info(
@@ -155,7 +156,7 @@
   if (result.status_code == 0 && result.request_written) submission->may_be_accepted = true;
   switch (DecideAfterAttempt(result, submission->may_be_accepted, std::chrono::steady_clock::now(),
                              submission->give_up_at)) {
-    case ForwardingStep::kPassOnAnswer:
+    case ForwardingStep::kPassOnResponse:
       return Complete(submission, result.status_code, result.body, RetryAfterHeaders(result));
     case ForwardingStep::kReportUnreachable:
       return Complete(submission, 503, "the planner can't be reached\n");
@@ -170,7 +171,7 @@
 
 void Forwarder::Retry(const ForwardedSubmission* submission) {
   for (const SubmissionPtr& waiting : waiting_for_retry_) {
-    // A copy of the pointer: the attempt's result may remove the submission from the set.
+    // Copies the pointer, because the attempt's result may remove the submission from the set.
     if (waiting.get() == submission) return SendAttempt(SubmissionPtr(waiting));
   }
 }
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -1,5 +1,6 @@
-// A forwarder: accepts submissions from clients and passes each on, as CloudEvents, to the planner of its
-// destination; the planner's answer is the client's. It stores no message. All on the loop's thread.
+// A forwarder: accepts submissions from clients, sends each as CloudEvents to the planner of its destination,
+// and returns the planner's response to the client. It stores no messages. Created by main() for the role
+// "forwarder". Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_APP_FORWARDER_H_
 #define SAGETALLY_SRC_APP_FORWARDER_H_
 
@@ -21,22 +22,27 @@
 
 namespace sagetally {
 
+// Owns the servers for clients, the client of the registry and the connections to the planners.
 class Forwarder {
  public:
-  // `node_file` must have `eureka` and `cloudevents`. The references must outlive this object.
+  // `node_file` must have the members `eureka` and `cloudevents`. `loop`, `log` and `config` must outlive
+  // this object.
   Forwarder(EventLoop& loop, Logger& log, const Config& config, const NodeFile& node_file);
   ~Forwarder();
 
-  // Listens for clients. A port of 0 takes any. Throws std::runtime_error if it can't listen.
+  // Starts to listen for clients. A configured port of 0 stands for any free port. Throws std::runtime_error
+  // if it can't listen.
   void Start();
-  // Nothing that can be changed under way concerns a forwarder.
+  // Does nothing, because a forwarder uses none of the settings that may change while the process runs.
   void Reload(const Config&) {}
-  // Accepts nothing new, lets what is in flight end, then breaks the loop.
+  // Starts the graceful shutdown: rejects new submissions, completes those in flight, then breaks the event
+  // loop.
   void Shutdown();
 
+  // The ports of the platform's server and of the CloudEvents server. Must not be called before Start().
   std::uint16_t port() const { return platform_server_->port(); }
   std::uint16_t cloudevents_port() const { return cloudevents_server_->port(); }
-  // How many planners are UP in the registry's last list.
+  // The number of planners with the status UP in the list that the registry has sent last.
   std::size_t planners_up() const;
 
  private:
--- a/src/app/forwarding_policy.cpp
+++ b/src/app/forwarding_policy.cpp
@@ -21,7 +21,7 @@
 ForwardingStep DecideAfterAttempt(const HttpResult& result, bool may_be_accepted,
                                   std::chrono::steady_clock::time_point now,
                                   std::chrono::steady_clock::time_point give_up_at) {
-  if (result.status_code != 0) return ForwardingStep::kPassOnAnswer;
+  if (result.status_code != 0) return ForwardingStep::kPassOnResponse;
   if (!may_be_accepted) return ForwardingStep::kReportUnreachable;
   if (now + kForwardingRetryDelay >= give_up_at) return ForwardingStep::kReportUnknown;
   return ForwardingStep::kRetry;
--- a/src/app/forwarding_policy.h
+++ b/src/app/forwarding_policy.h
@@ -1,5 +1,5 @@
-// What a forwarder decides: the planner of a submission, and what follows from an attempt to forward it. No
-// I/O.
+// The decisions of a forwarder: which planner gets a submission, and what to do after an attempt to forward
+// it. Pure functions without I/O, called by Forwarder.
 #ifndef SAGETALLY_SRC_APP_FORWARDING_POLICY_H_
 #define SAGETALLY_SRC_APP_FORWARDING_POLICY_H_
 
@@ -12,34 +12,42 @@
 
 namespace sagetally {
 
+// Which planner gets a submission, or why none does.
 struct PlannerChoice {
   enum class Status {
     kFound,
     kNoPlannerUp,
-    // A batch is accepted whole or not at all, which two planners can't promise.
+    // The destinations belong to different planners. A batch must be accepted as a whole or not at all, which
+    // two planners can't guarantee.
     kSeveralPlanners,
   };
   Status status = Status::kNoPlannerUp;
-  Address planner = {};  // with kFound
+  Address planner = {};  // set with kFound only
 };
-// The planner of all `destinations`, of which there must be one. `application`: the planners' name in the
-// registry.
+// Selects the planner that owns all `destinations`, which must not be empty. `application` is the planners'
+// application name in the registry.
 PlannerChoice ChoosePlanner(const Applications& applications, const std::string& application,
                             const std::vector<int>& destinations);
 
-// A planner answers at once.
+// Time limit of one attempt. It can be short, because a planner responds without delay.
 inline constexpr Duration kForwardingAttemptTimeout = std::chrono::milliseconds(150);
+// Time between two attempts.
 inline constexpr Duration kForwardingRetryDelay = std::chrono::milliseconds(30);
-// A client waits 400 ms; by then it must know the outcome, or that it is unknown.
+// Time limit of all attempts together. A client waits 400 ms, and by then must have been told the outcome, or
+// that the outcome is unknown.
 inline constexpr Duration kForwardingTimeout = std::chrono::milliseconds(330);
 
+// What the forwarder does after an attempt.
 enum class ForwardingStep {
-  kPassOnAnswer,       // the planner has answered
-  kReportUnreachable,  // the planner has certainly not accepted it
-  kReportUnknown,      // the planner may have accepted it, and there is no time for another attempt
-  kRetry,  // at the same planner, under the same id: if it has accepted it, the answer is the same
+  kPassOnResponse,     // the planner has responded
+  kReportUnreachable,  // the planner has certainly not accepted the submission
+  kReportUnknown,      // the planner may have accepted it, and no time is left for another attempt
+  // Sends it to the same planner again, under the same id. A planner that has accepted it already gives the
+  // same response again.
+  kRetry,
 };
-// After an attempt. `may_be_accepted`: the whole request has been written in this attempt or an earlier one.
+// Decides what to do after an attempt. `may_be_accepted` says whether the whole request was written in this
+// or an earlier attempt. At `give_up_at` the client must have its response.
 ForwardingStep DecideAfterAttempt(const HttpResult& result, bool may_be_accepted,
                                   std::chrono::steady_clock::time_point now,
                                   std::chrono::steady_clock::time_point give_up_at);
--- a/src/app/handover_predecessor.cpp
+++ b/src/app/handover_predecessor.cpp
@@ -12,9 +12,12 @@
 
 using std::chrono::milliseconds;
 
+// How long to wait for a process that holds the state folder and makes no offer.
 constexpr Duration kSearchTimeout = milliseconds(4000);
+// Time between two attempts to reach that process.
 constexpr Duration kSearchInterval = milliseconds(50);
-// An endpoint must have seen the end of a call that the old process abandoned before the slot is used again.
+// Delay before the calls of an old process that has exited count as failed. The endpoint must have seen the
+// end of such a call before the call's slot is used again.
 constexpr Duration kAbandonedCallDelay = milliseconds(10);
 
 bool IsJournalHeldByAnotherProcess(const std::string& state_folder) {
@@ -40,7 +43,7 @@
     } else if (!IsJournalHeldByAnotherProcess(config.state_folder)) {
       return nullptr;
     }
-    // The journal fails to open then, and names the process that holds it.
+    // When the caller then opens the journal, it gets an error that names the process holding it.
     if (std::chrono::steady_clock::now() >= give_up_at) return nullptr;
     std::this_thread::sleep_for(kSearchInterval);
   }
@@ -49,19 +52,19 @@
 bool Predecessor::ReceiveOffer() {
   while (std::optional<Packet> packet = channel_.Receive(kHandoverAnswerTimeout)) {
     if (KindOf(*packet) == HandoverPacketKind::kOfferComplete) return received_.journal_lock.get() >= 0;
-    Store(std::move(*packet));
+    StoreOfferPacket(std::move(*packet));
   }
   return false;
 }
 
-void Predecessor::Store(Packet packet) {
+void Predecessor::StoreOfferPacket(Packet packet) {
   switch (KindOf(packet)) {
     case HandoverPacketKind::kRejection:
       throw HandoverRejected(packet.bytes);
     case HandoverPacketKind::kState: {
       std::optional<HandoverState> state = DecodeHandoverState(packet.bytes);
       if (!state) {
-        throw HandoverFormatError("the process that serves hands over in a form that can't be read");
+        throw HandoverFormatError("the handover state of the process that serves can't be decoded");
       }
       received_.state = std::move(*state);
       break;
@@ -85,7 +88,7 @@
       received_.cloudevents_clients.push_back(DecodeClient(packet));
       break;
     default:
-      break;  // of a later version
+      break;  // a later version has added this kind
   }
 }
 
@@ -93,12 +96,12 @@
   SendPacket(channel_, HandoverPacketKind::kReady);
   const std::optional<Packet> answer = channel_.Receive(kHandoverReadyTimeout);
   if (!answer || KindOf(*answer) != HandoverPacketKind::kBegin) {
-    throw HandoverAborted("the process that serves gave the handover up");
+    throw HandoverAborted("the process that serves aborted the handover");
   }
 }
 
-void Predecessor::FollowCalls(EventLoop& loop, std::set<std::uint64_t> calls,
-                              std::function<void(const CallResult&)> on_result) {
+void Predecessor::TrackCalls(EventLoop& loop, std::set<std::uint64_t> calls,
+                             std::function<void(const CallResult&)> on_result) {
   calls_in_flight_ = std::move(calls);
   on_result_ = std::move(on_result);
   channel_closed_timer_ = std::make_unique<Timer>(loop, [this] { FailRemainingCalls(); });
@@ -123,14 +126,14 @@
 }
 
 bool Predecessor::CancelCall(std::uint64_t number) {
-  return SendForCall(HandoverPacketKind::kCancelCall, number);
+  return SendCancellation(HandoverPacketKind::kCancelCall, number);
 }
 
 bool Predecessor::CancelCallIfUnsent(std::uint64_t number) {
-  return SendForCall(HandoverPacketKind::kCancelCallIfUnsent, number);
+  return SendCancellation(HandoverPacketKind::kCancelCallIfUnsent, number);
 }
 
-bool Predecessor::SendForCall(HandoverPacketKind kind, std::uint64_t number) {
+bool Predecessor::SendCancellation(HandoverPacketKind kind, std::uint64_t number) {
   if (!calls_in_flight_.contains(number)) return false;
   SendPacket(channel_, kind, EncodeCallNumber(number));
   return true;
--- a/src/app/handover_predecessor.h
+++ b/src/app/handover_predecessor.h
@@ -1,6 +1,7 @@
-// The new process's end of a handover: finds the process that serves, receives what it offers, and passes on
-// cancellations of the calls that it still has in flight. Before the event loop runs its methods block;
-// afterwards all happens on the loop's thread. docs/design/operations.md gives the order of the packets.
+// The new process's side of a handover: finds the process that serves, receives its offer, and sends it
+// cancellations of the calls that it still has in flight. Find() and ConfirmReady() are called before the
+// event loop runs, and block. Everything else happens on the loop's thread. Owned by the Dispatcher. The
+// order of the packets is described in docs/design/operations.md.
 #ifndef SAGETALLY_SRC_APP_HANDOVER_PREDECESSOR_H_
 #define SAGETALLY_SRC_APP_HANDOVER_PREDECESSOR_H_
 
@@ -21,12 +22,12 @@
 
 namespace sagetally {
 
-// The old process continues to serve, or has died: the handover has to be tried again from its beginning.
+// The old process continues to serve, or has died. The handover must be retried from the beginning.
 struct HandoverAborted : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The old process rejects the handover.
+// The old process has rejected the handover. `reason` is the text that it sent.
 struct HandoverRejected : std::runtime_error {
   explicit HandoverRejected(std::string rejection)
       : std::runtime_error("the process that serves does not hand over: " + rejection),
@@ -34,12 +35,13 @@
   std::string reason;
 };
 
-// The old process sent a state that this version can't decode.
+// The old process has sent a state that this version can't decode.
 struct HandoverFormatError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// What the old process offered. Descriptors and clients are moved out by whoever uses them.
+// The offer of the old process. Descriptors and clients are moved out by the code that uses them; a
+// descriptor that was not offered is empty.
 struct ReceivedHandover {
   HandoverState state;
   FileDescriptor journal_lock;
@@ -50,36 +52,40 @@
   std::vector<HttpServer::TransferredClient> cloudevents_clients;
 };
 
+// The connection to the old process.
 class Predecessor {
  public:
-  // Finds the process that serves from this state folder and receives its offer; null if there is none. Waits
-  // up to 4 s while a process holds the folder without an offer: it may be shutting down, or not be ready
-  // yet. Throws HandoverRejected or HandoverFormatError.
+  // Finds the process that serves from this state folder, and receives its offer. Returns null if there is no
+  // such process. Tries again for up to 4 s while a process holds the folder and makes no offer, because that
+  // process may be shutting down or may not be ready yet. Throws HandoverRejected or HandoverFormatError.
   static std::unique_ptr<Predecessor> Find(const Config& config);
 
+  // The offer that Find() has received.
   ReceivedHandover& received() { return received_; }
 
-  // To be called once the journal has been read and before it is written to: waits for the permission to
-  // begin. Throws HandoverAborted if none comes.
+  // Waits for the permission to write to the journal. Must be called after the journal has been read and
+  // before it is written to. Throws HandoverAborted if no permission arrives.
   void ConfirmReady();
-  // To be called once the journal's new epoch has begun: the old process stops serving.
+  // Makes the old process stop serving. Must be called after the journal's next epoch has begun.
   void NotifyBegun() { SendPacket(channel_, HandoverPacketKind::kBegun); }
 
-  // `calls` are in flight in the old process. `on_result` gets the outcome of each, kReset if the process
-  // ends before it has reported one: the call may have been executed.
-  void FollowCalls(EventLoop& loop, std::set<std::uint64_t> calls,
-                   std::function<void(const CallResult&)> on_result);
-  // Both return false if no such call is in flight in the old process.
+  // Tracks `calls`, the numbers of the calls that are in flight in the old process. `on_result` is called
+  // once for each. The outcome is kReset if the old process exits before it has reported the call's result,
+  // because the call may have run.
+  void TrackCalls(EventLoop& loop, std::set<std::uint64_t> calls,
+                  std::function<void(const CallResult&)> on_result);
+  // Both ask the old process to cancel a call, and return false if the call is not in flight there.
   bool CancelCall(std::uint64_t number);
   bool CancelCallIfUnsent(std::uint64_t number);
+  // Returns whether a result of the old process is pending.
   bool has_calls_in_flight() const { return !calls_in_flight_.empty(); }
 
  private:
   bool ReceiveOffer();
-  void Store(Packet packet);
+  void StoreOfferPacket(Packet packet);
   void OnPacket(const Packet& packet);
   void FailRemainingCalls();
-  bool SendForCall(HandoverPacketKind kind, std::uint64_t number);
+  bool SendCancellation(HandoverPacketKind kind, std::uint64_t number);
 
   HandoverChannel channel_;
   ReceivedHandover received_;
--- a/src/app/handover_successor.cpp
+++ b/src/app/handover_successor.cpp
@@ -9,10 +9,11 @@
 
 using std::chrono::milliseconds;
 
-// From the permission to begin until the new process has begun.
+// Time limit for the new process to begin, from the moment at which it is allowed to.
 constexpr Duration kBeginTimeout = milliseconds(1500);
-// For what waits for the disk to be answered.
+// How long a handover may wait until records are on the disk and their clients have their responses.
 constexpr Duration kSettleTimeout = milliseconds(500);
+// Time between two checks of that.
 constexpr Duration kSettleInterval = milliseconds(2);
 
 std::int64_t MillisecondsSince(std::chrono::steady_clock::time_point start) {
@@ -33,7 +34,7 @@
           [this](HandoverChannel channel) { OnConnected(std::move(channel)); })) {}
 
 void Successor::OnConnected(HandoverChannel channel) {
-  if (channel_.is_open()) {  // one at a time; the other one connects again
+  if (channel_.is_open()) {  // there is one handover at a time; the other process connects again
     channel.Close();
     return;
   }
@@ -48,7 +49,7 @@
   hello_timeout_.Stop();
   if (reason) return Reject(*reason);
   hello_received_at_ = std::chrono::steady_clock::now();
-  settle_timer_.Schedule(Duration(0));  // not from within the channel's own event
+  settle_timer_.Schedule(Duration(0));  // the offer must not be made from within the channel's callback
 }
 
 std::optional<std::string> Successor::RejectionReason(const Packet& packet) const {
@@ -115,16 +116,19 @@
   }
 }
 
-// Whether the new process has begun. Until it was allowed to, this one may go on as if nothing had happened.
+// Returns whether the new process has begun. Before it is allowed to begin, this process can continue to
+// serve as if nothing had happened.
 bool Successor::WaitUntilBegun() {
   const std::optional<Packet> answer = channel_.Receive(kHandoverReadyTimeout);
   const bool is_ready = answer && KindOf(*answer) == HandoverPacketKind::kReady;
   if (!is_ready || !SendPacket(channel_, HandoverPacketKind::kBegin)) {
-    log_.Warn("handover.aborted", {{"why", answer ? "the new process said something else" : "no answer"}});
+    log_.Warn("handover.aborted", {{"why", answer ? "the new process sent an unexpected packet"
+                                                  : "the new process did not answer"}});
     channel_.Close();
     return false;
   }
-  // A process that is only slow was allowed to begin all the same, and may do so at any time.
+  // After a timeout the new process counts as begun while its connection is open. It has been allowed to
+  // begin, so it may still do so at any time.
   if (channel_.Receive(kBeginTimeout) || channel_.is_open()) return true;
   if (callbacks_.reclaim_journal()) {
     log_.Warn("handover.aborted", {{"why", "the new process died"}});
--- a/src/app/handover_successor.h
+++ b/src/app/handover_successor.h
@@ -1,7 +1,8 @@
-// The old process's end of a handover: listens for a new process, offers it all that this one has, and
-// reports the calls that were still in flight. Everything happens on the loop's thread; from the offer until
-// the new process has begun it blocks, for 2.2 s at most. docs/design/operations.md gives the order of the
-// packets.
+// The old process's side of a handover: listens for a new process, offers it the state and the descriptors of
+// this one, and reports the results of the calls that were in flight. Owned by the Dispatcher; used on the
+// event loop's thread only. That thread is blocked from the offer until the new process has begun to serve,
+// and waits 2.2 s at most for that process. The order of the packets is described in
+// docs/design/operations.md.
 #ifndef SAGETALLY_SRC_APP_HANDOVER_SUCCESSOR_H_
 #define SAGETALLY_SRC_APP_HANDOVER_SUCCESSOR_H_
 
@@ -23,7 +24,7 @@
 
 namespace sagetally {
 
-// What the old process passes on. It keeps its descriptors; -1: there is none.
+// What the old process offers. It still owns the descriptors; -1 means that there is none.
 struct HandoverOffer {
   HandoverState state;
   int journal_lock = -1;
@@ -34,31 +35,36 @@
   std::vector<HttpServer::ClientToTransfer> cloudevents_clients;
 };
 
+// Listens for the new process, and holds the connection to it.
 class Successor {
  public:
+  // The functions of the Dispatcher that the handover uses. All must be set.
   struct Callbacks {
-    // Whether nothing waits for the journal or for an answer any more. Asked every 2 ms, for half a second at
-    // most.
+    // Returns whether nothing waits for the journal and no response is pending. Polled every 2 ms, for half a
+    // second at most.
     std::function<bool()> is_settled;
-    // Why there can't be a handover now; none: there can.
+    // Returns the reason why there can't be a handover now, or nothing if there can.
     std::function<std::optional<std::string>()> rejection_reason;
-    // Called right after is_settled was true.
+    // Returns the offer. Called right after is_settled has returned true.
     std::function<HandoverOffer()> make_offer;
-    // The new process has died after it was allowed to begin: whether this one can go on with the journal.
+    // Called if the new process has died after it was allowed to begin. Returns whether this process can
+    // continue with the journal.
     std::function<bool()> reclaim_journal;
-    // The new process serves; this one must not serve or write any more.
+    // Called once the new process serves. This process must not serve, nor write to the journal, any more.
     std::function<void()> on_handed_over;
-    // The new process has died, and the journal can't be reclaimed.
+    // Called if the new process has died and the journal can't be reclaimed.
     std::function<void()> on_journal_lost;
-    // After on_handed_over, for calls that are still in flight here, by their number.
+    // Cancel a call that is in flight in this process, given its number. Called after on_handed_over only.
     std::function<void(std::uint64_t)> cancel_call;
     std::function<void(std::uint64_t)> cancel_call_if_unsent;
   };
-  // Throws std::runtime_error if it can't listen in the state folder.
+  // Starts to listen. `loop` and `log` must outlive this object. Throws std::runtime_error if it can't listen
+  // in the state folder.
   Successor(EventLoop& loop, Logger& log, const Config& config, Callbacks callbacks);
 
-  // After on_handed_over: reports the outcome of a call that had stayed with this process.
-  void Report(const CallResult& result) {
+  // Reports to the new process the result of a call that was in flight in this one. Called after
+  // on_handed_over only.
+  void ReportCallResult(const CallResult& result) {
     SendPacket(channel_, HandoverPacketKind::kCallResult, EncodeCallResult(result));
   }
 
--- a/src/app/handover_timing.h
+++ b/src/app/handover_timing.h
@@ -1,5 +1,5 @@
-// Time limits of the two ends of a handover. The old process serves nobody, operators included, while it
-// waits for the new one.
+// Time limits that both sides of a handover use. They are short because the old process serves no requests,
+// not even those of operators, while it waits for the new one.
 #ifndef SAGETALLY_SRC_APP_HANDOVER_TIMING_H_
 #define SAGETALLY_SRC_APP_HANDOVER_TIMING_H_
 
@@ -7,9 +7,11 @@
 
 namespace sagetally {
 
-// From the hello until it is answered, and between two packets of an offer.
+// Time limit for the hello after a connection, for the first packet that answers it, and for each further
+// packet of the offer.
 inline constexpr Duration kHandoverAnswerTimeout = std::chrono::milliseconds(1500);
-// From the complete offer until the new process is ready, and from that until it may begin.
+// Time limit for the new process to be ready after it has received the offer, and for the old one to allow it
+// to begin after that.
 inline constexpr Duration kHandoverReadyTimeout = std::chrono::milliseconds(700);
 
 }  // namespace sagetally
--- a/src/app/handover_transfer.cpp
+++ b/src/app/handover_transfer.cpp
@@ -7,7 +7,8 @@
 namespace sagetally {
 namespace {
 
-// Calls of messages that the journal no longer has are left out: nobody waits for them.
+// Marks the messages whose calls are in flight, and returns their numbers. Calls of messages that are not in
+// the journal any more are left out, because their results have no use.
 std::set<std::uint64_t> MarkInFlightCalls(const HandoverState& state, MessageTable& messages) {
   std::set<std::uint64_t> in_flight;
   for (const InFlightCall& call : state.in_flight_calls) {
@@ -55,7 +56,7 @@
   Router& router = pipeline.router;
   ReplayHandoverState(
       state, site.classes, site.kinds.size(), pipeline.messages(),
-      [&router](Time at, const std::vector<Event>& events) { router.ReplayEvents(at, events); });
+      [&router](Time now, const std::vector<Event>& events) { router.ReplayEvents(now, events); });
   router.FinishReplay();
   for (const CompletedAttempt& attempt : state.recent_attempts) pipeline.attempt_history.Add(attempt);
   router.OnEndpointListUpdate(MakeFullSnapshot(state));
--- a/src/app/handover_transfer.h
+++ b/src/app/handover_transfer.h
@@ -1,5 +1,5 @@
-// What the message pipeline passes on in a handover, and how the next process's pipeline continues from it.
-// No I/O.
+// Captures the state of the message pipeline for a handover, and restores it in the pipeline of the next
+// process. Called by the Dispatcher on the event loop's thread. No I/O.
 #ifndef SAGETALLY_SRC_APP_HANDOVER_TRANSFER_H_
 #define SAGETALLY_SRC_APP_HANDOVER_TRANSFER_H_
 
@@ -12,12 +12,12 @@
 
 namespace sagetally {
 
-// `revision`: of the endpoint list.
+// Returns the state of `pipeline` at the moment `now`. `revision` is the revision of its endpoint list.
 HandoverState CaptureHandoverState(const MessagePipeline& pipeline, const SiteSettings& site,
                                    std::int64_t revision, const Timestamp& now);
 
-// `pipeline` must be new, with its messages read from the journal. Returns the numbers of the calls that are
-// still in flight in the other process.
+// Restores `state` in `pipeline`, which must be new and must have its messages read from the journal. Returns
+// the numbers of the calls that are still in flight in the old process.
 std::set<std::uint64_t> RestoreHandoverState(const HandoverState& state, const SiteSettings& site,
                                              MessagePipeline& pipeline);
 
--- a/src/app/journal_service.cpp
+++ b/src/app/journal_service.cpp
@@ -6,7 +6,8 @@
 namespace sagetally {
 namespace {
 
-// How long ago attempts were sent is not known: every deduplication window counts as over.
+// Makes every deduplication window count as expired, because it is not known how long ago the attempts were
+// sent.
 void ExpireDeduplicationWindows(MessageTable& messages) {
   for (const auto& [number, message] : messages.messages()) {
     if (message.first_uncertain_attempt) messages.Find(number)->first_uncertain_attempt = Time(0);
@@ -44,9 +45,9 @@
 void JournalService::ContinueClock(SystemClock& clock, MessageTable& messages, Logger& log) const {
   const SystemClock::ClockCorrection correction = clock.ContinueFrom(journal_->report().latest_timestamp);
   if (correction.amount == Duration(0)) return;
-  const bool is_back = correction.amount > Duration(0);
+  const bool has_stepped_back = correction.amount > Duration(0);
   const auto step_ms = std::abs(correction.amount.count()) / 1000;
-  log.Warn(is_back ? "clock.stepped_back" : "clock.stepped_forward",
+  log.Warn(has_stepped_back ? "clock.stepped_back" : "clock.stepped_forward",
            {{"by_ms", step_ms}, {"measured", correction.is_measured}});
   if (!correction.is_measured) ExpireDeduplicationWindows(messages);
 }
--- a/src/app/journal_service.h
+++ b/src/app/journal_service.h
@@ -1,5 +1,6 @@
-// The journal within a dispatcher: opens it, runs its timers and its thread for syncs on the event loop, and
-// makes the dispatcher's clock continue from the last moment on record. All on the loop's thread.
+// Owns the journal of a dispatcher: opens it, runs its timers on the event loop and its syncs on a thread of
+// their own, and makes the dispatcher's clock continue from the latest time in the journal. Owned by the
+// Dispatcher; used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
 #define SAGETALLY_SRC_APP_JOURNAL_SERVICE_H_
 
@@ -20,25 +21,29 @@
 
 namespace sagetally {
 
+// The journal of one dispatcher, connected to the event loop.
 class JournalService : public JournalHost {
  public:
   struct Callbacks {
-    std::function<void()> on_progress;  // records that were not durable may be so now
+    std::function<void()> on_progress;  // records that were not durable may have become durable
     std::function<void()> on_fenced;    // another process has taken over the journal
-    // As JournalHost::BeforeFirstWrite, from within the constructor; may throw, or be empty.
+    // Called from within the constructor, when JournalHost::BeforeFirstWrite() is called. It may throw, and
+    // may be empty.
     std::function<void()> before_first_write = {};
   };
-  // Reads the journal into `messages` and moves `clock` on to it. `lock`: the journal's lock as another
-  // process handed it over; if it is empty, it is acquired. Throws std::runtime_error naming a setting,
-  // folder or file at fault.
+  // Reads the journal into `messages`, and makes `clock` continue from the latest time in it. `lock` is the
+  // journal's lock if the predecessor has handed it over; if it is empty, the lock is acquired. All
+  // references but `config` and `file` must outlive this object. Throws std::runtime_error that names the
+  // setting, folder or file that can't be used.
   JournalService(EventLoop& loop, Logger& log, const Config& config, const JournalFileSettings& file,
                  MessageTable& messages, SystemClock& clock, Callbacks callbacks,
                  FileDescriptor lock = FileDescriptor());
   ~JournalService() override;
 
+  // The journal itself.
   SegmentJournal& journal() { return *journal_; }
 
-  // JournalHost, called by the journal.
+  // Implements JournalHost; called by the journal.
   void ScheduleTurn(Duration delay) override { work_timer_.Schedule(delay); }
   void OnProgress() override { progress_timer_.Schedule(Duration(0)); }
   void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> on_done) override;
@@ -57,7 +62,7 @@
   Timer progress_timer_;
   Timer fenced_timer_;
   WakeupDescriptor sync_wakeup_;
-  std::unique_ptr<SyncThread> sync_thread_;  // started with the first sync
+  std::unique_ptr<SyncThread> sync_thread_;  // created by the first sync
   std::unique_ptr<SegmentJournal> journal_;
 };
 
--- a/src/app/journal_settings.h
+++ b/src/app/journal_settings.h
@@ -1,4 +1,5 @@
-// The journal's settings, from the platform's configuration and the operator's file.
+// Makes the journal's settings from the platform's configuration and the operator's file. Called by
+// JournalService and by the command check-config. No I/O.
 #ifndef SAGETALLY_SRC_APP_JOURNAL_SETTINGS_H_
 #define SAGETALLY_SRC_APP_JOURNAL_SETTINGS_H_
 
@@ -8,7 +9,7 @@
 
 namespace sagetally {
 
-// Throws std::runtime_error naming the key at fault.
+// Returns the settings. Throws std::runtime_error that names the key whose value can't be used.
 JournalSettings MakeJournalSettings(const Config& config, const JournalFileSettings& file);
 
 }  // namespace sagetally
--- a/src/app/node_capabilities.h
+++ b/src/app/node_capabilities.h
@@ -1,4 +1,4 @@
-// What a node can do by its operator's file.
+// What a node is able to do, given the operator's file.
 #ifndef SAGETALLY_SRC_APP_NODE_CAPABILITIES_H_
 #define SAGETALLY_SRC_APP_NODE_CAPABILITIES_H_
 
@@ -6,8 +6,8 @@
 
 namespace sagetally {
 
-// Whether the node can hand over to another process. A registration in a registry and the store of dead
-// letters can't change hands while they are in use.
+// Returns whether the node can hand over to another process. A node with a registration in a registry, or
+// with a store of dead letters, can't, because neither can pass to another process while it is in use.
 inline bool CanHandOver(const NodeFile& node_file) { return !node_file.dead_letters && !node_file.eureka; }
 
 }  // namespace sagetally
--- a/src/app/request_log.cpp
+++ b/src/app/request_log.cpp
@@ -12,13 +12,14 @@
 constexpr int kFirstErrorStatus = 400;
 constexpr std::size_t kMaxReasonBytes = 80;
 
-// As the request names it in either protocol.
+// Returns the request's id from X-Request-Id, the header of the platform's protocol, or else from the one of
+// CloudEvents.
 std::string RequestId(const Exchange& exchange) {
   std::string id = exchange.Header("X-Request-Id");
   return id.empty() ? exchange.Header("ce-id") : id;
 }
 
-const char* Name(HttpServer::CloseReason reason) {
+const char* CloseReasonName(HttpServer::CloseReason reason) {
   using Reason = HttpServer::CloseReason;
   switch (reason) {
     case Reason::kEndedByClient:
@@ -43,15 +44,16 @@
   return "server_stopped";
 }
 
-// A connection that was closed without anything owed, as its client or its own last response asked for.
-bool IsEveryday(const HttpServer::ClosedConnection& closed) {
+// Returns whether a connection was closed in a normal way: by its client, after its last response, or by its
+// transfer to another process, and in each case without an unanswered request or an unwritten response.
+bool IsNormalClose(const HttpServer::ClosedConnection& closed) {
   using Reason = HttpServer::CloseReason;
   const bool is_expected = closed.reason == Reason::kEndedByClient ||
                            closed.reason == Reason::kResponseRead || closed.reason == Reason::kTransferred;
   return is_expected && !closed.has_open_request && closed.unwritten_bytes == 0;
 }
 
-std::int64_t Milliseconds(Duration duration) {
+std::int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
@@ -77,11 +79,11 @@
 }
 
 void RequestLog::OnResponse(const Exchange& exchange, int status, const std::string& body) {
-  const bool is_refused = status >= kFirstErrorStatus;
-  const LogLevel level = is_refused ? LogLevel::kInfo : LogLevel::kDebug;
+  const bool is_error = status >= kFirstErrorStatus;
+  const LogLevel level = is_error ? LogLevel::kInfo : LogLevel::kDebug;
   if (!log_.IsEnabled(level)) return;
   const std::string reason = body.substr(0, std::min(body.find('\n'), kMaxReasonBytes));
-  log_.Write(level, is_refused ? "request.refused" : "request.answered",
+  log_.Write(level, is_error ? "request.refused" : "request.answered",
              {{"id", RequestId(exchange)},
               {"connection", exchange.connection_number()},
               {"status", status},
@@ -89,11 +91,11 @@
 }
 
 void RequestLog::OnConnectionClosed(const HttpServer::ClosedConnection& closed) {
-  const LogLevel level = IsEveryday(closed) ? LogLevel::kDebug : LogLevel::kInfo;
+  const LogLevel level = IsNormalClose(closed) ? LogLevel::kDebug : LogLevel::kInfo;
   if (!log_.IsEnabled(level)) return;
   log_.Write(level, "client.closed",
              {{"connection", closed.number},
-              {"reason", Name(closed.reason)},
+              {"reason", CloseReasonName(closed.reason)},
               {"error", closed.error_number == 0 ? "" : std::strerror(closed.error_number)},
               {"requests", closed.request_count},
               {"unanswered", closed.has_open_request},
@@ -107,7 +109,7 @@
              {{"id", message.request.id},
               {"attempt", message.attempts},
               {"endpoint", call.endpoint},
-              {"timeout_ms", Milliseconds(call.timeout)}});
+              {"timeout_ms", ToMilliseconds(call.timeout)}});
 }
 
 void RequestLog::OnAttemptCompleted(const Message& message, const CallResult& result) {
@@ -118,7 +120,7 @@
               {"attempt", message.attempts},
               {"endpoint", message.in_flight_endpoint},
               {"outcome", std::string(dead_letter::Name(result.outcome))},
-              {"retry_after_ms", Milliseconds(result.retry_after)}});
+              {"retry_after_ms", ToMilliseconds(result.retry_after)}});
 }
 
 void RequestLog::OnUndelivered(const Message& message) {
--- a/src/app/shutdown_sequence.cpp
+++ b/src/app/shutdown_sequence.cpp
@@ -7,14 +7,18 @@
 
 using std::chrono::milliseconds;
 
-// After SIGTERM new connections come for 0.4 s at most.
+// Time from SIGTERM until the listeners are closed. New connections arrive for 0.4 s at most.
 constexpr Duration kListeningDuration = milliseconds(600);
-// A client that has connected by then sends its request at once, or has lost patience and left.
+// Time from the closing of the listeners until connections without a request are closed. By then a connected
+// client has sent its request, or has timed out and disconnected.
 constexpr Duration kFirstRequestTimeout = milliseconds(400);
+// Delay from the completion of the last pending work to the end of the event loop.
 constexpr Duration kExitDelay = milliseconds(20);
 
-// Once another process serves: for the calls that are in flight here, and for the last results to be read.
+// Time limit after a handover for the calls that are in flight in this process.
 constexpr Duration kMaxDurationAfterHandover = std::chrono::seconds(30);
+// Delay after a handover from the last call's result to the end of the event loop, in which the successor
+// reads the last results.
 constexpr Duration kExitDelayAfterHandover = milliseconds(300);
 
 }  // namespace
@@ -41,7 +45,9 @@
 }
 
 void ShutdownSequence::StopListening() {
-  close_unused_timer_.Schedule(kFirstRequestTimeout);  // first: a connection that closes may end the process
+  // This timer must be scheduled first. StopListening() closes connections, ExitIfDone() is called for each,
+  // and it would end the event loop if this timer were not pending.
+  close_unused_timer_.Schedule(kFirstRequestTimeout);
   servers_.StopListening();
   ExitIfDone();
 }
@@ -63,7 +69,8 @@
     if (!has_pending_work_()) exit_timer_.Schedule(kExitDelayAfterHandover);
     return;
   }
-  // A request that has come is answered, and its answer read, as far as the time allows.
+  // The exit waits, within the time limit, until every request that has arrived is answered and its client
+  // has read the response.
   const bool may_get_requests = stop_listening_timer_.is_pending() || close_unused_timer_.is_pending();
   if (may_get_requests || servers_.connections() > 0 || has_pending_work_()) return;
   exit_timer_.Schedule(kExitDelay);
--- a/src/app/shutdown_sequence.h
+++ b/src/app/shutdown_sequence.h
@@ -1,5 +1,6 @@
-// Ends a dispatcher's event loop in steps, after SIGTERM or once another process serves: as soon as nothing
-// is pending, at the latest after a fixed time. All on the loop's thread.
+// Ends the event loop of a dispatcher in several steps, after SIGTERM or once another process serves. The
+// loop is broken as soon as no work is pending, and at the latest after a fixed time. Owned by the
+// Dispatcher; used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_APP_SHUTDOWN_SEQUENCE_H_
 #define SAGETALLY_SRC_APP_SHUTDOWN_SEQUENCE_H_
 
@@ -11,23 +12,27 @@
 
 namespace sagetally {
 
+// The timers and the state of the shutdown.
 class ShutdownSequence {
  public:
-  // The loop is broken at the latest this long after Begin. SIGKILL comes 3.7 s after SIGTERM at the soonest.
+  // The longest time from Begin() until the event loop is broken. SIGKILL comes 3.7 s after SIGTERM at the
+  // earliest.
   static constexpr Duration kMaxDuration = std::chrono::milliseconds(3300);
 
-  // `has_pending_work`: whether an outcome, an end or a notification is still to come. `servers` must outlive
-  // this object.
+  // `has_pending_work` returns whether an outcome, a completion or a notification is pending. `loop` and
+  // `servers` must outlive this object.
   ShutdownSequence(EventLoop& loop, ClientServers& servers, std::function<bool()> has_pending_work);
 
-  // After SIGTERM. At most once.
+  // Starts the shutdown after SIGTERM. Must be called at most once.
   void Begin();
-  // Another process serves: only calls that are in flight here are still to be reported to it.
+  // Starts the shutdown once another process serves. Only the results of the calls that are in flight in this
+  // process remain to be reported to it.
   void BeginAfterHandover();
 
-  // To be called whenever pending work has become less. Does nothing before Begin and BeginAfterHandover.
+  // Breaks the event loop, after a short delay, if no work is pending. Must be called whenever a piece of
+  // work has been completed. Does nothing before Begin() or BeginAfterHandover().
   void ExitIfDone();
-  // Whether Begin has been called.
+  // Returns whether Begin() has been called.
   bool is_requested() const { return is_requested_; }
 
  private:
--- a/src/app/sync_thread.h
+++ b/src/app/sync_thread.h
@@ -1,5 +1,5 @@
-// A thread that syncs files, since a sync may take long and the event loop must not wait for the disk. Sync
-// and DeliverResults are called on the loop's thread.
+// A thread that syncs files, because a sync may take long and the event loop must not wait for the disk.
+// Owned by JournalService. All public functions are called on the event loop's thread.
 #ifndef SAGETALLY_SRC_APP_SYNC_THREAD_H_
 #define SAGETALLY_SRC_APP_SYNC_THREAD_H_
 
@@ -16,18 +16,20 @@
 
 namespace sagetally {
 
+// The thread with its queue of files.
 class SyncThread {
  public:
-  // `wakeup`: notified whenever there are results; its callback is to call DeliverResults. It must outlive
-  // this object.
+  // `wakeup` is notified whenever results are available, and its callback must call DeliverResults(). It must
+  // outlive this object.
   explicit SyncThread(const WakeupDescriptor& wakeup);
-  // Waits for the sync under way; those that have not begun are dropped.
+  // Waits for the sync that is running. Syncs that have not started are dropped.
   ~SyncThread();
   SyncThread(const SyncThread&) = delete;
   SyncThread& operator=(const SyncThread&) = delete;
 
-  // Syncs `file` on the thread. `on_done` gets 0 or errno, from within DeliverResults.
+  // Queues a sync of `file`. `on_done` is called from within DeliverResults() with 0 or an errno number.
   void Sync(std::shared_ptr<File> file, std::function<void(int error)> on_done);
+  // Calls the callbacks of all syncs that have completed.
   void DeliverResults();
 
  private:
@@ -39,7 +41,7 @@
   void RunJobs();
 
   const WakeupDescriptor& wakeup_;
-  std::mutex mutex_;  // of the three that follow
+  std::mutex mutex_;  // guards the three members below
   std::deque<Job> queued_jobs_;
   std::vector<Job> completed_jobs_;
   bool is_stopping_ = false;
