--- a/src/app/dispatcher.h
+++ b/src/app/dispatcher.h
@@ -51,7 +51,7 @@
   void Shutdown();
   // Applies a new configuration, on SIGHUP. Only the settings that may change while the process runs are
   // used. Throws std::runtime_error, and applies nothing, if peer_listen has changed or the redrive rules
-  // can't be used.
+  // can't be used. Does nothing during the shutdown and after a handover.
   void Reload(const Config& config);
 
   // Why this object broke the event loop without having been asked to shut down; empty if it did not.
--- a/src/app/shutdown_sequence.h
+++ b/src/app/shutdown_sequence.h
@@ -29,8 +29,9 @@
   // process remain to be reported to it.
   void BeginAfterHandover();
 
-  // Breaks the event loop, after a short delay, if no work is pending. Must be called whenever a piece of
-  // work has been completed. Does nothing before Begin() or BeginAfterHandover().
+  // Breaks the event loop, after a short delay, if no work is pending and, after Begin(), no client can send
+  // a request any more. Must be called whenever a piece of work has been completed. Does nothing before
+  // Begin() or BeginAfterHandover().
   void ExitIfDone();
   // Returns whether Begin() has been called.
   bool is_requested() const { return is_requested_; }
--- a/tests/app/clients_test.cpp
+++ b/tests/app/clients_test.cpp
@@ -1,5 +1,6 @@
-// Clients that send malformed or incomplete requests, or nothing: each gets an error or its connection is
-// closed, none of its messages is accepted, and well-behaved clients are served meanwhile.
+// Tests of clients that send malformed requests, incomplete requests, or nothing. Each such client must get
+// an error or have its connection closed, none of its messages may be accepted, and other clients must be
+// served meanwhile.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -9,183 +10,198 @@
 namespace sagetally {
 namespace {
 
+// Latency is not checked with AddressSanitizer, which slows the program down.
 #ifdef __SANITIZE_ADDRESS__
-constexpr bool kTimesAreMeaningful = false;
+constexpr bool kChecksLatency = false;
 #else
-constexpr bool kTimesAreMeaningful = true;
+constexpr bool kChecksLatency = true;
 #endif
 
-// The head of a message with the headers and body of `rest`.
-std::string Message(const std::string& id, const std::string& rest, const std::string& path = "/aviso") {
+// Returns a request that submits a message. `rest` holds its further headers and its body.
+std::string SubmissionRequest(const std::string& id, const std::string& rest,
+                              const std::string& path = "/aviso") {
   return "POST " + path + " HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id +
          "\r\nX-Class: aviso\r\nX-Deadline: 900m\r\nX-Envelope: dest=7\r\n" + rest;
 }
 
-// Guards against request smuggling: where two readers see the end of a request in different places, no
-// request behind it is accepted.
-void MalformedRequestsAreRejectedAndNothingSmuggledBehindIsSent() {
-  World w;
-  w.Start();
-  const std::string hidden = Message("hidden", "Content-Length: 0\r\n\r\n");
+// Guards against request smuggling. Two HTTP implementations may disagree on where a malformed request ends,
+// so a request that follows it on the connection must not be accepted.
+void MalformedRequestIsRejectedWithARequestHiddenBehindIt() {
+  World world;
+  world.Start();
+  const std::string hidden_request = SubmissionRequest("hidden", "Content-Length: 0\r\n\r\n");
   const std::string malformed_requests[] = {
       "nonsense\r\n\r\n",
       "GET\r\n\r\n",
       std::string("\0\xff\x80 /aviso HTTP/1.1\r\n\r\n", 23),
-      Message("a", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden),
-      Message("a", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden),
-      Message("a", "Transfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden),
-      Message("a", "Transfer-Encoding: xchunked\r\n\r\n" + hidden),
-      Message("a", "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden),
-      Message("a", "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + hidden),
-      Message("a", "Content-Length: 0, 0\r\n\r\n" + hidden),
-      Message("a", "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden),
-      Message("a", "Content-Length: -1\r\n\r\n" + hidden),
-      Message("a", "Content-Length: +0\r\n\r\n" + hidden),
-      Message("a", "Content-Length: 0x0\r\n\r\n" + hidden),
-      Message("a", "Content-Length: 99999999999999999999999\r\n\r\n"),
-      Message("a", "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x')),
-      Message("a", "Content-Length: 60000000\r\n\r\n" + std::string(300000, 'x')),
-      Message("a", "Transfer-Encoding: chunked\r\n\r\nfffffff\r\n" + std::string(300000, 'x')),
-      Message("a", "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(300000, 'x')),
-      Message("a", "X-Endless: " + std::string(300000, 'x')),
+      SubmissionRequest("a",
+                        "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a",
+                        "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a",
+                        "Transfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Transfer-Encoding: xchunked\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: 0, 0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: -1\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: +0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: 0x0\r\n\r\n" + hidden_request),
+      SubmissionRequest("a", "Content-Length: 99999999999999999999999\r\n\r\n"),
+      SubmissionRequest("a", "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x')),
+      SubmissionRequest("a", "Content-Length: 60000000\r\n\r\n" + std::string(300000, 'x')),
+      SubmissionRequest("a", "Transfer-Encoding: chunked\r\n\r\nfffffff\r\n" + std::string(300000, 'x')),
+      SubmissionRequest("a", "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(300000, 'x')),
+      SubmissionRequest("a", "X-Endless: " + std::string(300000, 'x')),
       "POST /" + std::string(300000, 'x'),
-      Message("a", "Content-Length: 0\r\n\r\n", "/pedido"),   // two classes
-      Message("a", "Content-Length: 0\r\n\r\n", "/nothing"),  // one class and nonsense
+      SubmissionRequest("a", "Content-Length: 0\r\n\r\n", "/pedido"),   // names two classes
+      SubmissionRequest("a", "Content-Length: 0\r\n\r\n", "/nothing"),  // names an unknown class too
       "POST /aviso HTTP/1.1\r\nX-Request-Id: a\r\nX-Deadline: 900m\r\nX-Envelope: dest=8\r\n"
-      "Content-Length: 0\r\n\r\n"};  // a destination that no list has named
+      "Content-Length: 0\r\n\r\n"};  // an unknown destination
   for (const std::string& text : malformed_requests) {
-    RawClient bad(w.loop, w.dispatcher->port(), text);
-    RunUntil(w.loop, [&] { return bad.failed(); });
-    assert(bad.received.find(" 202 ") == std::string::npos);
+    RawClient client(world.loop, world.dispatcher->port(), text);
+    RunUntil(world.loop, [&] { return client.failed(); });
+    assert(client.received.find(" 202 ") == std::string::npos);
   }
-  assert(w.AwaitStatus(w.Post("aviso", "good")) == 202);
-  RunUntil(w.loop, [&] { return w.CountCalls() > 0; });
-  assert(w.CountCalls() == 1 && w.CountCallsOf("good") == 1);
+  assert(world.AwaitStatus(world.Post("aviso", "good")) == 202);
+  RunUntil(world.loop, [&] { return world.CountCalls() > 0; });
+  assert(world.CountCalls() == 1 && world.CountCallsOf("good") == 1);
 }
 
-// Guards against clients that never complete a request: their connections are closed within a fixed time.
+// Guards against clients that never complete a request. Their connections must be closed within 3 s, and an
+// idle connection after more than 2 s.
 void IncompleteAndIdleConnectionsAreClosedInTime() {
-  World w;
-  w.Start();
-  RawClient half(w.loop, w.dispatcher->port(), "POST /aviso HT");
-  RawClient body(w.loop, w.dispatcher->port(), Message("a", "Content-Length: 10\r\n\r\n12345"));
-  RawClient unused(w.loop, w.dispatcher->port(), "");
-  RawClient idle(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
+  World world;
+  world.Start();
+  RawClient half_head(world.loop, world.dispatcher->port(), "POST /aviso HT");
+  RawClient half_body(world.loop, world.dispatcher->port(),
+                      SubmissionRequest("a", "Content-Length: 10\r\n\r\n12345"));
+  RawClient unused(world.loop, world.dispatcher->port(), "");
+  RawClient idle(world.loop, world.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
   const auto start = std::chrono::steady_clock::now();
-  RunUntil(w.loop, [&] { return half.failed() && body.failed() && unused.failed(); });
+  RunUntil(world.loop, [&] { return half_head.failed() && half_body.failed() && unused.failed(); });
   assert(std::chrono::steady_clock::now() - start < 3s);
-  RunUntil(w.loop, [&] { return idle.closed; });  // an idle connection is closed in the end
+  RunUntil(world.loop, [&] { return idle.closed; });
   assert(idle.received.starts_with("HTTP/1.1 200") && std::chrono::steady_clock::now() - start > 2s);
 }
 
-// Guards the descriptors: unused and idle connections are closed when clients with requests need them.
+// Guards against unused and idle connections that use up the descriptors. They must be closed when clients
+// with requests need descriptors.
 void UnusedAndIdleConnectionsAreClosedForClientsWithRequests() {
-  World w;
-  w.sockets = 96;
-  w.Start();
-  std::vector<std::unique_ptr<RawClient>> crowd;
+  World world;
+  world.sockets = 96;
+  world.Start();
+  std::vector<std::unique_ptr<RawClient>> other_clients;
   for (int i = 0; i < 100; ++i) {
-    crowd.push_back(std::make_unique<RawClient>(w.loop, w.dispatcher->port(),
-                                                i % 2 == 0 ? "" : "GET /healthz HTTP/1.1\r\n\r\n"));
+    other_clients.push_back(std::make_unique<RawClient>(world.loop, world.dispatcher->port(),
+                                                        i % 2 == 0 ? "" : "GET /healthz HTTP/1.1\r\n\r\n"));
   }
-  for (int i = 0; i < 20; ++i) assert(w.AwaitStatus(w.Post("aviso", "a" + std::to_string(i))) == 202);
-  RunUntil(w.loop, [&] { return w.CountCalls() == 20; });
+  for (int i = 0; i < 20; ++i) assert(world.AwaitStatus(world.Post("aviso", "a" + std::to_string(i))) == 202);
+  RunUntil(world.loop, [&] { return world.CountCalls() == 20; });
   std::size_t open = 0;
-  for (const auto& client : crowd) open += client->closed ? 0 : 1;
+  for (const auto& client : other_clients) open += client->closed ? 0 : 1;
   assert(open <= 96 / 3);
 }
 
-// Half of the platform's smallest limits, and thousands of connections that send nothing or stop half-way:
-// messages on new connections are accepted, and so is one that comes byte by byte for more than two seconds.
-void SlowRequestIsAcceptedBesideThousandsOfIncompleteOnes() {
-  World w;
-  w.sockets = 128;
-  w.Start();
-  const std::string slow_text = Message("slow", "Content-Length: 4\r\n\r\nslow");
-  RawClient slow(w.loop, w.dispatcher->port(), slow_text.substr(0, 1));
-  std::deque<std::unique_ptr<RawClient>> crowd;
+// With half of the platform's smallest socket limit, more than a thousand connections send nothing or only a
+// part of a request. Messages on new connections must be accepted meanwhile, and so must a message that
+// arrives byte by byte for more than two seconds.
+void SlowRequestIsAcceptedBesideManyIncompleteOnes() {
+  World world;
+  world.sockets = 128;
+  world.Start();
+  const std::string slow_text = SubmissionRequest("slow", "Content-Length: 4\r\n\r\nslow");
+  RawClient slow(world.loop, world.dispatcher->port(), slow_text.substr(0, 1));
+  std::deque<std::unique_ptr<RawClient>> incomplete_clients;
   const auto started_at = std::chrono::steady_clock::now();
   std::size_t written = 1;
   int connections = 0;
   int messages = 0;
   while (written < slow_text.size() || connections < 1200) {
-    // A message, and a crowd behind it: as long as fewer connections come between two bytes of the slow one
-    // than the table has places, the slow one is not the longest silent.
-    ClientRequest& ask = w.Post("aviso", "m" + std::to_string(messages++));
+    // Each round submits a message and opens more connections. Between two bytes of the slow request there
+    // are fewer new connections than the server can hold. So the slow client is never the one that has been
+    // silent for the longest time, which the server evicts.
+    ClientRequest& request = world.Post("aviso", "m" + std::to_string(messages++));
     for (int i = 0; i < 6; ++i, ++connections) {
-      crowd.push_back(std::make_unique<RawClient>(
-          w.loop, w.dispatcher->port(),
-          connections % 8 == 0 ? "" : Message("half", "Content-Length: 9\r\n\r\nhalf")));
-      if (crowd.size() > 400) crowd.pop_front();
+      incomplete_clients.push_back(std::make_unique<RawClient>(
+          world.loop, world.dispatcher->port(),
+          connections % 8 == 0 ? "" : SubmissionRequest("half", "Content-Length: 9\r\n\r\nhalf")));
+      if (incomplete_clients.size() > 400) incomplete_clients.pop_front();
     }
-    assert(w.AwaitStatus(ask) == 202);
-    RunFor(w.loop, 15ms);
+    assert(world.AwaitStatus(request) == 202);
+    RunFor(world.loop, 15ms);
     const std::size_t due = slow_text.size() * (std::chrono::steady_clock::now() - started_at) / 2100ms;
     if (written < std::min(due, slow_text.size())) {
       slow.Write(slow_text.substr(written, due - written));
       written = due;
     }
   }
-  RunUntil(w.loop, [&] { return slow.received.find(" 202 ") != std::string::npos || slow.closed; });
-  assert(slow.received.find(" 202 ") != std::string::npos && w.dispatcher->client_connections() <= 128 / 3);
-  RunUntil(w.loop, [&] {
-    return w.CountCallsOf("slow") == 1 && w.CountCalls() == static_cast<std::size_t>(messages) + 1;
+  RunUntil(world.loop, [&] { return slow.received.find(" 202 ") != std::string::npos || slow.closed; });
+  assert(slow.received.find(" 202 ") != std::string::npos &&
+         world.dispatcher->client_connections() <= 128 / 3);
+  RunUntil(world.loop, [&] {
+    return world.CountCallsOf("slow") == 1 && world.CountCalls() == static_cast<std::size_t>(messages) + 1;
   });
 }
 
-// Thousands of connections at once, at half of each of the platform's limits: a message on a new connection
-// is answered before a client times out, an operator's request within a second, and no limit on descriptors
-// is exceeded.
+// Opens up to 2500 connections at once, with half of each socket limit that the platform sets. A message on a
+// new connection must be answered before its client times out, together with an operator's request, and the
+// server must never hold more connections than its limit.
 void ConnectionBurstIsShedAtAnySocketLimit() {
   rlimit descriptors{};
   getrlimit(RLIMIT_NOFILE, &descriptors);
   descriptors.rlim_cur = descriptors.rlim_max;
   setrlimit(RLIMIT_NOFILE, &descriptors);
-  const int crowds = std::min<int>(2500, static_cast<int>(std::min<rlim_t>(descriptors.rlim_cur, 8192)) / 3);
+  const int burst_size =
+      std::min<int>(2500, static_cast<int>(std::min<rlim_t>(descriptors.rlim_cur, 8192)) / 3);
   for (const int sockets : {96, 128, 192, 512}) {
-    World w;
-    w.sockets = sockets;
-    w.admin = true;
-    w.Start();
-    const std::string texts[] = {"", "POST /aviso HTTP/1.1\r\nX-Req",
-                                 Message("half", "Content-Length: 9\r\n\r\nhalf")};
-    std::vector<std::unique_ptr<RawClient>> crowd;
-    for (int i = 0; i < crowds; ++i) {
-      crowd.push_back(std::make_unique<RawClient>(w.loop, w.dispatcher->port(), texts[i % 3]));
+    World world;
+    world.sockets = sockets;
+    world.admin = true;
+    world.Start();
+    const std::string partial_requests[] = {"", "POST /aviso HTTP/1.1\r\nX-Req",
+                                            SubmissionRequest("half", "Content-Length: 9\r\n\r\nhalf")};
+    std::vector<std::unique_ptr<RawClient>> burst;
+    for (int i = 0; i < burst_size; ++i) {
+      burst.push_back(
+          std::make_unique<RawClient>(world.loop, world.dispatcher->port(), partial_requests[i % 3]));
     }
     for (int i = 0; i < 10; ++i) {
       const auto started_at = std::chrono::steady_clock::now();
-      ClientRequest& ask = w.Post("aviso", "m" + std::to_string(i));
-      RawClient operator_client(w.loop, w.dispatcher->admin_port(), "STATUS\n");
-      assert(w.AwaitStatus(ask) == 202);
-      RunUntil(w.loop, [&] { return operator_client.closed; });
+      ClientRequest& request = world.Post("aviso", "m" + std::to_string(i));
+      RawClient operator_client(world.loop, world.dispatcher->admin_port(), "STATUS\n");
+      assert(world.AwaitStatus(request) == 202);
+      RunUntil(world.loop, [&] { return operator_client.closed; });
       assert(operator_client.received == "done ready\n");
-      // The crowd's own end, and its accepts, come first in this one thread.
-      if (i > 0 && kTimesAreMeaningful) assert(std::chrono::steady_clock::now() - started_at < 400ms);
-      assert(w.dispatcher->client_connections() <= static_cast<std::size_t>(sockets) / 3);
+      // In the first round the burst is connected and accepted on the same thread, which takes long.
+      if (i > 0 && kChecksLatency) assert(std::chrono::steady_clock::now() - started_at < 400ms);
+      assert(world.dispatcher->client_connections() <= static_cast<std::size_t>(sockets) / 3);
     }
-    RunUntil(w.loop, [&] { return w.CountCalls() == 10; });
-    // Each of the crowd soon gets an error, or its connection is closed.
+    RunUntil(world.loop, [&] { return world.CountCalls() == 10; });
+    // Each connection of the burst must get an error or be closed within 3 s.
     const auto started_at = std::chrono::steady_clock::now();
-    RunUntil(w.loop, [&] { return std::ranges::all_of(crowd, [](const auto& c) { return c->failed(); }); });
+    RunUntil(world.loop,
+             [&] { return std::ranges::all_of(burst, [](const auto& client) { return client->failed(); }); });
     assert(std::chrono::steady_clock::now() - started_at < 3s);
   }
 }
 
 void PipelinedRequestsAreAnsweredInOrder() {
-  World w;
-  w.Start();
-  std::string all;
-  for (int i = 0; i < 200; ++i) all += "GET /healthz HTTP/1.1\r\n\r\n";
-  all += Message("m", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n");
-  RawClient client(w.loop, w.dispatcher->port(), all);
-  RunUntil(w.loop, [&] { return client.received.ends_with("100 Continue\r\n\r\n"); });
+  World world;
+  world.Start();
+  std::string requests;
+  for (int i = 0; i < 200; ++i) requests += "GET /healthz HTTP/1.1\r\n\r\n";
+  requests += SubmissionRequest("m", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n");
+  RawClient client(world.loop, world.dispatcher->port(), requests);
+  RunUntil(world.loop, [&] { return client.received.ends_with("100 Continue\r\n\r\n"); });
   client.Write("2\r\nhi\r\n0\r\n\r\n");
-  RunUntil(w.loop, [&] { return client.received.find(" 202 ") != std::string::npos && w.CountCalls() == 1; });
-  assert(w.endpoints[0]->calls[0].body == "hi");
-  std::size_t answers = 0;
-  for (std::size_t at = 0; (at = client.received.find(" 200 ", at)) != std::string::npos; ++at) ++answers;
-  assert(answers == 200);
+  RunUntil(world.loop,
+           [&] { return client.received.find(" 202 ") != std::string::npos && world.CountCalls() == 1; });
+  assert(world.endpoints[0]->calls[0].body == "hi");
+  std::size_t responses = 0;
+  for (std::size_t i = 0; (i = client.received.find(" 200 ", i)) != std::string::npos; ++i) ++responses;
+  assert(responses == 200);
 }
 
 }  // namespace
@@ -193,10 +209,10 @@
 
 int main() {
   using namespace sagetally;
-  MalformedRequestsAreRejectedAndNothingSmuggledBehindIsSent();
+  MalformedRequestIsRejectedWithARequestHiddenBehindIt();
   IncompleteAndIdleConnectionsAreClosedInTime();
   UnusedAndIdleConnectionsAreClosedForClientsWithRequests();
-  SlowRequestIsAcceptedBesideThousandsOfIncompleteOnes();
+  SlowRequestIsAcceptedBesideManyIncompleteOnes();
   ConnectionBurstIsShedAtAnySocketLimit();
   PipelinedRequestsAreAnsweredInOrder();
   std::puts("6 passed, 0 failed");
--- a/tests/app/cloudevents_test.cpp
+++ b/tests/app/cloudevents_test.cpp
@@ -1,5 +1,5 @@
-// The CloudEvents frontend: tables of cases for its parsers, its rules on real sockets, and mixed traffic
-// whose outcomes are compared message by message.
+// Tests of the CloudEvents frontend: its parsers, its rules on real sockets, and a comparison of the outcomes
+// of both protocols message by message.
 #include "frontend/cloudevents/cloud_event.h"
 #include "world.h"
 
@@ -9,222 +9,238 @@
 const char kStructuredType[] = "application/cloudevents+json";
 const char kBatchType[] = "application/cloudevents-batch+json";
 
-std::string Event(const std::string& id, const std::string& cls, const std::string& more = "") {
-  return R"({"specversion":"1.0","id":")" + id + R"(","source":"/shop","type":"t","messageclass":")" + cls +
-         R"(","destination":7,"deadlinems":9000,"idempotencykey":"k-)" + id + "\"" + more + "}";
+// Returns an event in the JSON format. `extra_members` starts with a comma.
+std::string EventJson(const std::string& id, const std::string& class_name,
+                      const std::string& extra_members = "") {
+  return R"({"specversion":"1.0","id":")" + id + R"(","source":"/shop","type":"t","messageclass":")" +
+         class_name + R"(","destination":7,"deadlinems":9000,"idempotencykey":"k-)" + id + "\"" +
+         extra_members + "}";
 }
-Headers Binary(const std::string& id, const std::string& cls) {
+// Returns the headers of an event in binary mode.
+Headers BinaryModeHeaders(const std::string& id, const std::string& class_name) {
   return {{"ce-specversion", "1.0"},        {"ce-id", id},
           {"ce-source", "/shop"},           {"ce-type", "t"},
-          {"ce-destination", "7"},          {"ce-messageclass", cls},
+          {"ce-destination", "7"},          {"ce-messageclass", class_name},
           {"ce-idempotencykey", "k-" + id}, {"Content-Type", "text/plain"},
           {"ce-deadlinems", "9000"}};
 }
-std::string IdOf(const std::string& id) { return "/shop|" + id; }
+// Returns the id that the dispatcher gives a message, from the event's source and id.
+std::string RequestIdOf(const std::string& id) { return "/shop|" + id; }
 
-void EncodesHeadersInPercentForm() {
-  const std::pair<std::string, std::string> table[] = {
+void PercentEncodesHeaderValues() {
+  const std::pair<std::string, std::string> cases[] = {
       {"plain", "plain"}, {"a b", "a%20b"}, {"50%", "50%25"}, {"\"q\"", "%22q%22"}, {"\xc3\xa9", "%C3%A9"}};
-  for (const auto& [text, header] : table) {
+  for (const auto& [text, header] : cases) {
     assert(EncodeHeader(text) == header && DecodeHeader(header) == text);
   }
   assert(DecodeHeader("%zz%4") == "%zz%4");
 }
 
 void ParsesBinaryStructuredAndBatchMode() {
-  const std::tuple<const char*, std::string, std::string> good[] = {
-      {kStructuredType, Event("a", "aviso", R"(,"data":{"x": 1})"), R"({"x":1})"},
-      {kStructuredType, Event("a", "aviso", R"(,"datacontenttype":"text/plain","data":"hi")"), "hi"},
-      {kStructuredType, Event("a", "aviso", R"(,"data_base64":"AAH/")"), std::string("\0\1\xff", 3)},
-      {"application/cloudevents+json; charset=utf-8", Event("a", "aviso"), ""}};
-  for (const auto& [type, body, data] : good) {
+  const std::tuple<const char*, std::string, std::string> valid_cases[] = {
+      {kStructuredType, EventJson("a", "aviso", R"(,"data":{"x": 1})"), R"({"x":1})"},
+      {kStructuredType, EventJson("a", "aviso", R"(,"datacontenttype":"text/plain","data":"hi")"), "hi"},
+      {kStructuredType, EventJson("a", "aviso", R"(,"data_base64":"AAH/")"), std::string("\0\1\xff", 3)},
+      {"application/cloudevents+json; charset=utf-8", EventJson("a", "aviso"), ""}};
+  for (const auto& [type, body, data] : valid_cases) {
     const auto events = ParseCloudEvents({{"Content-Type", type}}, body);
     assert(events.size() == 1 && events[0].data == data && events[0].attributes.at("destination") == "7");
   }
   assert(ParseCloudEvents({{"Content-Type", kBatchType}}, "[]").empty());
-  assert(ParseCloudEvents({{"Content-Type", kBatchType}}, "[" + Event("a", "x") + "," + Event("b", "y") + "]")
+  assert(ParseCloudEvents({{"Content-Type", kBatchType}},
+                          "[" + EventJson("a", "x") + "," + EventJson("b", "y") + "]")
              .size() == 2);
-  const auto binary = ParseCloudEvents(Binary("a%20b", "aviso"), "bytes");
+  const auto binary = ParseCloudEvents(BinaryModeHeaders("a%20b", "aviso"), "bytes");
   assert(binary[0].data == "bytes" && binary[0].attributes.at("id") == "a b");
   assert(binary[0].attributes.at("datacontenttype") == "text/plain");
 }
 
 void RejectsMalformedEventsWithReason() {
-  const std::tuple<const char*, std::string, const char*> bad[] = {
+  const std::tuple<const char*, std::string, const char*> invalid_cases[] = {
       {kStructuredType, "{", "JSON"},
       {kStructuredType, "[]", "object"},
       {kStructuredType, R"({"specversion":"1.0","id":"a","source":"s"})", "type"},
       {kStructuredType, R"({"specversion":"0.3","id":"a","source":"s","type":"t"})", "specversion"},
-      {kStructuredType, Event("", "aviso"), "id"},
-      {kStructuredType, Event("a", "aviso", R"(,"Bad":"x")"), "lower-case"},
-      {kStructuredType, Event("a", "aviso", R"(,"bad":1.5)"), "bad"},
-      {kStructuredType, Event("a", "aviso", R"(,"data_base64":"?")"), "base64"},
-      {kStructuredType, Event("a", "aviso", R"(,"data":1,"data_base64":"AAAA")"), "both"},
-      {kBatchType, Event("a", "aviso"), "array"},
-      {kBatchType, "[" + Event("a", "aviso") + ",3]", "member 1"},
+      {kStructuredType, EventJson("", "aviso"), "id"},
+      {kStructuredType, EventJson("a", "aviso", R"(,"Bad":"x")"), "lower-case"},
+      {kStructuredType, EventJson("a", "aviso", R"(,"bad":1.5)"), "bad"},
+      {kStructuredType, EventJson("a", "aviso", R"(,"data_base64":"?")"), "base64"},
+      {kStructuredType, EventJson("a", "aviso", R"(,"data":1,"data_base64":"AAAA")"), "both"},
+      {kBatchType, EventJson("a", "aviso"), "array"},
+      {kBatchType, "[" + EventJson("a", "aviso") + ",3]", "member 1"},
       {"text/plain", "x", "no event"}};
-  for (const auto& [type, body, why] : bad) {
-    std::string said;
+  for (const auto& [type, body, expected_text] : invalid_cases) {
+    std::string message;
     try {
       ParseCloudEvents({{"Content-Type", type}}, body);
     } catch (const std::exception& e) {
-      said = e.what();
+      message = e.what();
     }
-    assert(said.find(why) != std::string::npos);
+    assert(message.find(expected_text) != std::string::npos);
   }
 }
 
 void DeliversBinaryEventAsBinary() {
-  World w;
-  w.Start();
+  World world;
+  world.Start();
   const std::string body("\0\1x", 3);
-  assert(w.AwaitStatus(w.PostEvent(Binary("e1", "pedido"), body)) == 202);
-  RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
-  const ReceivedCall& call = w.endpoints[0]->calls[0];
-  assert(call.body == body && call.key == "k-e1" && call.id == IdOf("e1"));
+  assert(world.AwaitStatus(world.PostEvent(BinaryModeHeaders("e1", "pedido"), body)) == 202);
+  RunUntil(world.loop, [&] { return world.CountCalls() == 1; });
+  const ReceivedCall& call = world.endpoints[0]->calls[0];
+  assert(call.body == body && call.key == "k-e1" && call.id == RequestIdOf("e1"));
   assert(HeaderValue(call.headers, "ce-id") == "e1" && HeaderValue(call.headers, "ce-source") == "/shop");
   assert(HeaderValue(call.headers, "Content-Type") == "text/plain");
 }
 
 void DuplicateEventIsDeliveredOnce() {
-  World w;
-  w.endpoints[0]->default_status = 0;
-  w.Start();
+  World world;
+  world.endpoints[0]->default_status = 0;
+  world.Start();
+  // The second event arrives while the first one is pending.
   for (int i = 0; i < 2; ++i)
-    assert(w.AwaitStatus(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // while it is pending
-  RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
-  w.endpoints[0]->Release();
-  assert(w.AwaitStatus(w.PostEvent(Binary("e2", "aviso"), "x")) == 202);
-  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf("e2")) == 1; });
-  assert(w.AwaitStatus(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // after its end
-  w.Kill();
-  w.Start();
-  assert(w.AwaitStatus(w.PostEvent(Binary("e1", "aviso"), "x")) == 202);  // and after a restart
-  assert(w.AwaitStatus(w.PostEvent(Binary("e3", "aviso"), "x")) == 202);
-  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf("e3")) == 1; });
-  assert(w.CountCallsOf(IdOf("e1")) == 1);
+    assert(world.AwaitStatus(world.PostEvent(BinaryModeHeaders("e1", "aviso"), "x")) == 202);
+  RunUntil(world.loop, [&] { return world.CountCalls() == 1; });
+  world.endpoints[0]->Release();
+  assert(world.AwaitStatus(world.PostEvent(BinaryModeHeaders("e2", "aviso"), "x")) == 202);
+  RunUntil(world.loop, [&] { return world.CountCallsOf(RequestIdOf("e2")) == 1; });
+  // This duplicate arrives after the completion of the event, the next one after a restart.
+  assert(world.AwaitStatus(world.PostEvent(BinaryModeHeaders("e1", "aviso"), "x")) == 202);
+  world.Kill();
+  world.Start();
+  assert(world.AwaitStatus(world.PostEvent(BinaryModeHeaders("e1", "aviso"), "x")) == 202);
+  assert(world.AwaitStatus(world.PostEvent(BinaryModeHeaders("e3", "aviso"), "x")) == 202);
+  RunUntil(world.loop, [&] { return world.CountCallsOf(RequestIdOf("e3")) == 1; });
+  assert(world.CountCallsOf(RequestIdOf("e1")) == 1);
 }
 
-// Guards against remembered ends that fill the journal: the oldest are forgotten, and new messages are
-// accepted.
-void OldestRememberedEndsAreForgottenForNewMessages() {
-  World w;
-  w.disk_mb = 1;
-  w.Start();
+// Guards against a journal that is full of completed events, which are retained for deduplication. The oldest
+// of them must be dropped so that new messages are accepted.
+void OldestRetainedEventsAreDroppedForNewMessages() {
+  World world;
+  world.disk_mb = 1;
+  world.Start();
   for (int i = 0; i < 60; ++i) {
-    Headers headers = Binary("e" + std::to_string(i), "aviso");
+    Headers headers = BinaryModeHeaders("e" + std::to_string(i), "aviso");
     headers.emplace_back("ce-note", std::string(20000, 'n'));
-    assert(w.AwaitStatus(w.PostEvent(headers, "x")) == 202);
-    RunUntil(w.loop, [&] { return w.CountCalls() == static_cast<std::size_t>(i) + 1; });
+    assert(world.AwaitStatus(world.PostEvent(headers, "x")) == 202);
+    RunUntil(world.loop, [&] { return world.CountCalls() == static_cast<std::size_t>(i) + 1; });
   }
 }
 
 void RejectedEventIsAcceptedAsNewMessage() {
-  World w(1, 1, 3);
-  w.endpoints[0]->default_status = 0;
-  w.Start();
+  World world(1, 1, 3);
+  world.endpoints[0]->default_status = 0;
+  world.Start();
   std::string rejected;
   for (int i = 0; rejected.empty(); ++i) {
     const std::string id = "e" + std::to_string(i);
-    if (w.AwaitStatus(w.PostEvent(Binary(id, "aviso"), "x")) == 429) rejected = id;
+    if (world.AwaitStatus(world.PostEvent(BinaryModeHeaders(id, "aviso"), "x")) == 429) rejected = id;
   }
-  w.endpoints[0]->Release();
-  RunUntil(w.loop, [&] { return w.CountCalls() >= 2; });
-  int code = 429;
-  while (code == 429) code = w.AwaitStatus(w.PostEvent(Binary(rejected, "aviso"), "x"));
-  assert(code == 202);
-  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf(rejected)) == 1; });
+  world.endpoints[0]->Release();
+  RunUntil(world.loop, [&] { return world.CountCalls() >= 2; });
+  int status = 429;
+  while (status == 429)
+    status = world.AwaitStatus(world.PostEvent(BinaryModeHeaders(rejected, "aviso"), "x"));
+  assert(status == 202);
+  RunUntil(world.loop, [&] { return world.CountCallsOf(RequestIdOf(rejected)) == 1; });
 }
 
 void BatchIsAcceptedWholeOrNotAtAll() {
-  World w(1, 8, 6);
-  w.Start();
+  World world(1, 8, 6);
+  world.Start();
   const Headers type = {{"Content-Type", kBatchType}};
-  const std::string good = "[" + Event("a", "aviso") + "," + Event("b", "pagamento") + "]";
-  for (const std::string& bad : {"[" + Event("x", "aviso") + "," + Event("y", "nosuch") + "]",
-                                 std::string("[") + Event("x", "aviso")}) {
-    assert(w.AwaitStatus(w.PostEvent(type, bad)) == 400);
+  const std::string valid_batch = "[" + EventJson("a", "aviso") + "," + EventJson("b", "pagamento") + "]";
+  for (const std::string& invalid_batch :
+       {"[" + EventJson("x", "aviso") + "," + EventJson("y", "nosuch") + "]",
+        std::string("[") + EventJson("x", "aviso")}) {
+    assert(world.AwaitStatus(world.PostEvent(type, invalid_batch)) == 400);
   }
   std::string many;
-  for (int i = 0; i < 7; ++i) many += (i == 0 ? "" : ",") + Event("x" + std::to_string(i), "aviso");
-  assert(w.AwaitStatus(w.PostEvent(type, "[" + many + "]")) == 429);
-  assert(w.AwaitStatus(w.PostEvent(type, good)) == 202);
-  RunUntil(w.loop, [&] { return w.CountCalls() == 2; });
-  assert(w.CountCallsOf(IdOf("a")) == 1 && w.CountCallsOf(IdOf("b")) == 1);
+  for (int i = 0; i < 7; ++i) many += (i == 0 ? "" : ",") + EventJson("x" + std::to_string(i), "aviso");
+  assert(world.AwaitStatus(world.PostEvent(type, "[" + many + "]")) == 429);
+  assert(world.AwaitStatus(world.PostEvent(type, valid_batch)) == 202);
+  RunUntil(world.loop, [&] { return world.CountCalls() == 2; });
+  assert(world.CountCallsOf(RequestIdOf("a")) == 1 && world.CountCallsOf(RequestIdOf("b")) == 1);
 }
 
-// Events of one batch follow their own classes, and the sink is notified of their ends until it acknowledges
-// them.
+// Each event of a batch is handled by the rules of its own class. The sink must be notified of failures again
+// until it acknowledges them.
 void SinkIsNotifiedOfFailuresUntilItAcknowledges() {
-  World w;
+  World world;
   std::string received;
   int request_count = 0;
-  w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
-                                        [&](const std::shared_ptr<Exchange>& e) {
-                                          if (request_count++ == 0) return void(e->Respond(503));
-                                          received += e->body();
-                                          e->Respond(200);
-                                        });
-  w.endpoints[0]->default_status = 500;
-  w.Start();
-  const std::string batch = "[" + Event("a", "aviso") + "," + Event("p", "pagamento") + "]";
-  assert(w.AwaitStatus(w.PostEvent({{"Content-Type", kBatchType}}, batch)) == 202);
-  RunUntil(w.loop, [&] { return received.find("sagetally.undeliverable") != std::string::npos; });
+  world.sink =
+      std::make_unique<HttpServer>(world.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
+                                   [&](const std::shared_ptr<Exchange>& exchange) {
+                                     if (request_count++ == 0) return void(exchange->Respond(503));
+                                     received += exchange->body();
+                                     exchange->Respond(200);
+                                   });
+  world.endpoints[0]->default_status = 500;
+  world.Start();
+  const std::string batch = "[" + EventJson("a", "aviso") + "," + EventJson("p", "pagamento") + "]";
+  assert(world.AwaitStatus(world.PostEvent({{"Content-Type", kBatchType}}, batch)) == 202);
+  RunUntil(world.loop, [&] { return received.find("sagetally.undeliverable") != std::string::npos; });
   const auto events = ParseCloudEvents({{"Content-Type", kBatchType}}, received);
   assert(events[0].attributes.at("subject") == "p");
   assert(events[0].data == R"({"source":"/shop","id":"p","status":"undeliverable"})");
-  w.endpoints[0]->Release();
-  RunUntil(w.loop, [&] { return w.CountCallsOf(IdOf("a")) >= 2; });
-  assert(w.CountCallsOf(IdOf("p")) == 1);
+  world.endpoints[0]->Release();
+  RunUntil(world.loop, [&] { return world.CountCallsOf(RequestIdOf("a")) >= 2; });
+  assert(world.CountCallsOf(RequestIdOf("p")) == 1);
 }
 
-// The same messages, each sent once through either frontend under the same conditions, have the same
-// outcomes.
+// Submits the same messages twice under the same conditions, each message once through either frontend. The
+// outcomes must be the same.
 void BothProtocolsGiveTheSameOutcomes() {
   const std::string classes[] = {"aviso", "pedido", "pagamento"};
-  const auto play = [&](bool events_first) {
-    World w(1, 4, 40);
+  // `events_first` says whether the messages with even numbers, or else those with odd ones, are CloudEvents.
+  const auto run_traffic = [&](bool events_first) {
+    World world(1, 4, 40);
     std::string results;
-    w.sink = std::make_unique<HttpServer>(w.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
-                                          [&](const std::shared_ptr<Exchange>& e) {
-                                            results += e->body();
-                                            e->Respond(200);
-                                          });
-    w.Start();
-    std::map<std::string, std::string> outcomes;  // by message: answer, calls, end
+    world.sink =
+        std::make_unique<HttpServer>(world.loop, Address{"127.0.0.1", 0}, HttpServer::Limits{1 << 20, 200},
+                                     [&](const std::shared_ptr<Exchange>& exchange) {
+                                       results += exchange->body();
+                                       exchange->Respond(200);
+                                     });
+    world.Start();
+    std::map<std::string, std::string> outcomes;  // by message id: status, number of calls, final status
     for (int i = 0; i < 24; ++i) {
       const std::string id = "m" + std::to_string(i);
       const std::string class_name = classes[i % 3];
       const bool as_event = (i % 2 == 0) == events_first;
-      // One message at a time, so that both plays meet the endpoint in the same state.
-      const int variant =
-          i % 4;  // 0, 2: delivered; 1: an error first, final for some classes; 3: an unknown class
-      w.endpoints[0]->script.clear();
-      if (variant == 1) w.endpoints[0]->script = {500};
-      const std::string named = variant == 3 ? "nosuch" : class_name;
-      ClientRequest& ask = as_event ? w.PostEvent(Binary(id, named), "x") : w.Post(named, id);
-      const int code = w.AwaitStatus(ask);
-      const std::string at_endpoint = as_event ? IdOf(id) : id;
+      // One message is submitted at a time, so that the endpoint is in the same state in both runs. Variants
+      // 0 and 2 are delivered. In variant 1 the first call gets an error, after which some classes are not
+      // retried. Variant 3 has an unknown class.
+      const int variant = i % 4;
+      world.endpoints[0]->script.clear();
+      if (variant == 1) world.endpoints[0]->script = {500};
+      const std::string submitted_class = variant == 3 ? "nosuch" : class_name;
+      ClientRequest& request = as_event ? world.PostEvent(BinaryModeHeaders(id, submitted_class), "x")
+                                        : world.Post(submitted_class, id);
+      const int status = world.AwaitStatus(request);
+      const std::string call_id = as_event ? RequestIdOf(id) : id;
       const bool fails = variant == 1 && class_name == "pagamento";
       const std::size_t expected = variant == 3 ? 0 : variant == 1 && !fails ? 2 : 1;
       const auto is_notified = [&] {
         return as_event ? results.find("\"id\":\"" + id + "\",\"status\":\"undeliverable\"") != results.npos
-                        : w.agent.HasNotice("\"id\":\"" + id + "\",\"status\":\"undeliverable\"");
+                        : world.agent.HasNotice("\"id\":\"" + id + "\",\"status\":\"undeliverable\"");
       };
-      RunUntil(w.loop, [&] { return w.CountCallsOf(at_endpoint) >= expected && (!fails || is_notified()); });
-      outcomes[id] = std::to_string(code) + " calls " + std::to_string(w.CountCallsOf(at_endpoint)) +
+      RunUntil(world.loop,
+               [&] { return world.CountCallsOf(call_id) >= expected && (!fails || is_notified()); });
+      outcomes[id] = std::to_string(status) + " calls " + std::to_string(world.CountCallsOf(call_id)) +
                      (is_notified() ? " undeliverable" : "");
     }
-    RunFor(w.loop, 50ms);  // nothing more comes
+    RunFor(world.loop, 50ms);
     return outcomes;
   };
-  const auto one = play(true);
-  const auto other = play(false);
-  assert(one.size() == 24 && one == other);
-  std::map<std::string, int> counted;
-  for (const auto& [id, outcome] : one) ++counted[outcome];
-  assert(counted["400 calls 0"] == 6 && counted["202 calls 1 undeliverable"] == 2);
-  assert(counted["202 calls 2"] == 4 && counted["202 calls 1"] == 12);
+  const auto first_run = run_traffic(true);
+  const auto second_run = run_traffic(false);
+  assert(first_run.size() == 24 && first_run == second_run);
+  std::map<std::string, int> outcome_counts;
+  for (const auto& [id, outcome] : first_run) ++outcome_counts[outcome];
+  assert(outcome_counts["400 calls 0"] == 6 && outcome_counts["202 calls 1 undeliverable"] == 2);
+  assert(outcome_counts["202 calls 2"] == 4 && outcome_counts["202 calls 1"] == 12);
 }
 
 }  // namespace
@@ -232,12 +248,12 @@
 
 int main() {
   using namespace sagetally;
-  EncodesHeadersInPercentForm();
+  PercentEncodesHeaderValues();
   ParsesBinaryStructuredAndBatchMode();
   RejectsMalformedEventsWithReason();
   DeliversBinaryEventAsBinary();
   DuplicateEventIsDeliveredOnce();
-  OldestRememberedEndsAreForgottenForNewMessages();
+  OldestRetainedEventsAreDroppedForNewMessages();
   RejectedEventIsAcceptedAsNewMessage();
   BatchIsAcceptedWholeOrNotAtAll();
   SinkIsNotifiedOfFailuresUntilItAcknowledges();
--- a/tests/app/loopback.h
+++ b/tests/app/loopback.h
@@ -1,5 +1,6 @@
-// Sockets of loopback, temporary folders, and waiting on an event loop, for tests. Nothing waits a fixed
-// time: Until runs the loop up to a limit.
+// Helpers for tests: sockets on the loopback interface, temporary folders, and functions that run an event
+// loop until a condition holds. Tests should wait with RunUntil(), which returns as soon as its condition
+// holds, rather than for a fixed time. Everything runs on the calling thread.
 #ifndef SAGETALLY_TESTS_APP_LOOPBACK_H_
 #define SAGETALLY_TESTS_APP_LOOPBACK_H_
 
@@ -21,29 +22,33 @@
 
 using namespace std::chrono_literals;
 
+// Returns the text of a port's address on the loopback interface.
 inline std::string At(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// Runs the loop until `is_done()`; a minute without it is a failure.
+// Runs the loop until `is_done` returns true. The test fails if that takes longer than a minute.
 template <typename Condition>
 void RunUntil(EventLoop& loop, Condition is_done) {
   const auto give_up_at = std::chrono::steady_clock::now() + 60s;
   while (!is_done()) {
     assert(std::chrono::steady_clock::now() < give_up_at);
-    Timer tick(loop, [] {});  // the loop turns at least this often, so that the limit is checked
+    Timer tick(loop, [] {});  // wakes the loop at least every 20 ms, so that the limit is checked
     tick.Schedule(20ms);
     event_base_loop(loop.base(), EVLOOP_ONCE);
   }
 }
 
+// Runs the loop for a fixed time, to check that nothing happens in it.
 inline void RunFor(EventLoop& loop, Duration duration) {
-  bool is_over = false;
-  Timer timer(loop, [&is_over] { is_over = true; });
+  bool has_fired = false;
+  Timer timer(loop, [&has_fired] { has_fired = true; });
   timer.Schedule(duration);
-  RunUntil(loop, [&is_over] { return is_over; });
+  RunUntil(loop, [&has_fired] { return has_fired; });
 }
 
-// A listener on a free port of loopback, which is stored in `port`.
+// Owns a listener of libevent.
 using ListenerPtr = std::unique_ptr<evconnlistener, Free<evconnlistener_free>>;
+// Returns a listener on a free port of the loopback interface, and stores that port in `port`. `on_accepted`
+// is called with `context` for each connection.
 inline ListenerPtr ListenOnLoopback(EventLoop& loop, evconnlistener_cb on_accepted, void* context,
                                     std::uint16_t& port) {
   sockaddr_in address{};
@@ -57,7 +62,7 @@
   return listener;
 }
 
-// A folder of its own, removed with all that is in it.
+// Creates a new folder, and removes it with its contents at the end.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
@@ -68,7 +73,7 @@
   ~TemporaryFolder() { std::filesystem::remove_all(path); }
   TemporaryFolder(const TemporaryFolder&) = delete;
   TemporaryFolder& operator=(const TemporaryFolder&) = delete;
-  std::string path;
+  std::string path;  // of the folder
 };
 
 }  // namespace sagetally
--- a/tests/app/parsers_test.cpp
+++ b/tests/app/parsers_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases for the parsers of deadlines, destinations, load reports, configurations and node files.
+// Tests of the parsers of deadlines, destinations, load reports, configurations and node files.
 #include <fstream>
 
 #include "world.h"
@@ -7,43 +7,43 @@
 namespace {
 
 void ParsesDeadlines() {
-  const std::pair<const char*, long> table[] = {{"480m", 480'000}, {"480u", 480}, {"1.5m", 1500}, {"0m", 0},
+  const std::pair<const char*, long> cases[] = {{"480m", 480'000}, {"480u", 480}, {"1.5m", 1500}, {"0m", 0},
                                                 {"", -1},          {"480", -1},   {"m", -1},      {"-1m", -1},
                                                 {"1s", -1},        {"nanm", -1},  {"1e99m", -1}};
-  for (const auto& [text, us] : table) {
+  for (const auto& [text, us] : cases) {
     const auto parsed = ParseDeadline(text);
     assert(us < 0 ? !parsed : parsed == Duration(us));
   }
 }
 
 void ParsesDestinations() {
-  const std::pair<const char*, int> table[] = {
+  const std::pair<const char*, int> cases[] = {
       {"dest=7", 7},  {"a=1,dest=0", 0}, {"a=1; dest=12", 12}, {"", -1},        {"dest=", -1},
       {"dest=x", -1}, {"dest=7x", -1},   {"dest=-3", -1},      {"adest=7", -1}, {"dest=99999999999", -1}};
-  for (const auto& [text, number] : table) {
+  for (const auto& [text, destination] : cases) {
     const auto parsed = ParseDestination(text);
-    assert(number < 0 ? !parsed : parsed == number);
+    assert(destination < 0 ? !parsed : parsed == destination);
   }
 }
 
-// Guards against a malformed report being read as a limit of zero.
+// Guards against a malformed report that is read as a rate limit of zero.
 void ParsesLoadReports() {
-  const std::tuple<const char*, double, double> table[] = {
+  const std::tuple<const char*, double, double> cases[] = {
       {"x0=0.4,x1=25", 0.4, 25}, {"x1=25, x0=0.4", 0.4, 25}, {"x1=7", 0, 7},    {"", 0, 0},
       {"x0=0.4,x1=", 0, 0},      {"x0=0.4,x1=-3", 0, 0},     {"x1=nan", 0, 0},  {"x1=25x", 0, 0},
       {"x1=1e999", 0, 0},        {"\xff\xfe", 0, 0},         {"x1=25,,", 0, 0}, {"cpu=0.5,x1=3", 0, 3}};
-  for (const auto& [text, left, limit] : table) {
+  for (const auto& [text, quota_left, rate_limit] : cases) {
     const LoadReport load = ParseLoadReport(text);
-    assert(load.quota_left == left && load.rate_limit == limit);
+    assert(load.quota_left == quota_left && load.rate_limit == rate_limit);
   }
 }
 
 void ConfigurationErrorsNameTheKey() {
-  const World w;
-  const std::string good = w.ConfigText();
-  const auto none = [](const char*) { return nullptr; };
-  assert(ParseConfig(good, none).site.policy.max_concurrent_calls == 8);
-  const std::tuple<const char*, const char*, const char*> table[] = {
+  const World world;
+  const std::string valid_text = world.ConfigText();
+  const auto no_variables = [](const char*) { return nullptr; };
+  assert(ParseConfig(valid_text, no_variables).site.policy.max_concurrent_calls == 8);
+  const std::tuple<const char*, const char*, const char*> cases[] = {
       {"\"listen\":\"127.0.0.1:0\"", "\"listen\":\"nowhere\"", "listen"},
       {"\"listen\":\"127.0.0.1:0\"", "\"listen\":\"a.test:80\"", "listen"},
       {"\"discovery\":", "\"other\":", "discovery"},
@@ -55,22 +55,22 @@
       {"\"uid\":", "\"uib\":", "uid"},
       {"in_service", "asleep", "asleep"},
       {"{", "", "JSON"}};
-  for (const auto& [from, to, key] : table) {
-    std::string text = good;
+  for (const auto& [from, to, key] : cases) {
+    std::string text = valid_text;
     text.replace(text.find(from), std::string(from).size(), to);
-    std::string message;
+    std::string error;
     try {
-      ParseConfig(text, none);
+      ParseConfig(text, no_variables);
     } catch (const std::exception& e) {
-      message = e.what();
+      error = e.what();
     }
-    assert(message.find(key) != std::string::npos);
+    assert(error.find(key) != std::string::npos);
   }
 }
 
 void NodeFileErrorsNameTheKey() {
   assert(!ParseNodeFile("{}").cloudevents && ReadNodeFile("/nonexistent").role == Role::kBoth);
-  const std::pair<const char*, const char*> table[] = {
+  const std::pair<const char*, const char*> cases[] = {
       {R"({"role":"boss"})", "role"},
       {R"({"role":"planner"})", "cloudevents"},
       {R"({"cloudevents":{}})", "listen"},
@@ -83,14 +83,14 @@
       {R"({"cloudevents":{"listen":"127.0.0.1:1","sink":"y"}})", "/cloudevents/sink"},
       {R"({"eureka":{"registry":"127.0.0.1:1","renew_ms":0}})", "renew_ms"},
       {"[", "JSON"}};
-  for (const auto& [text, key] : table) {
-    std::string message;
+  for (const auto& [text, key] : cases) {
+    std::string error;
     try {
       ParseNodeFile(text);
     } catch (const std::exception& e) {
-      message = e.what();
+      error = e.what();
     }
-    assert(message.find(key) != std::string::npos);
+    assert(error.find(key) != std::string::npos);
   }
 }
 
--- a/tests/app/process.sh
+++ b/tests/app/process.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The program as a process: a bad configuration ends it with one line that names the key, SIGTERM ends it
-# cleanly before 3.7 s, and each role starts from deploy/node.json.
+# Tests the program as a process. A configuration that can't be used must end it with one line that names the key.
+# SIGTERM must end it with exit code 0 in less than 3.7 s. Each role must start from deploy/node.json.
+# Prints "15 passed, 0 failed" as its last line; the first failed check ends the script with another exit code than 0.
 set -eu
 program=$1
 scratch=$(mktemp -d)
@@ -8,36 +9,39 @@
 cd "$scratch"
 mkdir deploy state
 export BALANCER_CONFIG="$scratch/config.json" BALANCER_STATE="$scratch/state"
-config() {
+# write_config LISTEN: writes config.json with the address LISTEN for clients.
+write_config() {
   cat >config.json <<JSON
 {"name":"n0","listen":"$1","discovery":"127.0.0.1:1","seed":"1","settings":{"flavors":["k"],
  "grades":[{"name":"aviso","slo":2000,"deadline":9000,"idempotency":"pure"}],
  "specifics":{"callsOut":2},"caps":{"mostHeld":9,"maxAttempts":3,"connIdle":15000}}}
 JSON
 }
-config nowhere
+write_config nowhere
 if "$program" >out 2>err; then exit 1; fi
 grep -q "^sagetally: listen" err
 [ "$(wc -l <err)" = 1 ]
 
-starts() { # line that says it is ready
-  : >out  # without the lines of the last run
+# start_and_stop READY: starts the program, waits for the line READY in its log, and stops it with SIGTERM.
+start_and_stop() {
+  : >out  # removes the lines of the last run
   "$program" >out 2>err &
   pid=$!
   until grep -q "$1" out; do
     kill -0 $pid || { cat err; exit 1; }
     sleep 0.02
   done
-  began=$(date +%s%N)
+  stopped_at=$(date +%s%N)
   kill -TERM $pid
   wait $pid
-  [ $((($(date +%s%N) - began) / 1000000)) -lt 3700 ]
+  [ $((($(date +%s%N) - stopped_at) / 1000000)) -lt 3700 ]
 }
-config 127.0.0.1:0
-starts " ready name=n0"
-# SIGHUP: a file that can't be used is one line in the log, a good one is used, and the process continues. The file takes
-# precedence over the variables then.
-reload_logs() { # line that it writes after SIGHUP
+write_config 127.0.0.1:0
+start_and_stop " ready name=n0"
+# On SIGHUP the program reads the file again. One that can't be used must give one line in the log, a valid one must be
+# used, and the process must continue in both cases. At a reload the file takes precedence over the environment.
+# reload_logs LINE: sends SIGHUP, and waits for LINE in the log.
+reload_logs() {
   kill -HUP $pid
   until grep -q "$1" out; do
     kill -0 $pid
@@ -48,9 +52,9 @@
 BALANCER_DISCOVERY=127.0.0.1:2 "$program" >out 2>err &
 pid=$!
 until grep -q " ready " out; do sleep 0.02; done
-config nowhere
+write_config nowhere
 reload_logs "error reload.rejected why=.*listen"
-config 127.0.0.1:0
+write_config 127.0.0.1:0
 reload_logs "reload.done discovery=127.0.0.1:1"
 kill -TERM $pid
 wait $pid
@@ -58,9 +62,10 @@
   cat >deploy/node.json <<JSON
 {"role":"$role","cloudevents":{"listen":"127.0.0.1:0"},"eureka":{"registry":"127.0.0.1:1"}}
 JSON
-  starts " ready "
+  start_and_stop " ready "
 done
-fails() { # exit code, what standard error must hold, arguments
+# expect_failure CODE TEXT ARGUMENTS: runs the program, which must exit with CODE and write TEXT to standard error.
+expect_failure() {
   code=0
   # shellcheck disable=SC2086 # the third argument is a list of words
   "$program" $3 >out 2>err || code=$?
@@ -71,13 +76,13 @@
   fi
 }
 echo '{"role":"boss"}' >deploy/node.json
-fails 1 'deploy/node.json: /role: expected both .*found "boss"' serve
-# A flag and an environment variable take precedence over the file, and check-config ends by itself.
+expect_failure 1 'deploy/node.json: /role: expected both .*found "boss"' serve
+# A flag and an environment variable must take precedence over the file, and check-config must exit by itself.
 "$program" check-config --role both | grep -q "can be used"
 SAGETALLY_ROLE=both "$program" check-config | grep -q "can be used"
-fails 1 '/cloudevents/listen: expected an address' "check-config --role both --cloudevents.listen nowhere"
-fails 2 'level' "--log-level loud"
-fails 2 'nonsense' nonsense
+expect_failure 1 '/cloudevents/listen: expected an address' "check-config --role both --cloudevents.listen nowhere"
+expect_failure 2 'level' "--log-level loud"
+expect_failure 2 'nonsense' nonsense
 "$program" --version | grep -q "^sagetally [0-9]"
 "$program" kept list --help | grep -q -- --filter
 rm deploy/node.json
--- a/tests/app/raw_server.h
+++ b/tests/app/raw_server.h
@@ -1,4 +1,5 @@
-// A server for tests that gets the bytes of each connection as they come and answers with any bytes.
+// A base class for test servers that receive the bytes of each connection as they arrive, and may send any
+// bytes. Used on the event loop's thread only.
 #ifndef SAGETALLY_TESTS_APP_RAW_SERVER_H_
 #define SAGETALLY_TESTS_APP_RAW_SERVER_H_
 
@@ -10,6 +11,7 @@
 
 namespace sagetally {
 
+// Listens on a free port of the loopback interface.
 class RawServer {
  public:
   explicit RawServer(EventLoop& loop)
@@ -18,14 +20,15 @@
   RawServer(const RawServer&) = delete;
   RawServer& operator=(const RawServer&) = delete;
 
-  std::uint16_t port = 0;
+  std::uint16_t port = 0;  // on which it listens
 
  protected:
   EventLoop& loop() { return loop_; }
+  // Sends `text` on a connection.
   static void Write(bufferevent* connection, const std::string& text) {
     bufferevent_write(connection, text.data(), text.size());
   }
-  // The X-Request-Id of a request.
+  // Returns the value of the header X-Request-Id, which the request must have.
   static std::string RequestId(const std::string& request) {
     constexpr char kHeader[] = "X-Request-Id: ";
     const std::size_t start = request.find(kHeader) + sizeof kHeader - 1;
@@ -33,9 +36,11 @@
   }
 
  private:
+  // Called for each new connection.
   virtual void OnConnected(bufferevent*) {}
-  // `text`: all bytes that have come since the last call.
+  // `text` holds all bytes that have arrived since the last call.
   virtual void OnText(bufferevent* connection, const std::string& text) = 0;
+  // Called once when the peer has closed a connection, or after an error of it.
   virtual void OnClosed(bufferevent*) {}
 
   static void OnAccepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
@@ -51,13 +56,13 @@
   }
   static void OnEvent(bufferevent* connection, short events, void* self) {
     if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
-    bufferevent_setcb(connection, nullptr, nullptr, nullptr, nullptr);  // once
+    bufferevent_setcb(connection, nullptr, nullptr, nullptr, nullptr);  // so that OnClosed() is called once
     static_cast<RawServer*>(self)->OnClosed(connection);
   }
 
   EventLoop& loop_;
-  std::vector<BufferEventPtr>
-      connections_;  // until the server goes, so that their addresses are not used again
+  // Closed connections too, so that the address of each remains unique while the server exists.
+  std::vector<BufferEventPtr> connections_;
   ListenerPtr listener_;
 };
 
--- a/tests/app/restart_test.cpp
+++ b/tests/app/restart_test.cpp
@@ -1,99 +1,103 @@
-// Restarts: unattempted messages are sent, messages that may have been executed are retried only as their
-// class allows, and a second kill in between changes nothing.
+// Tests of restarts after a kill. Messages without an attempt must be sent. Messages whose attempt may have
+// run must be retried only if their class allows it. A second kill right after the restart must not change
+// that.
 #include "world.h"
 
 namespace sagetally {
 namespace {
 
-// As many unattempted messages as may be pending, and a second kill right after the restart: each is sent
-// once, none fails.
+// Kills a dispatcher with about as many messages without an attempt as may be pending, and once more right
+// after the restart. Each message must be sent once, and none may fail.
 void UnattemptedMessagesAreSentAfterRestart() {
   for (const bool killed_again : {false, true}) {
-    World w(2, 3, 50);
-    for (auto& endpoint : w.endpoints) endpoint->default_status = 0;
-    w.Start();
+    World world(2, 3, 50);
+    for (auto& endpoint : world.endpoints) endpoint->default_status = 0;
+    world.Start();
     const char* const classes[] = {"aviso", "pedido", "pagamento"};
     std::vector<std::string> ids;
-    while (w.CountCalls() < 3) {  // the slots are taken by calls that are never answered
-      const std::string id = "out" + std::to_string(w.client_requests.size());
-      assert(w.AwaitStatus(w.Post("aviso", id)) == 202);
-      RunUntil(w.loop, [&] { return w.CountCallsOf(id) == 1; });
+    while (world.CountCalls() < 3) {  // until calls without an answer occupy all slots
+      const std::string id = "out" + std::to_string(world.client_requests.size());
+      assert(world.AwaitStatus(world.Post("aviso", id)) == 202);
+      RunUntil(world.loop, [&] { return world.CountCallsOf(id) == 1; });
     }
     for (int i = 0; i < 40; ++i) {
       ids.push_back("m" + std::to_string(i));
-      assert(w.AwaitStatus(w.Post(classes[i % 3], ids.back())) == 202);
+      assert(world.AwaitStatus(world.Post(classes[i % 3], ids.back())) == 202);
     }
-    assert(w.CountCalls() == 3);
-    w.Kill();
+    assert(world.CountCalls() == 3);
+    world.Kill();
     if (killed_again) {
-      w.Start();
-      w.Kill();  // before the loop has turned: nothing was sent
+      world.Start();
+      world.Kill();  // the loop has not run, so nothing has been sent
     }
-    for (auto& endpoint : w.endpoints) endpoint->Release();
-    w.Start();
-    RunUntil(w.loop, [&] {
-      return std::ranges::all_of(ids, [&](const auto& id) { return w.CountCallsOf(id) == 1; });
+    for (auto& endpoint : world.endpoints) endpoint->Release();
+    world.Start();
+    RunUntil(world.loop, [&] {
+      return std::ranges::all_of(ids, [&](const auto& id) { return world.CountCallsOf(id) == 1; });
     });
-    assert(w.agent.notices.empty());
-    w.dispatcher->Shutdown();
-    event_base_dispatch(w.loop.base());  // until no message is pending
-    w.Kill();
-    const std::size_t calls = w.CountCalls();
-    w.Start();  // all has ended
-    assert(w.AwaitStatus(w.Post("aviso", "fresh")) == 202);
-    RunUntil(w.loop, [&] { return w.CountCallsOf("fresh") == 1; });
-    assert(w.CountCalls() == calls + 1);
+    assert(world.agent.notices.empty());
+    world.dispatcher->Shutdown();
+    event_base_dispatch(world.loop.base());  // returns once no message is pending
+    world.Kill();
+    const std::size_t calls = world.CountCalls();
+    world.Start();  // with no pending message
+    assert(world.AwaitStatus(world.Post("aviso", "fresh")) == 202);
+    RunUntil(world.loop, [&] { return world.CountCallsOf("fresh") == 1; });
+    assert(world.CountCalls() == calls + 1);
   }
 }
 
-// The window counts from the first attempt on record, over the restart: inside of it an in-flight message
-// with a key is retried; outside of it the sender is notified that it is undeliverable, and nothing is sent.
+// The deduplication window counts from the first attempt in the journal, and continues over the restart.
+// Within the window a message with a key whose call was in flight must be retried. After the window its
+// sender must be notified that it is undeliverable, and it must not be sent.
 void DeduplicationWindowContinuesOverRestart() {
-  for (const bool over : {false, true}) {
-    World w;
-    w.repeat_window_ms = over ? 200 : 9000;
-    w.endpoints[0]->default_status = 0;
-    w.Start();
-    assert(w.AwaitStatus(w.Post("pedido", "out")) == 202);
-    RunUntil(w.loop, [&] { return w.CountCallsOf("out") == 1; });
-    w.Kill();
-    w.endpoints[0]->Release();
-    const auto down = std::chrono::steady_clock::now();
-    RunUntil(w.loop,
-             [&] { return std::chrono::steady_clock::now() > down + 210ms; });  // the window's own time
-    w.Start();
-    RunUntil(w.loop, [&] { return w.CountCallsOf("out") == 2 || w.agent.HasNotice("\"out\""); });
-    assert(w.CountCallsOf("out") == (over ? 1 : 2) && w.agent.HasNotice("\"out\"") == over);
+  for (const bool has_expired : {false, true}) {
+    World world;
+    world.repeat_window_ms = has_expired ? 200 : 9000;
+    world.endpoints[0]->default_status = 0;
+    world.Start();
+    assert(world.AwaitStatus(world.Post("pedido", "out")) == 202);
+    RunUntil(world.loop, [&] { return world.CountCallsOf("out") == 1; });
+    world.Kill();
+    world.endpoints[0]->Release();
+    const auto killed_at = std::chrono::steady_clock::now();
+    // Waits until a window of 200 ms is over.
+    RunUntil(world.loop, [&] { return std::chrono::steady_clock::now() > killed_at + 210ms; });
+    world.Start();
+    RunUntil(world.loop, [&] { return world.CountCallsOf("out") == 2 || world.agent.HasNotice("\"out\""); });
+    assert(world.CountCallsOf("out") == (has_expired ? 1 : 2) &&
+           world.agent.HasNotice("\"out\"") == has_expired);
   }
 }
 
-// Idle clients have all descriptors that clients may have, and discovery is down. When it is back it is
-// reached, calls are made on new connections, and the journal opens its next segments.
+// Guards against idle clients that use up the descriptors of other parts. Clients have all connections that
+// they may have, while discovery is down. When discovery is up again, the dispatcher must reach it, open new
+// connections for calls, and open new segments of the journal.
 void IdleClientsLeaveDescriptorsForDiscoveryCallsAndJournal() {
-  World w(1, 8, 50);
-  w.sockets = 64;
-  w.disk_mb = 1;
-  w.agent.faults.silent = true;
-  w.Start();
-  std::vector<std::unique_ptr<RawClient>> crowd;
+  World world(1, 8, 50);
+  world.sockets = 64;
+  world.disk_mb = 1;
+  world.agent.faults.silent = true;
+  world.Start();
+  std::vector<std::unique_ptr<RawClient>> idle_clients;
   for (int i = 0; i < 80; ++i) {
-    crowd.push_back(std::make_unique<RawClient>(w.loop, w.dispatcher->port(),
-                                                i % 2 == 0 ? "" : "GET /healthz HTTP/1.1\r\n\r\n"));
+    idle_clients.push_back(std::make_unique<RawClient>(world.loop, world.dispatcher->port(),
+                                                       i % 2 == 0 ? "" : "GET /healthz HTTP/1.1\r\n\r\n"));
   }
-  // A third of them, less four of the front for events.
-  RunUntil(w.loop, [&] { return w.dispatcher->client_connections() == 64 / 3 - 4; });
-  w.agent.faults.silent = false;
-  RunUntil(w.loop, [&] { return w.agent.watch != nullptr; });
+  // Clients get a third of the descriptors, of which four are for the CloudEvents server.
+  RunUntil(world.loop, [&] { return world.dispatcher->client_connections() == 64 / 3 - 4; });
+  world.agent.faults.silent = false;
+  RunUntil(world.loop, [&] { return world.agent.watch != nullptr; });
   const std::string body(30000, 'b');
   std::set<std::string> segments;
-  for (int i = 0; i < 60; ++i) {  // each needs a new segment, or nearly so
-    assert(w.AwaitStatus(w.Post("aviso", "m" + std::to_string(i), body)) == 202);
-    for (const auto& file : std::filesystem::recursive_directory_iterator(w.folder.path)) {
+  for (int i = 0; i < 60; ++i) {  // nearly every message needs a new segment
+    assert(world.AwaitStatus(world.Post("aviso", "m" + std::to_string(i), body)) == 202);
+    for (const auto& file : std::filesystem::recursive_directory_iterator(world.folder.path)) {
       segments.insert(file.path().filename());
     }
   }
-  RunUntil(w.loop, [&] { return w.CountCalls() == 60; });
-  assert(segments.size() > 10 && w.dispatcher->client_connections() <= 64 / 3 - 4);
+  RunUntil(world.loop, [&] { return world.CountCalls() == 60; });
+  assert(segments.size() > 10 && world.dispatcher->client_connections() <= 64 / 3 - 4);
 }
 
 }  // namespace
