--- a/src/base/byte_codec.h
+++ b/src/base/byte_codec.h
@@ -1,5 +1,6 @@
-// Encodes and decodes the fields of binary records: little-endian numbers, texts behind a length of four
-// bytes, times as microseconds in eight bytes. Used by the journal and by the messages of a handover.
+// Encodes and decodes the fields of binary records. Numbers are little-endian, a string is preceded by its
+// length in four bytes, and a time is written as microseconds in eight bytes. The journal and the handover
+// protocol use this encoding. The classes own no shared state; each object is used by one thread at a time.
 #ifndef SAGETALLY_SRC_BASE_BYTE_CODEC_H_
 #define SAGETALLY_SRC_BASE_BYTE_CODEC_H_
 
@@ -15,9 +16,10 @@
 
 static_assert(std::endian::native == std::endian::little, "records are little-endian");
 
-// Appends fields to a string of bytes.
+// Appends fields to a string of bytes. The calls return the writer itself, so that they can be chained.
 class ByteWriter {
  public:
+  // Appends the in-memory bytes of a number, enumerator or bool.
   template <typename T>
   ByteWriter& AppendNumber(T value) {
     char raw[sizeof(T)];
@@ -25,11 +27,13 @@
     bytes_.append(raw, sizeof(T));
     return *this;
   }
+  // Appends the length as a 32-bit number, then the bytes.
   ByteWriter& AppendString(std::string_view text) {
     AppendNumber(static_cast<std::uint32_t>(text.size()));
     bytes_ += text;
     return *this;
   }
+  // Appends a time or duration as a signed 64-bit number of microseconds.
   ByteWriter& AppendTime(std::chrono::microseconds time) {
     return AppendNumber(static_cast<std::int64_t>(time.count()));
   }
@@ -39,8 +43,8 @@
   std::string bytes_;
 };
 
-// Reads fields from the front of `input`, which must outlive it. Past the end it gives zeros and empty texts,
-// and ok() turns false.
+// Reads fields one after the other from the front of `input`, whose bytes must outlive the reader. Reading
+// past the end returns zeros and empty strings, and makes ok() return false from then on.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view input) : input_(input) {}
@@ -51,14 +55,18 @@
     if (raw.size() == sizeof(T)) std::memcpy(&value, raw.data(), sizeof(T));
     return value;
   }
+  // Reads one byte; any value other than 0 is true.
   bool ReadBool() { return ReadNumber<std::uint8_t>() != 0; }
+  // Reads a field that AppendString wrote. The view points into the reader's input.
   std::string_view ReadView() { return ReadBytes(ReadNumber<std::uint32_t>()); }
   std::string ReadString() { return std::string(ReadView()); }
+  // Reads a field that AppendTime wrote.
   std::chrono::microseconds ReadTime() { return std::chrono::microseconds(ReadNumber<std::int64_t>()); }
+  // Returns false once a field lay past the end of the input, or MarkMalformed was called.
   bool ok() const { return ok_; }
-  // Whether all bytes have been read.
+  // Returns whether all bytes have been read.
   bool empty() const { return input_.empty(); }
-  // For callers that find a field's value invalid.
+  // Makes ok() return false. Called by callers that find the value of a field invalid.
   void MarkMalformed() { ok_ = false; }
 
  private:
@@ -76,7 +84,8 @@
   bool ok_ = true;
 };
 
-// CRC-32C (Castagnoli, RFC 3720) over the eight bytes of `salt`, unless it is 0, and `bytes`.
+// Returns the CRC-32C (Castagnoli, RFC 3720) of the eight bytes of `salt` followed by `bytes`. A salt of 0
+// is left out.
 inline std::uint32_t Crc32c(std::string_view bytes, std::uint64_t salt = 0) {
   boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true> crc;
   if (salt != 0) crc.process_bytes(&salt, sizeof salt);
