--- a/src/journal/disk_space.cpp
+++ b/src/journal/disk_space.cpp
@@ -5,14 +5,19 @@
 namespace sagetally {
 namespace {
 
-constexpr std::uint64_t kSmallFileBlocks = 4;  // of the manifest, the next one beside it, the lock
+// Blocks for the small files: the manifest, the next manifest while it is written, and the lock file.
+constexpr std::uint64_t kSmallFileBlocks = 4;
+// Further blocks that ordinary records leave free.
 constexpr std::uint64_t kSpareBlocks = 4;
+// Segments whose space is left for the copies that compaction makes.
 constexpr std::uint64_t kSegmentsForCopies = 2;
+// Upper bounds of the space for live messages, in percent of the disk budget without and with a disk reserve,
+// and in percent of record_limit().
 constexpr std::uint64_t kLivePercentOfBudget = 45;
 constexpr std::uint64_t kLivePercentOfBudgetWithReserve = 30;
 constexpr std::uint64_t kLivePercentOfRecordLimit = 60;
 
-// What appending a frame may add to a file's disk space.
+// Returns the most by which appending a frame may increase the disk space of a file.
 std::uint64_t MaxGrowth(std::uint64_t frame_bytes) { return DiskBlocks(frame_bytes) + kDiskBlockBytes; }
 
 std::uint64_t SubtractOrZero(std::uint64_t minuend, std::uint64_t subtrahend) {
@@ -34,9 +39,9 @@
 }
 
 std::uint64_t DiskSpace::record_limit() const {
-  const std::uint64_t taken = other_bytes_ + DiskBlocks(reserve_.bytes()) +
-                              kSegmentsForCopies * segment_bytes_ + kSpareBlocks * kDiskBlockBytes;
-  return SubtractOrZero(budget_, taken);
+  const std::uint64_t unavailable = other_bytes_ + DiskBlocks(reserve_.bytes()) +
+                                    kSegmentsForCopies * segment_bytes_ + kSpareBlocks * kDiskBlockBytes;
+  return SubtractOrZero(budget_, unavailable);
 }
 
 std::uint64_t DiskSpace::live_limit() const {
--- a/src/journal/disk_space.h
+++ b/src/journal/disk_space.h
@@ -1,4 +1,5 @@
-// Divides the disk budget between new messages, the records of accepted ones, and compaction.
+// Divides the disk budget between new messages, the records of accepted ones, and compaction. Owned by the
+// journal and asked before each write. Used on the thread of the event loop only. All sizes are in bytes.
 #ifndef SAGETALLY_SRC_JOURNAL_DISK_SPACE_H_
 #define SAGETALLY_SRC_JOURNAL_DISK_SPACE_H_
 
@@ -10,24 +11,28 @@
 
 namespace sagetally {
 
+// Computes limits from the budget and the present size of the journal's files. Does no I/O.
 class DiskSpace {
  public:
-  // Keeps references to `segment_log` and `reserve`.
+  // Keeps references to `segment_log` and `reserve`, which must outlive it.
   DiskSpace(const JournalSettings& settings, const SegmentLog& segment_log, const DiskReserve& reserve);
 
-  // Counts files that are neither segments nor the reserve. `disk_bytes`: whole blocks.
+  // Adds the disk space of files that are neither segments nor the reserve. `disk_bytes` must be a whole
+  // number of blocks.
   void AddOtherFiles(std::uint64_t disk_bytes) { other_bytes_ += disk_bytes; }
-  // Disk space of all the journal's files, as the budget counts it.
+  // Returns the disk space of all files of the journal, as the budget counts it.
   std::uint64_t used() const;
-  // How much segments may take with ordinary records. Copies may take the space of two segments more, so that
-  // compaction can always end.
+  // Returns the most disk space that the segments may take while ordinary records are appended. Copies of
+  // states may take the space of two segments more, so that compaction can always finish.
   std::uint64_t record_limit() const;
-  // How much all live messages may take together. Above this, compaction would copy the same bytes over and
-  // over.
+  // Returns the most disk space that all live messages may need together. With more, compaction would copy
+  // the same bytes over and over.
   std::uint64_t live_limit() const;
-  // How large the reserve may become.
+  // Returns the size up to which the disk reserve may grow.
   std::uint64_t reserve_limit() const;
+  // Returns whether an ordinary record of this size, its frame included, fits within record_limit().
   bool FitsRecord(std::uint64_t frame_bytes) const;
+  // Returns whether a copy of a state of this size, its frame included, fits within the disk budget.
   bool FitsCopy(std::uint64_t frame_bytes) const;
 
  private:
@@ -35,7 +40,7 @@
   const std::uint64_t segment_bytes_;
   const SegmentLog& segment_log_;
   const DiskReserve& reserve_;
-  std::uint64_t other_bytes_;
+  std::uint64_t other_bytes_;  // disk space of files that are neither segments nor the reserve
 };
 
 }  // namespace sagetally
--- a/src/journal/file_system/fault_injecting_file_system.cpp
+++ b/src/journal/file_system/fault_injecting_file_system.cpp
@@ -15,7 +15,7 @@
     if (step.fault == Fault::kError) return {0, step.error};
     if (!is_writable_) return {0, EBADF};
     std::size_t size = bytes.size();
-    if (step.fault == Fault::kShort || step.fault == Fault::kTorn) size = (size + 1) / 2;
+    if (step.fault == Fault::kShortWrite || step.fault == Fault::kTornWrite) size = (size + 1) / 2;
     size = std::min<std::uint64_t>(size, FreeBytes());
     const int error = size == 0 && !bytes.empty() ? ENOSPC : 0;
     node_->bytes += bytes.substr(0, size);
@@ -40,11 +40,12 @@
   int Sync() override {
     const auto step = BeginCall("sync");
     if (step.fault == Fault::kError) {
-      // As on Linux: what could not be written is marked clean, and a second sync would pretend.
-      node_->bytes = node_->synced;
+      // As on Linux, pages that could not be written are marked clean and lost. A second sync would succeed
+      // without writing them.
+      node_->bytes = node_->synced_bytes;
       return step.error;
     }
-    node_->synced = node_->bytes;
+    node_->synced_bytes = node_->bytes;
     disk_.EndCall(step);
     return 0;
   }
@@ -68,13 +69,13 @@
   using Fault = FaultInjectingFileSystem::Fault;
 
   FaultInjectingFileSystem::Step BeginCall(const char* name) {
-    if (process_ != disk_.process_) throw Crash();  // opened by a process that has ended
+    if (process_ != disk_.process_) throw Crash();  // the file was opened by a process that has ended
     return disk_.BeginCall(name);
   }
-  // By how much the file may grow: the rest of its last block, and the blocks that are free.
+  // Returns by how many bytes the file may grow: the rest of its last block and all free blocks.
   std::uint64_t FreeBytes() const {
     if (disk_.capacity == UINT64_MAX) return UINT64_MAX;
-    return DiskBlocks(node_->bytes.size()) - node_->bytes.size() + disk_.FreeBlocks();
+    return DiskBlocks(node_->bytes.size()) - node_->bytes.size() + disk_.FreeBlockBytes();
   }
   FaultInjectingFileSystem& disk_;
   const std::uint64_t process_;
@@ -105,25 +106,25 @@
       process_(other.process_),
       has_crashed_(other.has_crashed_) {
   std::map<const Node*, std::shared_ptr<Node>> copies;
-  const auto copy = [&](const Entries& from, Entries& to) {
-    for (const auto& [name, node] : from) {
+  const auto copy = [&](const Entries& source, Entries& destination) {
+    for (const auto& [name, node] : source) {
       std::shared_ptr<Node>& copied = copies[node.get()];
       if (!copied) copied = std::make_shared<Node>(*node);
-      to[name] = copied;
+      destination[name] = copied;
     }
   };
   copy(other.entries_, entries_);
   copy(other.synced_entries_, synced_entries_);
 }
 
-std::uint64_t FaultInjectingFileSystem::Used() const {
+std::uint64_t FaultInjectingFileSystem::UsedBytes() const {
   std::uint64_t used = 0;
   for (const auto& [name, node] : entries_) used += DiskBlocks(node->bytes.size());
   return used;
 }
 
-std::uint64_t FaultInjectingFileSystem::FreeBlocks() const {
-  const std::uint64_t used = Used();
+std::uint64_t FaultInjectingFileSystem::FreeBlockBytes() const {
+  const std::uint64_t used = UsedBytes();
   return used >= capacity ? 0 : (capacity - used) / kDiskBlockBytes * kDiskBlockBytes;
 }
 
@@ -139,7 +140,7 @@
 }
 
 void FaultInjectingFileSystem::EndCall(const Step& step) {
-  if (step.fault != Fault::kCrashAfter && step.fault != Fault::kTorn) return;
+  if (step.fault != Fault::kCrashAfter && step.fault != Fault::kTornWrite) return;
   has_crashed_ = true;
   throw Crash();
 }
@@ -153,7 +154,7 @@
 void FaultInjectingFileSystem::LosePower() {
   entries_ = synced_entries_;
   for (auto& [name, node] : entries_) {
-    node = std::make_shared<Node>(Node{node->synced, node->synced});
+    node = std::make_shared<Node>(Node{node->synced_bytes, node->synced_bytes});
   }
   synced_entries_ = entries_;
   Restart();
--- a/src/journal/file_system/fault_injecting_file_system.h
+++ b/src/journal/file_system/fault_injecting_file_system.h
@@ -1,5 +1,6 @@
-// A file system in memory that fails on demand, for crash tests and models. Each call has a number, counted
-// from 1; a plan decides what becomes of it. Equal plans give equal runs.
+// A file system in memory that fails on demand, for crash tests and simulations. Its calls are numbered from
+// 1, and a function of the test decides for each of them whether it fails and how. The same decisions lead to
+// the same run. Not thread-safe.
 #ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
 #define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_FAULT_INJECTING_FILE_SYSTEM_H_
 
@@ -15,47 +16,57 @@
 
 namespace sagetally {
 
-// Thrown by the call at which the simulated process ends, and by every call after it until Restart.
+// Thrown by the call at which the simulated process crashes, and by every call after it until Restart.
 struct Crash {};
 
+// Represents one disk. The process under test uses it through FileSystem; the test injects faults, restarts
+// the process and inspects the files.
 class FaultInjectingFileSystem : public FileSystem {
  public:
   FaultInjectingFileSystem() = default;
-  // A disk of its own with the same content.
+  // Copies the disk with all its files; later changes of one disk don't affect the other.
   FaultInjectingFileSystem(const FaultInjectingFileSystem& other);
   FaultInjectingFileSystem& operator=(const FaultInjectingFileSystem&) = delete;
 
   enum class Fault {
     kNone,
-    kCrash,       // the process ends before the call has an effect
-    kCrashAfter,  // ... after it
-    kError,       // the call fails with `error`
-    kShort,       // a write takes half of its bytes
-    kTorn         // ... and the process ends
+    kCrash,       // the process crashes before the call has an effect
+    kCrashAfter,  // the process crashes after the call has had its effect
+    // The call returns Step::error and has no effect, except that a failed Sync loses the unsynced bytes.
+    kError,
+    kShortWrite,  // Append writes only half of its bytes; other calls succeed
+    kTornWrite    // Append writes only half of its bytes; the process crashes after this or any other call
   };
+  // The decision about one call.
   struct Step {
     Fault fault = Fault::kNone;
-    int error = 0;  // an errno number, for kError
+    int error = 0;  // the errno value that kError returns
   };
-  // Asked before each call with its number and name ("append", "sync", "rename", ...). May be empty.
-  std::function<Step(std::uint64_t call, std::string_view what)> plan;
+  // Decides about a call before it is made. The arguments are the number of the call and its name, such as
+  // "append", "sync" or "rename". Without a function no call fails.
+  std::function<Step(std::uint64_t call, std::string_view call_name)> plan;
 
-  // How many calls there were.
+  // Returns the number of calls made so far.
   std::uint64_t calls() const { return calls_; }
-  // Size of the disk in bytes; each file takes whole blocks.
+  // Size of the disk in bytes. Each file takes whole blocks of it.
   std::uint64_t capacity = UINT64_MAX;
-  std::uint64_t Used() const;
-  // Begins the next process: locks are free, files that the last one had open are dead.
+  // Returns how many bytes of the disk are taken.
+  std::uint64_t UsedBytes() const;
+  // Ends the process and starts the next one: all locks are released, and calls on files that are still open
+  // throw Crash.
   void Restart();
-  // Drops all bytes and entries that were not synced, then restarts.
+  // Discards all file contents and folder entries that were not synced, then restarts.
   void LosePower();
-  // Flips one bit of a file. Throws std::out_of_range if there is no such byte.
+  // Flips one bit of a file. Throws std::out_of_range if there is no such file or byte.
   void FlipBit(const std::string& path, std::uint64_t byte, int bit);
-  // Removes bytes from the middle of a file.
+  // Removes `size` bytes from a file, which becomes shorter by as many. Throws std::out_of_range if there is
+  // no such file, or if it ends before `offset`.
   void EraseBytes(const std::string& path, std::uint64_t offset, std::uint64_t size);
   bool Exists(const std::string& path) const { return entries_.contains(path); }
+  // Returns the content of a file. Throws std::out_of_range if there is no such file.
   std::string Content(const std::string& path) const;
-  // Makes a file that counts as synced.
+  // Creates or replaces a file, whose content and entry count as synced. This is not one of the counted
+  // calls.
   void Put(const std::string& path, const std::string& content);
 
   IoResult<std::unique_ptr<File>> Open(const std::string& path, Mode mode) override;
@@ -69,25 +80,26 @@
  private:
   friend class FaultInjectingFile;
   friend class FaultInjectingLock;
+  // The content of a file, apart from its name.
   struct Node {
     std::string bytes;
-    std::string synced;  // what a loss of power leaves
+    std::string synced_bytes;  // the content after a loss of power
   };
-  using Entries = std::map<std::string, std::shared_ptr<Node>>;
+  using Entries = std::map<std::string, std::shared_ptr<Node>>;  // by path
 
-  // Counts the call and asks the plan. Throws Crash.
+  // Counts the call and returns the decision of `plan`. Throws Crash if the process crashes here.
   Step BeginCall(const char* name);
-  // Throws Crash if the plan ends the process after the call.
+  // Throws Crash if the process crashes after the call.
   void EndCall(const Step& step);
-  // Bytes in blocks that no file has.
-  std::uint64_t FreeBlocks() const;
+  // Returns the bytes in blocks that no file takes.
+  std::uint64_t FreeBlockBytes() const;
 
   Entries entries_;
   Entries synced_entries_;
   std::set<std::string> folders_;
   std::set<std::string> locks_;
   std::uint64_t calls_ = 0;
-  std::uint64_t process_ = 0;  // counts restarts
+  std::uint64_t process_ = 0;  // identifies the current process: the number of restarts before it
   bool has_crashed_ = false;
 };
 
--- a/src/journal/file_system/posix_file_system.cpp
+++ b/src/journal/file_system/posix_file_system.cpp
@@ -15,7 +15,7 @@
 namespace sagetally {
 namespace {
 
-int ErrorOf(int result) { return result == 0 ? 0 : errno; }
+int ErrnoUnlessZero(int result) { return result == 0 ? 0 : errno; }
 
 IoResult<std::size_t> ByteCount(ssize_t result) {
   if (result < 0) return {0, errno};
@@ -38,9 +38,9 @@
     if (::fstat(descriptor_.get(), &status) != 0) return {0, errno};
     return {static_cast<std::uint64_t>(status.st_size), 0};
   }
-  int Sync() override { return ErrorOf(::fdatasync(descriptor_.get())); }
+  int Sync() override { return ErrnoUnlessZero(::fdatasync(descriptor_.get())); }
   int Truncate(std::uint64_t size) override {
-    return ErrorOf(::ftruncate(descriptor_.get(), static_cast<off_t>(size)));
+    return ErrnoUnlessZero(::ftruncate(descriptor_.get(), static_cast<off_t>(size)));
   }
   int Allocate(std::uint64_t size) override {
     int error = EINTR;
@@ -88,7 +88,7 @@
 }
 
 int PosixFileSystem::MakeFolder(const std::string& path) {
-  const int error = ErrorOf(::mkdir(path.c_str(), 0700));
+  const int error = ErrnoUnlessZero(::mkdir(path.c_str(), 0700));
   return error == EEXIST ? 0 : error;
 }
 
@@ -105,20 +105,20 @@
 }
 
 int PosixFileSystem::Rename(const std::string& from, const std::string& to) {
-  return ErrorOf(std::rename(from.c_str(), to.c_str()));
+  return ErrnoUnlessZero(std::rename(from.c_str(), to.c_str()));
 }
 
-int PosixFileSystem::Remove(const std::string& path) { return ErrorOf(::unlink(path.c_str())); }
+int PosixFileSystem::Remove(const std::string& path) { return ErrnoUnlessZero(::unlink(path.c_str())); }
 
 int PosixFileSystem::SyncFolder(const std::string& path) {
   const auto [descriptor, error] = OpenDescriptor(path, O_RDONLY | O_DIRECTORY);
-  return error == 0 ? ErrorOf(::fsync(descriptor.get())) : error;
+  return error == 0 ? ErrnoUnlessZero(::fsync(descriptor.get())) : error;
 }
 
 IoResult<std::unique_ptr<FileLock>> PosixFileSystem::Lock(const std::string& path) {
   if (adopted_lock_.get() >= 0) return {std::make_unique<PosixLock>(std::move(adopted_lock_)), 0};
   auto [descriptor, error] = OpenDescriptor(path, O_RDWR | O_CREAT);
-  if (error == 0) error = ErrorOf(::flock(descriptor.get(), LOCK_EX | LOCK_NB));
+  if (error == 0) error = ErrnoUnlessZero(::flock(descriptor.get(), LOCK_EX | LOCK_NB));
   if (error != 0) return {nullptr, error};
   return {std::make_unique<PosixLock>(std::move(descriptor)), 0};
 }
--- a/src/journal/file_system/posix_file_system.h
+++ b/src/journal/file_system/posix_file_system.h
@@ -1,4 +1,5 @@
-// FileSystem on the operating system's files. New files and folders are readable by their owner only.
+// The FileSystem of the operating system, used by the running program and its commands. New files and folders
+// can be read and written by their owner only. Not thread-safe; see file_system.h.
 #ifndef SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
 #define SAGETALLY_SRC_JOURNAL_FILE_SYSTEM_POSIX_FILE_SYSTEM_H_
 
@@ -18,7 +19,7 @@
   int Remove(const std::string& path) override;
   int SyncFolder(const std::string& path) override;
   IoResult<std::unique_ptr<FileLock>> Lock(const std::string& path) override;
-  // The same for callers of the earlier interface: journal_commands.cpp and handover_session.cpp.
+  // These overloads return the errno value in `error` and the object, or null, as the result.
   std::unique_ptr<File> Open(const std::string& path, Mode mode, int& error) {
     auto result = Open(path, mode);
     error = result.error;
@@ -29,7 +30,8 @@
     error = result.error;
     return std::move(result.value);
   }
-  // The next call of Lock gives this lock, which another process has passed on.
+  // Makes the next call of Lock return this lock, which another process has passed to this one. If the
+  // descriptor is -1, Lock acquires the lock as usual.
   void Adopt(FileDescriptor lock) { adopted_lock_ = std::move(lock); }
 
  private:
--- a/src/journal/format1_reader.cpp
+++ b/src/journal/format1_reader.cpp
@@ -16,7 +16,7 @@
 namespace sagetally {
 namespace {
 
-constexpr std::size_t kHeaderBytes = 8;  // length and checksum of a record
+constexpr std::size_t kHeaderBytes = 8;  // the length and the checksum before each record
 constexpr std::size_t kMaxFormat1RecordBytes = 256 * 1024;
 constexpr std::uint64_t kMaxFileBytes = 1ULL << 32;
 
@@ -25,8 +25,8 @@
       crc32(0, reinterpret_cast<const Bytef*>(text.data()), static_cast<uInt>(text.size())));
 }
 
-// Applies the records of a log. Those of later programs are longer; the fields that older ones lack are
-// optional.
+// Applies the records of a log to a message table. Later versions of the program appended fields to some
+// kinds of records, so these fields are optional.
 class Format1Applier {
  public:
   explicit Format1Applier(MessageTable& messages) : messages_(messages) {}
@@ -62,7 +62,7 @@
     return in.ok();
   }
 
-  // Once all records are applied: closes attempts in flight.
+  // Called once all records are applied. Ends attempts in flight and marks them as uncertain.
   void Finish() {
     std::vector<std::uint64_t> numbers;
     for (const auto& [number, message] : messages_.messages()) numbers.push_back(number);
@@ -85,7 +85,7 @@
     return true;
   }
 
-  // `message` is null for one that is not in the table.
+  // `message` is null if it is not in the table.
   static void ApplyAttempt(ByteReader& in, Message* message) {
     const Time started_at = in.ReadTime();
     std::string endpoint = in.ReadString();
--- a/src/journal/journal_recovery.cpp
+++ b/src/journal/journal_recovery.cpp
@@ -9,15 +9,17 @@
 namespace {
 
 constexpr char kQuarantinePrefix[] = "quarantine-";
+// One recovery quarantines at most this many bytes, or the disk budget divided by kQuarantineBudgetDivisor if
+// that is more.
 constexpr std::uint64_t kMinQuarantineBytes = 64 * 1024;
-constexpr std::uint64_t kQuarantinePartOfBudget = 20;
+constexpr std::uint64_t kQuarantineBudgetDivisor = 20;
 
 struct UnreadableBytes {
-  std::string file_name;  // of the quarantine file
+  std::string file_name;  // name of the quarantine file
   std::string bytes;
 };
 
-// One recovery.
+// Recovers one journal, once.
 class JournalRecovery {
  public:
   JournalRecovery(FileSystem& files, const JournalSettings& settings, MessageTable& messages, Logger& log)
@@ -26,12 +28,12 @@
   RecoveredJournal Run() {
     DiscardUnfinishedMigration();
     RecordApplier applier(messages_);
-    recovered_.report =
-        Replay(files_, settings_.folder, applier,
-               {.on_unreadable = [this](std::uint64_t segment, const UnreadableRange& range,
-                                        std::string_view bytes) { KeepUnreadable(segment, range, bytes); }});
-    recovered_.traces = applier.traces();
-    TidyFolder();
+    recovered_.report = Replay(
+        files_, settings_.folder, applier,
+        {.on_unreadable = [this](std::uint64_t segment, const UnreadableRange& range,
+                                 std::string_view bytes) { CollectUnreadable(segment, range, bytes); }});
+    recovered_.replayed_messages = applier.replayed_messages();
+    CleanUpFolder();
     if (recovered_.report.is_damaged()) {
       LogDamage();
       for (const UnreadableBytes& unreadable : unreadable_) Quarantine(unreadable);
@@ -42,7 +44,8 @@
  private:
   std::string PathOf(const std::string& name) const { return settings_.folder + "/" + name; }
 
-  // A process ended while it took over a log of format 1, which is still whole: what it wrote goes.
+  // If an earlier process ended while it migrated a log of format 1, removes the files that it had written.
+  // The log itself is still complete, and the migration begins anew.
   void DiscardUnfinishedMigration() {
     const ManifestFile read = ReadManifestFile(files_, settings_.folder);
     const bool has_no_manifest = !read.manifest && read.error == ENOENT;
@@ -56,17 +59,20 @@
     files_.Remove(PathOf(kManifestName));
   }
 
-  void KeepUnreadable(std::uint64_t segment, const UnreadableRange& range, std::string_view bytes) {
+  // Copies bytes for a quarantine file, unless they exceed the limit.
+  void CollectUnreadable(std::uint64_t segment, const UnreadableRange& range, std::string_view bytes) {
     const std::uint64_t limit =
-        std::max(kMinQuarantineBytes, settings_.disk_budget / kQuarantinePartOfBudget);
+        std::max(kMinQuarantineBytes, settings_.disk_budget / kQuarantineBudgetDivisor);
     if (unreadable_size_ + bytes.size() > limit) return;
     unreadable_size_ += bytes.size();
     unreadable_.push_back(
         {fmt::format("{}{}-{}", kQuarantinePrefix, segment, range.offset), std::string(bytes)});
   }
 
-  // Removes segments that were begun and never used, or dropped and not yet removed.
-  void TidyFolder() {
+  // Removes segments that a process had created but not yet added to the manifest, or dropped from the
+  // manifest but not yet removed, and an unfinished next manifest. Also counts the disk space of quarantine
+  // files.
+  void CleanUpFolder() {
     const ReplayReport& report = recovered_.report;
     for (const std::string& name : files_.List(settings_.folder).value) {
       const auto number = SegmentNumber(name);
@@ -97,7 +103,7 @@
 
   void Quarantine(const UnreadableBytes& unreadable) {
     const std::string path = PathOf(unreadable.file_name);
-    if (files_.Open(path, FileSystem::Mode::kRead).ok()) return;  // from an earlier start
+    if (files_.Open(path, FileSystem::Mode::kRead).ok()) return;  // an earlier recovery has written the file
     const auto created = files_.Open(path, FileSystem::Mode::kCreate);
     const int error = created.ok() ? WriteAll(*created.value, unreadable.bytes).error : created.error;
     if (error != 0) {
@@ -124,7 +130,7 @@
   return JournalRecovery(files, settings, messages, log).Run();
 }
 
-std::string RecoveryNote(std::uint64_t records, int pending_messages, std::uint64_t torn_bytes) {
+std::string RecoverySummary(std::uint64_t records, int pending_messages, std::uint64_t torn_bytes) {
   std::string note = fmt::format("{} records read, {} messages pending", records, pending_messages);
   if (torn_bytes > 0) note += fmt::format(", discarded {} torn bytes", torn_bytes);
   return note;
@@ -145,7 +151,8 @@
       message.request.message_class = static_cast<int>(new_class - new_classes.begin());
       continue;
     }
-    // Its class isn't configured any more, so it can't be sent; its client still has to be notified.
+    // The class is no longer configured, so the message can't be sent, but its client still has to be
+    // notified.
     message.request.message_class = kUnknownClass;
     if (message.final_status == FinalStatus::kPending) {
       log.Warn("journal.class_removed", {{"number", number}, {"id", message.request.id}});
--- a/src/journal/journal_settings.h
+++ b/src/journal/journal_settings.h
@@ -1,4 +1,5 @@
-// Settings of the journal, as the configuration gives them.
+// The settings of a journal. src/app derives them from the configuration; the journal does not change them.
+// Plain values; sizes are in bytes.
 #ifndef SAGETALLY_SRC_JOURNAL_JOURNAL_SETTINGS_H_
 #define SAGETALLY_SRC_JOURNAL_JOURNAL_SETTINGS_H_
 
@@ -13,31 +14,37 @@
 
 namespace sagetally {
 
+// How durable the records of a message must be before anyone may learn of the message's new state.
 enum class Durability {
-  kWritten,  // survives the end of the process
-  kSynced    // survives a loss of power: answers, calls and notifications wait for it
+  kWritten,  // the records survive the end of the process
+  kSynced    // the records survive a loss of power; responses, calls and notifications wait for the sync
 };
 
 struct JournalSettings {
-  std::string folder;        // the journal's own; made if it isn't there
-  std::string format1_path;  // a log of format 1 to take over; need not exist
+  std::string folder;        // the folder of this journal alone; created if it does not exist
+  std::string format1_path;  // the log file of format 1 that is migrated if it exists; empty if there is none
   std::string node_name;
-  std::uint64_t disk_budget = 3'000'000;       // bytes of all its files, each counted in whole blocks
-  std::uint64_t segment_bytes = 0;             // 0: a twenty-fourth of the budget, from 32 KiB to 8 MiB
-  std::vector<std::string> class_names;        // by class number
-  std::map<int, Durability> class_durability;  // of classes that differ from the default
+  // Limit of the disk space of all files together. Each file counts as whole blocks.
+  std::uint64_t disk_budget = 3'000'000;
+  // Size at which a new segment begins. 0 selects a twenty-fourth of the budget, but at least 32 KiB and at
+  // most 8 MiB.
+  std::uint64_t segment_bytes = 0;
+  std::vector<std::string> class_names;        // indexed by class number
+  std::map<int, Durability> class_durability;  // by class number, for classes that differ from the default
   Durability default_durability = Durability::kWritten;
-  // How long a sync waits for more records to sync with.
+  // How long a sync is delayed so that it covers more records.
   Duration group_commit_delay = std::chrono::milliseconds(2);
-  // Holds blocks of the disk for the further records of accepted messages.
+  // Whether disk blocks are reserved for the further records of accepted messages (see DiskReserve).
   bool reserve_disk_space = false;
+  // Seeds, together with the time, the random salt of a new journal.
   std::uint64_t seed = 1;
 
+  // Returns the durability that the class of `message` demands.
   Durability DurabilityOf(const Message& message) const;
-  // Whether messages of any class are synced.
+  // Returns whether messages of any class are synced.
   bool SyncsAnyClass() const;
-  // The size of a segment, at most an eighth of the budget, so that the space of two segments that is left
-  // for compaction is small beside that for live messages.
+  // Returns the size at which a new segment begins. It is at most an eighth of the budget: compaction needs
+  // the space of two segments, which has to be small compared with the space for live messages.
   std::uint64_t EffectiveSegmentBytes() const;
 };
 
--- a/src/journal/live_message_index.cpp
+++ b/src/journal/live_message_index.cpp
@@ -31,7 +31,7 @@
   future_bytes_ += entry.future_bytes;
 }
 
-std::vector<std::uint64_t> LiveMessageIndex::WrittenAfter(std::uint64_t sequence) const {
+std::vector<std::uint64_t> LiveMessageIndex::FindWrittenAfter(std::uint64_t sequence) const {
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, entry] : messages_) {
     if (entry.last_sequence > sequence) numbers.push_back(number);
--- a/src/journal/manifest.cpp
+++ b/src/journal/manifest.cpp
@@ -12,7 +12,8 @@
 using Json = nlohmann::ordered_json;
 constexpr std::size_t kMaxManifestBytes = 1 << 20;
 
-// The text that the checksum covers, and that is written.
+// Returns the JSON text as it is written to the file. The checksum covers the same text without its own
+// field.
 std::string ToText(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 }  // namespace
--- a/src/journal/message_codec.cpp
+++ b/src/journal/message_codec.cpp
@@ -10,7 +10,7 @@
 constexpr int kFailureReasonCount = static_cast<int>(FailureReason::kRedriveForbiddenAfterRestart) + 1;
 constexpr int kOutcomeCount = static_cast<int>(Outcome::kNotSent) + 1;
 
-// A byte that names one of `count` values.
+// Reads an enumerator that is stored in one byte and has the values from 0 to `count` - 1.
 template <typename Enum>
 Enum ReadEnumerator(ByteReader& in, StateFormat format, int count) {
   const auto value = in.ReadNumber<std::uint8_t>();
--- a/src/journal/message_codec.h
+++ b/src/journal/message_codec.h
@@ -1,5 +1,6 @@
-// Reads and writes the fields of a message's state, which formats 1 and 2 of the journal share: the fields
-// and their order are the same, checks and the width of an outcome are not.
+// Reads and writes the fields of a message's state. In formats 1 and 2 of the journal the fields and their
+// order are the same, but the checks and the width of an outcome differ. Pure functions, called by the codecs
+// of both formats. A malformed field makes ByteReader::ok() return false.
 #ifndef SAGETALLY_SRC_JOURNAL_MESSAGE_CODEC_H_
 #define SAGETALLY_SRC_JOURNAL_MESSAGE_CODEC_H_
 
@@ -12,25 +13,28 @@
 namespace sagetally {
 
 enum class StateFormat {
-  kFormat1,  // enumerators are not checked; outcomes in four bytes
-  kFormat2   // unknown enumerators are malformed; outcomes in one byte
+  kFormat1,  // the values of enumerators are not checked; an outcome takes four bytes
+  kFormat2   // unknown values of enumerators are malformed; an outcome takes one byte
 };
 
 void WriteTimestamp(ByteWriter& out, const Timestamp& timestamp);
 Timestamp ReadTimestamp(ByteReader& in);
 
-// Outcomes are written as one byte; -1 stands for none.
+// Writes an outcome as one byte, or -1 if there is none.
 void WriteOutcome(ByteWriter& out, const std::optional<Outcome>& outcome);
+// Reads an outcome; a negative number means that there is none.
 std::optional<Outcome> ReadOutcome(ByteReader& in, StateFormat format = StateFormat::kFormat2);
 
 FinalStatus ReadFinalStatus(ByteReader& in, StateFormat format = StateFormat::kFormat2);
 FailureReason ReadFailureReason(ByteReader& in, StateFormat format = StateFormat::kFormat2);
 
-// All fields of a message but its number. Writes format 2.
+// Writes all fields of a message except its number, in format 2.
 void WriteMessageFields(ByteWriter& out, const Message& message);
-// The request and its progress: what states of any age hold.
+// Reads the first part of a state, which every version of the program wrote: the request and the progress of
+// its delivery.
 void ReadRequestAndProgress(ByteReader& in, StateFormat format, Message& message);
-// What follows: when it was accepted, why it failed, the redrive and the history of attempts.
+// Reads the second part of a state, which the oldest logs of format 1 lack: when the message was accepted,
+// why it failed, its redrive and its history of attempts.
 void ReadFailureAndHistory(ByteReader& in, StateFormat format, Message& message);
 
 }  // namespace sagetally
--- a/src/journal/record_applier.cpp
+++ b/src/journal/record_applier.cpp
@@ -10,7 +10,7 @@
 namespace sagetally {
 namespace {
 
-// Whether a message is over for the journal after a record of this kind.
+// Returns whether a record of this kind says that its message has ended.
 bool EndsMessage(RecordKind kind) {
   return kind == RecordKind::kCompletion || kind == RecordKind::kNotified ||
          kind == RecordKind::kDeadLettered || kind == RecordKind::kRemoved;
@@ -28,18 +28,18 @@
   if (!in.ok()) return false;
   highest_number_ = std::max(highest_number_, number);
   Message* const message = messages_.Find(number);
-  const auto traced = traces_.find(number);
-  if (message == nullptr || traced == traces_.end()) {
-    NoteWithoutState(kind, number, sequence);
+  const auto found = replayed_messages_.find(number);
+  if (message == nullptr || found == replayed_messages_.end()) {
+    TrackMessageWithoutState(kind, number, sequence);
     return true;
   }
-  MessageTrace& trace = traced->second;
-  if (ordinal <= trace.ordinal) return true;  // its state included this record already
-  trace.has_gap = trace.has_gap || ordinal != trace.ordinal + 1;
-  trace.ordinal = ordinal;
-  trace.last_sequence = sequence;
+  ReplayedMessage& replayed = found->second;
+  if (ordinal <= replayed.ordinal) return true;  // the message's state includes this record already
+  replayed.has_gap = replayed.has_gap || ordinal != replayed.ordinal + 1;
+  replayed.ordinal = ordinal;
+  replayed.last_sequence = sequence;
   if (!ApplyEvent(kind, in, *message)) return false;
-  if (messages_.Find(number) == nullptr) traces_.erase(number);
+  if (messages_.Find(number) == nullptr) replayed_messages_.erase(number);
   return in.ok() && in.empty();
 }
 
@@ -49,10 +49,11 @@
   const std::uint64_t number = state->message.number;
   highest_number_ = std::max(highest_number_, number);
   messages_without_state_.erase(number);
-  MessageTrace& trace = traces_[number];
-  // A copy made by compaction includes all records before it, so its ordinal can't be lower.
-  const bool has_gap = trace.first_sequence != 0 && state->ordinal < trace.ordinal;
-  trace = {state->ordinal, sequence, sequence, segment, has_gap};
+  ReplayedMessage& replayed = replayed_messages_[number];
+  // A state includes all earlier records of its message, so its ordinal is at least theirs. A lower one shows
+  // that a record is missing.
+  const bool has_gap = replayed.first_sequence != 0 && state->ordinal < replayed.ordinal;
+  replayed = {state->ordinal, sequence, sequence, segment, has_gap};
   messages_.Remove(number);
   messages_.Add(std::move(state->message));
   return true;
@@ -126,18 +127,19 @@
   messages_.RemoveIfFinished(message);
 }
 
-// Such a message was over before the oldest segment began, unless no record of its end follows.
-void RecordApplier::NoteWithoutState(RecordKind kind, std::uint64_t number, std::uint64_t sequence) {
+// Usually such a message has ended, and its state was in a segment that has been dropped since; a record of
+// its end then follows. If none follows, and no later copy of its state either, the state may be lost.
+void RecordApplier::TrackMessageWithoutState(RecordKind kind, std::uint64_t number, std::uint64_t sequence) {
   if (EndsMessage(kind)) {
     messages_without_state_.erase(number);
-  } else if (!traces_.contains(number)) {
+  } else if (!replayed_messages_.contains(number)) {
     messages_without_state_.emplace(number, sequence);
   }
 }
 
-bool RecordApplier::HasIncompleteHistory(const MessageTrace& trace) const {
-  return trace.has_gap || std::any_of(missing_.begin(), missing_.end(), [&](const MissingRecords& range) {
-           return range.from > trace.last_sequence;
+bool RecordApplier::HasIncompleteHistory(const ReplayedMessage& replayed) const {
+  return replayed.has_gap || std::any_of(missing_.begin(), missing_.end(), [&](const MissingRecords& range) {
+           return range.from > replayed.last_sequence;
          });
 }
 
@@ -148,15 +150,18 @@
   for (const std::uint64_t number : numbers) {
     Message& message = *messages_.Find(number);
     CloseInterruptedAttempt(message);
-    if (message.final_status == FinalStatus::kPending && HasIncompleteHistory(traces_[number])) {
-      // When it may have run isn't known. At the beginning of time every deduplication window is over.
+    if (message.final_status == FinalStatus::kPending && HasIncompleteHistory(replayed_messages_[number])) {
+      // It is not known when the message may have run. With the earliest possible time every deduplication
+      // window counts as expired.
       message.first_uncertain_attempt = Time(0);
       incomplete.push_back(number);
     }
     messages_.RemoveIfFinished(message);
   }
-  std::erase_if(traces_, [&](const auto& entry) { return messages_.Find(entry.first) == nullptr; });
-  // Without missing records before it, a message without a state ended in a segment that was dropped.
+  std::erase_if(replayed_messages_,
+                [&](const auto& entry) { return messages_.Find(entry.first) == nullptr; });
+  // If no records before the first record of a message are missing, its state is not lost: the message ended,
+  // and the segment with its state was dropped.
   std::erase_if(messages_without_state_, [&](const auto& entry) {
     return std::none_of(missing_.begin(), missing_.end(),
                         [&](const MissingRecords& range) { return range.to <= entry.second; });
--- a/src/journal/records.cpp
+++ b/src/journal/records.cpp
@@ -6,11 +6,12 @@
 namespace sagetally {
 namespace {
 
-constexpr std::size_t kStateBytes = 230;            // a state without its texts
+// Sizes from which the upper bounds of a message's records are computed.
+constexpr std::size_t kStateBytes = 230;            // a state without its strings
 constexpr std::size_t kPendingFutureBytes = 900;    // six attempts and outcomes, a completion, a notification
-constexpr std::size_t kCompletedFutureBytes = 100;  // a notification, a dead letter
-constexpr std::size_t kHistoryEntryBytes = 80;
-constexpr std::size_t kAttributeBytes = 8;  // lengths of its name and value
+constexpr std::size_t kCompletedFutureBytes = 100;  // a notification and a dead letter
+constexpr std::size_t kHistoryEntryBytes = 80;      // one attempt in the history
+constexpr std::size_t kAttributeBytes = 8;          // the lengths of an attribute's name and value
 
 ByteWriter BeginRecord(RecordKind kind, std::uint64_t number, std::uint32_t ordinal) {
   ByteWriter out;
@@ -70,8 +71,8 @@
       .AppendNumber(message.notification_pending)
       .AppendNumber(message.failure_reason)
       .AppendNumber(message.dead_letter_pending);
-  // The outcome of a delivered message's last attempt has no record of its own. An attempt in flight has none
-  // yet.
+  // The last attempt of a delivered message has no outcome record, so the completion includes its outcome. An
+  // attempt in flight has no outcome yet.
   const bool has_last_outcome = !message.history.empty() && !message.is_in_flight;
   WriteOutcome(out, has_last_outcome ? message.history.back().outcome : std::nullopt);
   return out.bytes();
--- a/src/journal/replay.cpp
+++ b/src/journal/replay.cpp
@@ -10,8 +10,8 @@
 namespace sagetally {
 namespace {
 
-constexpr std::uint64_t kMaxSegmentFileBytes = 1ULL << 32;  // a longer file is read up to here
-constexpr std::uint64_t kMaxHeaderReadBytes = 8192;
+constexpr std::uint64_t kMaxSegmentFileBytes = 1ULL << 32;  // the rest of a longer file is ignored
+constexpr std::uint64_t kMaxHeaderReadBytes = 8192;         // bytes read to decode a segment's header
 
 IoResult<std::string> ReadFile(FileSystem& files, const std::string& path, std::uint64_t max_bytes) {
   const auto opened = files.Open(path, FileSystem::Mode::kRead);
@@ -19,7 +19,7 @@
   return ReadAll(*opened.value, max_bytes);
 }
 
-// A manifest from what the segments' own headers say.
+// Returns a manifest with what the headers of the segments `numbers` say. `numbers` must not be empty.
 Manifest ReconstructManifest(FileSystem& files, const std::string& folder,
                              const std::vector<std::uint64_t>& numbers) {
   Manifest manifest;
@@ -36,7 +36,7 @@
   return manifest;
 }
 
-// One replay of a journal, segment by segment.
+// Replays one journal, once.
 class Replayer {
  public:
   Replayer(FileSystem& files, const std::string& folder, RecordApplier& applier, const ReplayOptions& options)
@@ -97,7 +97,8 @@
     }
   }
 
-  // What a segment's header skips is missing, unless it is the journal's first.
+  // Called with the first sequence number in a segment's header. The records between the last one and this
+  // one are missing, unless this is the first segment.
   void SkipTo(std::uint64_t sequence) {
     if (sequence <= expected_sequence_) return;
     if (expected_sequence_ != 0) AddMissing(expected_sequence_, sequence);
@@ -124,13 +125,14 @@
     }
   }
 
-  void AddMissing(std::uint64_t from, std::uint64_t to) {
-    report_.missing.push_back({from, to});
-    applier_.AddMissingRange(from, to);
+  void AddMissing(std::uint64_t first_sequence, std::uint64_t end_sequence) {
+    report_.missing.push_back({first_sequence, end_sequence});
+    applier_.AddMissingRange(first_sequence, end_sequence);
   }
 
   void Finish() {
-    // The first segment is begun before there is a manifest: with nothing in it none was lost.
+    // The first segment is created before the first manifest. If no segment contains anything, there was no
+    // manifest yet, and none was lost.
     if (report_.records == 0 && report_.unreadable_bytes == 0) report_.manifest_lost = false;
     report_.next_sequence = std::max<std::uint64_t>(1, expected_sequence_);
     const std::uint64_t unknown_from = report_.manifest.unknown_from;
@@ -140,14 +142,15 @@
     report_.latest_timestamp = LatestTimestamp();
   }
 
-  // Where attempts have the wall time alone, the steady time is that of the manifest, which the same process
-  // wrote, and the time that passed since.
+  // If the latest attempt was recorded with its wall time only, its steady time is computed from the
+  // manifest, which the same process wrote: the time that passed since then is added to the manifest's steady
+  // time.
   Timestamp LatestTimestamp() const {
     const Timestamp latest = applier_.latest_timestamp();
     const Timestamp& written = report_.manifest.written;
     if (latest.boot_id != 0 || written.wall_time <= Time(0)) return latest;
-    const Duration since = std::max(Duration(0), latest.wall_time - written.wall_time);
-    return {written.wall_time + since, written.steady_time + since, written.boot_id};
+    const Duration elapsed = std::max(Duration(0), latest.wall_time - written.wall_time);
+    return {written.wall_time + elapsed, written.steady_time + elapsed, written.boot_id};
   }
 
   FileSystem& files_;
@@ -155,7 +158,7 @@
   RecordApplier& applier_;
   const ReplayOptions& options_;
   ReplayReport report_;
-  std::uint64_t expected_sequence_ = 0;  // 0: not known before the first header
+  std::uint64_t expected_sequence_ = 0;  // sequence number of the next record; 0 while it is not known
 };
 
 }  // namespace
--- a/src/journal/segment.cpp
+++ b/src/journal/segment.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::string_view kMagic = "sagetally journal\n";
-constexpr std::size_t kHeaderPrefixBytes = 8;       // length and checksum
-constexpr std::size_t kMaxHeaderBytes = 4096 + 64;  // a node's name and the numbers
-constexpr std::size_t kFrameChecksumOffset = 8;     // the checksum covers what follows it
+constexpr std::size_t kHeaderPrefixBytes = 8;       // the length and the checksum before the header's fields
+constexpr std::size_t kMaxHeaderBytes = 4096 + 64;  // the name of the node and the numbers
+constexpr std::size_t kChecksummedOffset = 8;       // the checksum of a frame covers the bytes from here on
 constexpr std::string_view kSuffix = ".seg";
 constexpr std::size_t kNumberDigits = 16;
 
@@ -23,7 +23,8 @@
   std::size_t size = 0;
 };
 
-// The frame that begins here, if its checksum holds and its sequence number may come next.
+// Reads the frame at the beginning of `bytes`. Returns nothing if it is incomplete, its checksum is wrong or
+// its sequence number is too far above the expected one.
 std::optional<Frame> ReadFrame(std::string_view bytes, std::uint64_t salt, std::uint64_t expected) {
   if (bytes.size() < kFrameBytes) return std::nullopt;
   ByteReader in(bytes.substr(0, kFrameBytes));
@@ -33,7 +34,7 @@
   if (length == 0 || length > kMaxRecordBytes || length > bytes.size() - kFrameBytes) return std::nullopt;
   if (sequence > expected + kMaxSequenceGap) return std::nullopt;
   const std::size_t size = kFrameBytes + length;
-  if (Crc32c(bytes.substr(kFrameChecksumOffset, size - kFrameChecksumOffset), salt) != checksum) {
+  if (Crc32c(bytes.substr(kChecksummedOffset, size - kChecksummedOffset), salt) != checksum) {
     return std::nullopt;
   }
   return Frame{bytes.substr(kFrameBytes, length), sequence, size};
--- a/src/journal/segment_compactor.cpp
+++ b/src/journal/segment_compactor.cpp
@@ -5,9 +5,11 @@
 namespace sagetally {
 namespace {
 
-constexpr std::uint64_t kStepBytes = 48 * 1024;  // copied in one step
-constexpr std::uint64_t kCopiedBytesPerAppended = 4;
-constexpr std::size_t kMaxSegments = 48;
+constexpr std::uint64_t kCopiedBytesPerStep = 48 * 1024;
+// When the space is nearly used up, each appended byte makes compaction copy this many bytes at once.
+constexpr std::uint64_t kCopiedBytesPerAppendedByte = 4;
+// With more segments than this, states are copied although there is enough space.
+constexpr std::size_t kMaxSegmentsBeforeCopying = 48;
 constexpr Duration kStepInterval = std::chrono::milliseconds(3);
 
 }  // namespace
@@ -24,7 +26,7 @@
 
 bool SegmentCompactor::RunStep() {
   due_ = Time::max();
-  return Compact(kStepBytes);
+  return Compact(kCopiedBytesPerStep);
 }
 
 void SegmentCompactor::ScheduleNextStep(Time now) {
@@ -34,7 +36,7 @@
 bool SegmentCompactor::OnAppended(std::uint64_t bytes) {
   if (segment_log_.segments().size() < 2) return false;
   if (segment_log_.disk_bytes() > disk_space_.record_limit() / 4 * 3) {
-    Compact(bytes * kCopiedBytesPerAppended);
+    Compact(bytes * kCopiedBytesPerAppendedByte);
   }
   if (due_ != Time::max() || !HasWork()) return false;
   due_ = clock_.Now() + kStepInterval;
@@ -42,23 +44,24 @@
 }
 
 bool SegmentCompactor::MakeSpace(std::uint64_t frame_bytes) {
-  // Each segment is copied once at most: a second time it would be the same bytes again.
+  // Stops once as many bytes were copied as all segments have: further copies would only repeat the same
+  // bytes.
   const std::uint64_t max_copied = counters_.bytes_copied + segment_log_.disk_bytes();
   while (!disk_space_.FitsRecord(frame_bytes)) {
-    if (counters_.bytes_copied > max_copied || !Compact(kStepBytes)) {
+    if (counters_.bytes_copied > max_copied || !Compact(kCopiedBytesPerStep)) {
       return disk_space_.FitsRecord(frame_bytes);
     }
   }
   return true;
 }
 
-bool SegmentCompactor::IsWanted() const {
+bool SegmentCompactor::IsCopyingNeeded() const {
   return segment_log_.disk_bytes() > disk_space_.record_limit() / 2 ||
-         segment_log_.segments().size() > kMaxSegments;
+         segment_log_.segments().size() > kMaxSegmentsBeforeCopying;
 }
 
 bool SegmentCompactor::HasWork() const {
-  return IsWanted() || segment_log_.segments().front().live_messages == 0;
+  return IsCopyingNeeded() || segment_log_.segments().front().live_messages == 0;
 }
 
 bool SegmentCompactor::Compact(std::uint64_t max_bytes) {
@@ -67,7 +70,7 @@
   const Time started_at = clock_.Now();
   const bool has_changed = CompactOldest(max_bytes);
   is_running_ = false;
-  counters_.longest_step = std::max(counters_.longest_step, clock_.Now() - started_at);
+  counters_.longest_compaction_step = std::max(counters_.longest_compaction_step, clock_.Now() - started_at);
   return has_changed;
 }
 
@@ -81,10 +84,10 @@
       has_changed = true;
       continue;
     }
-    if (bytes_left == 0 || !IsWanted()) break;
+    if (bytes_left == 0 || !IsCopyingNeeded()) break;
     const std::uint64_t number = oldest.message_numbers.back();
     LiveMessage* const entry = index_.Find(number);
-    if (entry == nullptr || entry->segment != oldest.number) {  // gone, or copied forward already
+    if (entry == nullptr || entry->segment != oldest.number) {  // the message ended or its state was copied
       oldest.message_numbers.pop_back();
       continue;
     }
--- a/src/journal/segment_compactor.h
+++ b/src/journal/segment_compactor.h
@@ -1,6 +1,7 @@
-// Compaction: copies the states of live messages from the oldest segment to the newest, and drops the oldest
-// once nothing in it is live. Always the oldest one, so that a record of an end is never dropped before the
-// state that it ends. Works in small steps between other work of the event loop.
+// Compaction: copies the states of live messages from the oldest segment to the newest one, and drops the
+// oldest segment once it contains no state of a live message. Segments are dropped strictly from the oldest
+// on, so that the record of a message's end is never dropped before the state of the message. Owned by the
+// journal; works in small steps between other work of the event loop, on its thread.
 #ifndef SAGETALLY_SRC_JOURNAL_SEGMENT_COMPACTOR_H_
 #define SAGETALLY_SRC_JOURNAL_SEGMENT_COMPACTOR_H_
 
@@ -13,47 +14,54 @@
 
 namespace sagetally {
 
+// Counts of the journal's operations since its start.
 struct JournalCounters {
-  std::uint64_t bytes_appended = 0;  // frames included
-  std::uint64_t bytes_copied = 0;    // of these, by compaction
+  std::uint64_t bytes_appended = 0;  // records and the fields of their frames
+  std::uint64_t bytes_copied = 0;    // the part of bytes_appended that are copies of states
   std::uint64_t segments_started = 0;
   std::uint64_t segments_dropped = 0;
-  std::uint64_t syncs = 0;
-  std::uint64_t failures = 0;
-  Duration longest_step{0};  // of compaction
+  std::uint64_t syncs = 0;              // background syncs that were started
+  std::uint64_t failures = 0;           // failed writes and syncs
+  Duration longest_compaction_step{0};  // longest time that compaction took at once
 };
 
 class SegmentCompactor {
  public:
-  // What compaction does to the journal; both return false if it can't be done now.
+  // The changes that compaction makes to the journal. Both functions return false if the change is not
+  // possible at present.
   class Actions {
    public:
     virtual ~Actions() = default;
-    // Appends the message's state and counts it in JournalCounters::bytes_copied.
+    // Appends the state of the message and adds its size to JournalCounters::bytes_copied.
     virtual bool CopyState(std::uint64_t message_number, LiveMessage& entry) = 0;
+    // Drops the oldest segment, which has no live messages.
     virtual bool DropOldestSegment() = 0;
   };
-  // Keeps references to all arguments.
+  // Keeps references to all arguments, which must outlive it.
   SegmentCompactor(SegmentLog& segment_log, LiveMessageIndex& index, const DiskSpace& disk_space,
                    const Clock& clock, JournalCounters& counters, Actions& actions);
 
-  // When RunStep is due; Time::max() if there is nothing to do.
+  // Returns when RunStep is due, or Time::max() if there is nothing to do.
   Time due() const { return due_; }
-  // Returns false if nothing could be done.
+  // Runs one step of compaction. Returns whether it changed anything.
   bool RunStep();
   // Sets the due time of the next step if there is work for one.
   void ScheduleNextStep(Time now);
-  // `bytes` were appended. Compacts at once if the disk budget is nearly used up. Returns true if it set a
-  // new due time.
+  // Called after `bytes` bytes were appended. Compacts at once if three quarters of the space for records are
+  // used up. Returns true if it set a new due time.
   bool OnAppended(std::uint64_t bytes);
-  // Makes space for a record that is not a copy. Returns false if there is none.
+  // Makes space for a record of this size, its frame included, that is not a copy. Returns false if there is
+  // not enough space.
   bool MakeSpace(std::uint64_t frame_bytes);
 
  private:
-  bool IsWanted() const;
+  // Returns whether states should be copied: more than half of the space for records is used up, or there are
+  // too many segments.
+  bool IsCopyingNeeded() const;
+  // Returns whether states should be copied or the oldest segment can be dropped.
   bool HasWork() const;
-  // Copies about `max_bytes` and drops segments without live messages. Returns false if nothing could be
-  // done.
+  // Copies states of about `max_bytes` and drops the oldest segments as long as they have no live messages.
+  // Returns whether it changed anything. Does nothing if compaction is running already.
   bool Compact(std::uint64_t max_bytes);
   bool CompactOldest(std::uint64_t max_bytes);
 
@@ -64,7 +72,7 @@
   JournalCounters& counters_;
   Actions& actions_;
   Time due_ = Time::max();
-  bool is_running_ = false;  // copies are appended, too
+  bool is_running_ = false;  // guards against recursion: copying a state appends a record
 };
 
 }  // namespace sagetally
--- a/src/journal/segment_journal.cpp
+++ b/src/journal/segment_journal.cpp
@@ -37,7 +37,7 @@
   auto lock = files_.Lock(segment_log_.PathOf(kLockName));
   if (lock.error == EWOULDBLOCK) {
     throw JournalLockedError(settings_.folder,
-                             std::string("another process holds this journal (") + kLockName + ")");
+                             std::string("another process has locked this journal (") + kLockName + ")");
   }
   ThrowOnError(settings_.folder, lock.error);
   lock_ = std::move(lock.value);
@@ -57,18 +57,17 @@
   report_ = std::move(recovered.report);
   segment_log_.Load(report_);
   disk_space_.AddOtherFiles(recovered.quarantine_disk_bytes);
-  for (const auto& [number, trace] : recovered.traces) {
+  for (const auto& [number, replayed] : recovered.replayed_messages) {
     LiveMessage& entry = index_.Insert(number);
-    entry.ordinal = trace.ordinal;
-    entry.last_sequence = trace.last_sequence;
-    entry.segment = trace.segment;
-    segment_log_.AddLiveMessage(trace.segment, number);
+    entry.ordinal = replayed.ordinal;
+    entry.last_sequence = replayed.last_sequence;
+    entry.segment = replayed.segment;
+    segment_log_.AddLiveMessage(replayed.segment, number);
     index_.UpdateSizes(*messages_.Find(number), entry);
   }
-  replay_note_ = RecoveryNote(report_.records, messages_.pending_count(), report_.unreadable_bytes);
+  replay_summary_ = RecoverySummary(report_.records, messages_.pending_count(), report_.unreadable_bytes);
 }
 
-// A new epoch, a new segment, and what recovery concluded goes on record.
 void SegmentJournal::BeginEpoch() {
   const Format1Report format1 = MigrateFormat1();
   is_new_ = report_.records == 0 && format1.records == 0;
@@ -80,8 +79,8 @@
   if (format1.found) {
     log_.Info("journal.migrated", {{"from", settings_.format1_path}, {"records", format1.records}});
   }
-  if (format1.found || report_.is_damaged()) DropDamagedSegments();
-  // Taken over now, or by an earlier process.
+  if (format1.found || report_.is_damaged()) DropSegmentsWithoutLiveMessages();
+  // The log of format 1 was migrated just now, or by an earlier process that ended before it removed the log.
   if (!settings_.format1_path.empty()) files_.Remove(settings_.format1_path);
   if (!GrowReserve(index_.future_bytes())) OnWriteError(ENOSPC, false);
   ScheduleTurn();
@@ -91,7 +90,7 @@
   if (!report_.segments.empty() || settings_.format1_path.empty()) return {};
   const Format1Report format1 = ReadFormat1(files_, settings_.format1_path, messages_);
   segment_log_.manifest().migrating = format1.found;
-  replay_note_ = RecoveryNote(format1.records, messages_.pending_count(), format1.torn_bytes);
+  replay_summary_ = RecoverySummary(format1.records, messages_.pending_count(), format1.torn_bytes);
   return format1;
 }
 
@@ -102,7 +101,7 @@
     manifest.salt = random() | 1;
   }
   if (!manifest.classes.empty() && manifest.classes != settings_.class_names) {
-    // All messages are written again, with the new numbers.
+    // RewriteRecoveredMessages then writes all messages with their new class numbers.
     report_.incomplete_histories = RenumberClasses(messages_, manifest.classes, settings_.class_names, log_);
   }
   manifest.classes = settings_.class_names;
@@ -116,8 +115,6 @@
   ThrowOnError(settings_.folder, error);
 }
 
-// Writes the states that recovery changed; after damage or from format 1 all of them, so that the old files
-// can go.
 void SegmentJournal::RewriteRecoveredMessages(const Format1Report& format1) {
   const std::vector<std::uint64_t>& changed = report_.incomplete_histories;
   std::vector<std::uint64_t> numbers = changed;
@@ -131,13 +128,12 @@
     entry.ordinal += 1;
     const bool is_needed = format1.found || std::binary_search(changed.begin(), changed.end(), number);
     if (!WriteState(message, entry, {.is_copy = true}) && is_needed) {
-      throw JournalError(settings_.folder, "what was read could not be written anew");
+      throw JournalError(settings_.folder, "the recovered messages could not be written to a new segment");
     }
     index_.UpdateSizes(message, entry);
   }
 }
 
-// What was unknown, or in the log of format 1, is on record by now.
 void SegmentJournal::FinishRecovery() {
   Manifest& manifest = segment_log_.manifest();
   if (manifest.unknown_from == 0 && !manifest.migrating) return;
@@ -147,7 +143,7 @@
   ThrowOnError(settings_.folder, segment_log_.SaveManifest());
 }
 
-void SegmentJournal::DropDamagedSegments() {
+void SegmentJournal::DropSegmentsWithoutLiveMessages() {
   while (segment_log_.segments().size() > 1 && segment_log_.oldest().live_messages == 0) {
     if (!DropOldestSegment()) return;
   }
@@ -217,10 +213,10 @@
 void SegmentJournal::AppendEvent(const Message& message,
                                  const std::function<std::string(std::uint32_t)>& encode_record) {
   LiveMessage* const entry = index_.Find(message.number);
-  if (entry == nullptr) return;  // never accepted
+  if (entry == nullptr) return;  // the message was never accepted
   entry->ordinal += 1;
   index_.UpdateSizes(message, *entry);
-  if (entry->has_unwritten_records) return;  // its whole state will be written
+  if (entry->has_unwritten_records) return;  // a retry will write the whole state of the message
   const std::string record = encode_record(entry->ordinal);
   if (!Write(record, {.is_required = true})) {
     entry->has_unwritten_records = true;
@@ -265,14 +261,14 @@
   const std::uint64_t frame_bytes = kFrameBytes + record.size();
   const LogSegment& head = segment_log_.segments().back();
   if (head.bytes + frame_bytes > segment_bytes_ && head.bytes > segment_bytes_ / 2) {
-    StartSegment();  // after an error the present one goes on
+    StartSegment();  // after an error the record is appended to the present segment
   }
   if (is_fenced_) return false;
   int error = AppendRecord(record, mode);
   while (error == ENOSPC && mode.is_required && ReleaseReserve(frame_bytes)) {
     error = AppendRecord(record, mode);
   }
-  // Another file may work where this one fails.
+  // Writing to a new file may work although writing to the present one failed.
   if (error != 0 && error != ENOSPC && StartSegment() == 0) {
     error = segment_log_.Append(record);
     if (error == 0) counters_.bytes_appended += frame_bytes;
@@ -281,7 +277,6 @@
   return error == 0;
 }
 
-// Appends within the disk budget. Gives an errno number.
 int SegmentJournal::AppendRecord(std::string_view record, WriteMode mode) {
   const std::uint64_t frame_bytes = kFrameBytes + record.size();
   const bool has_space = mode.is_copy ? disk_space_.FitsCopy(frame_bytes) : compactor_.MakeSpace(frame_bytes);
@@ -311,14 +306,14 @@
 
 bool SegmentJournal::ReleaseReserve(std::uint64_t size) {
   if (!reserve_.Release(size)) return false;
-  OnWriteError(ENOSPC, false);  // no new messages until it is whole again
+  OnWriteError(ENOSPC, false);  // rejects new messages until the reserve is complete again
   return true;
 }
 
 int SegmentJournal::StartSegment(bool sync_previous) {
   if (CheckFence()) return EROFS;
   int sync_error = 0;
-  // The last segment must be durable before a manifest says that the next one continues it.
+  // The present segment must be durable before a manifest lists the next one as its continuation.
   if (sync_previous && segment_log_.head_file()) {
     sync_error = group_commit_.SyncNow(*segment_log_.head_file(), segment_log_.last_sequence());
   }
@@ -329,7 +324,8 @@
   return 0;
 }
 
-// A manifest of a later epoch: another process has taken over, whatever became of the lock.
+// A manifest of a later epoch shows that another process has taken over the journal, even if this process
+// still holds the lock.
 bool SegmentJournal::CheckFence() {
   if (is_fenced_) return true;
   const auto later_epoch = segment_log_.FindLaterEpoch();
@@ -347,7 +343,7 @@
   if (present->epoch != epoch() && !(segment_log_.AdoptSuccessor(*present) && StartSegment() == 0)) {
     return false;
   }
-  if (reserve_.is_open()) {  // the other process may have released it
+  if (reserve_.is_open()) {  // the other process may have changed the reserve file
     reserve_.Close();
     if (!GrowReserve(index_.future_bytes())) OnWriteError(ENOSPC, false);
   }
@@ -356,7 +352,7 @@
 
 bool SegmentJournal::DropOldestSegment() {
   if (CheckFence()) return false;
-  // Copies must survive a loss of power before what they were copied from goes.
+  // The copies of the segment's states must survive a loss of power before the segment is removed.
   if (group_commit_.is_enabled() && !group_commit_.IsSynced(segment_log_.oldest().last_copy_sequence)) {
     RequestSync();
     return false;
@@ -404,8 +400,9 @@
   host_.OnProgress();
 }
 
-// The file isn't trusted any more, and not synced a second time: a second sync may succeed although the
-// kernel has dropped what it could not write. What the file may lack is written to a new one.
+// After a failed sync, the file is not synced a second time: the second sync may succeed although the kernel
+// has dropped the data that it could not write. Everything that the file may lack is written to a new file
+// instead.
 void SegmentJournal::RecoverFromFailedSync(int error) {
   log_.Error("journal.sync_failed",
              {{"file", SegmentName(segment_log_.segments().back().number)}, {"error", ErrorText(error)}});
@@ -422,7 +419,7 @@
 bool SegmentJournal::RewriteUnsynced() {
   const std::uint64_t synced_sequence = group_commit_.synced_sequence();
   if (StartSegment(false) != 0) return false;
-  for (const std::uint64_t number : index_.WrittenAfter(synced_sequence)) {
+  for (const std::uint64_t number : index_.FindWrittenAfter(synced_sequence)) {
     if (!WriteState(*messages_.Find(number), *index_.Find(number), {.is_copy = true})) return false;
   }
   for (const RemovedMessage& removed : index_.unsynced_removals()) {
@@ -432,7 +429,6 @@
   return true;
 }
 
-// Writes the states of messages with unwritten records, and the removals of those that are gone.
 bool SegmentJournal::WriteUnwrittenRecords() {
   auto& unwritten = index_.unwritten_messages();
   while (!unwritten.empty()) {
@@ -480,7 +476,7 @@
   if (retry_.due <= now) RetryUnwritten();
   if (compactor_.due() <= now) {
     const bool has_changed = compactor_.RunStep();
-    reserve_.Shrink(index_.future_bytes());  // which leaves more space for segments
+    reserve_.Shrink(index_.future_bytes());  // leaves more of the disk budget to the segments
     if (has_changed) compactor_.ScheduleNextStep(now);
   }
   ScheduleTurn();
--- a/src/journal/segment_log.cpp
+++ b/src/journal/segment_log.cpp
@@ -9,7 +9,8 @@
 namespace sagetally {
 namespace {
 
-constexpr std::uint64_t kMaxEmptySegmentBytes = 32 * 1024;  // a header and nothing else is shorter
+// A segment without records, which consists of its header only, is shorter than this.
+constexpr std::uint64_t kMaxEmptySegmentBytes = 32 * 1024;
 
 }  // namespace
 
@@ -31,7 +32,8 @@
   const std::string frame = EncodeFrame(record, next_sequence_, manifest_.salt);
   const auto [written, error] = WriteAll(*head_file_, frame);
   const bool torn_frame_stays = error != 0 && written > 0 && head_file_->Truncate(head.bytes) != 0;
-  // A torn frame may stay: the next one has the same sequence number.
+  // A torn frame may stay in the file. The next frame has the same sequence number, so that the replay does
+  // not count a record as missing.
   if (error == 0 || torn_frame_stays) {
     disk_bytes_ -= DiskBlocks(head.bytes);
     head.bytes += written;
@@ -49,7 +51,7 @@
   if (!opened.ok()) return opened.error;
   const std::string header = EncodeSegmentHeader(
       {kJournalFormat, number, manifest_.epoch, next_sequence_, manifest_.salt, manifest_.node});
-  // After an error the file stays: no manifest names it, and the next attempt empties it.
+  // After an error the file stays in the folder. No manifest lists it, and the next call truncates it.
   if (const int error = WriteAll(*opened.value, header).error; error != 0) return error;
   if (sync_) {
     if (const int error = opened.value->Sync(); error != 0) return error;
@@ -70,7 +72,8 @@
   Manifest next = manifest_;
   next.oldest = segments_[1].number;
   const int error = WriteManifest(files_, folder_, next, sync_);
-  // With no space for a manifest the file goes first: a missing oldest segment is no damage.
+  // Without space for the next manifest the file is removed all the same, though the manifest still lists it:
+  // the replay does not count a missing oldest segment as damage.
   if (error != 0 && error != ENOSPC) return false;
   const int remove_error = files_.Remove(PathOf(SegmentName(oldest.number)));
   if (remove_error != 0 && remove_error != ENOENT) return false;
@@ -115,7 +118,8 @@
   const auto bytes = ReadAll(*opened.value, kMaxEmptySegmentBytes);
   if (!bytes.ok()) return false;
   const auto decoded = DecodeSegmentHeader(bytes.value);
-  // A record in it would have the sequence number that the next of ours has, too.
+  // The segment must not contain records: the first one would have the sequence number of this log's next
+  // record.
   if (!decoded || decoded->size != bytes.value.size() || decoded->header.first_sequence != next_sequence_) {
     return false;
   }
--- a/src/journal/snapshot.cpp
+++ b/src/journal/snapshot.cpp
@@ -12,8 +12,9 @@
 namespace sagetally {
 namespace {
 
-constexpr int kMaxTries = 100;  // a node drops a segment every second or so
-constexpr std::size_t kChunkBytes = 1 << 20;
+// A try fails if the node drops a segment during it, which a running node does about once per second.
+constexpr int kMaxTries = 100;
+constexpr std::size_t kCopyChunkBytes = 1 << 20;
 
 struct OpenSegment {
   std::uint64_t number = 0;
@@ -44,7 +45,8 @@
   return {std::move(segments), 0};
 }
 
-// Opens all segments that the manifest names; reads it again while they change.
+// Opens all segments that the manifest lists. If one of them was removed meanwhile, starts again with a new
+// reading of the manifest.
 OpenJournal OpenJournalFiles(FileSystem& files, const std::string& folder) {
   for (int tries = 0; tries < kMaxTries; ++tries) {
     const ManifestFile read = ReadManifestFile(files, folder);
@@ -66,7 +68,7 @@
   std::string chunk;
   std::uint64_t offset = 0;
   while (offset < segment.size) {
-    chunk.resize(std::min<std::uint64_t>(kChunkBytes, segment.size - offset));
+    chunk.resize(std::min<std::uint64_t>(kCopyChunkBytes, segment.size - offset));
     const auto [count, error] = segment.file->ReadAt(offset, chunk.data(), chunk.size());
     if (error == EINTR) continue;
     ThrowOnError(path, error);
@@ -78,7 +80,8 @@
   ThrowOnError(path, opened.value->Sync());
 }
 
-// Copies the segments under numbers from `first_number` on. Gives how many bytes they have.
+// Copies the segments to the folder `destination`, where their numbers start with `first_number`. Returns
+// their total size in bytes.
 std::uint64_t CopySegments(FileSystem& files, const std::vector<OpenSegment>& segments,
                            const std::string& destination, std::uint64_t first_number) {
   std::uint64_t number = first_number;
@@ -91,7 +94,7 @@
   return bytes;
 }
 
-// Replays the snapshot; it must be there, and sound unless damage is allowed.
+// Replays the snapshot. Throws if there is none, or if it is damaged and `allow_damaged` is false.
 ReplayReport CheckSnapshot(FileSystem& files, const std::string& folder, bool allow_damaged) {
   MessageTable messages;
   RecordApplier applier(messages);
@@ -99,14 +102,17 @@
   if (report.segments.empty()) throw JournalMissingError(folder, "expected a snapshot of a journal");
   if (report.is_damaged() && !allow_damaged) {
     throw JournalDamagedError(folder,
-                              "this snapshot is damaged (sagetally journal verify); --damaged takes it");
+                              "this snapshot is damaged (sagetally journal verify lists the damage); pass "
+                              "--damaged to restore it anyway");
   }
   return report;
 }
 
 std::unique_ptr<FileLock> LockDestination(FileSystem& files, const std::string& folder) {
   auto lock = files.Lock(folder + "/lock");
-  if (lock.error == EWOULDBLOCK) throw JournalLockedError(folder, "a running process holds this journal");
+  if (lock.error == EWOULDBLOCK) {
+    throw JournalLockedError(folder, "a running process has locked this journal");
+  }
   ThrowOnError(folder, lock.error);
   return std::move(lock.value);
 }
@@ -147,7 +153,7 @@
   const std::vector<std::uint64_t> replaced_segments = ListSegments(files, destination);
   if ((replaced || !replaced_segments.empty()) && !options.replace) {
     throw JournalExistsError(destination,
-                             "holds a journal already; --replace puts the snapshot in its place");
+                             "already contains a journal; pass --replace to replace it with the snapshot");
   }
   const OpenJournal snapshot = OpenJournalFiles(files, source);
   SnapshotResult result;
--- a/tests/journal/crash_test.cpp
+++ b/tests/journal/crash_test.cpp
@@ -1,20 +1,21 @@
-// The journal on a file system that fails: at each single call the process ends, or the call fails, and what
-// was on record must be recovered.
+// Tests of the journal on a file system that injects faults. A run of a random workload is repeated for each
+// call of the file system: at that call the process crashes, or the call fails. The next process must recover
+// everything that the journal had recorded.
 #include "journal_world.h"
 
 namespace sagetally {
 namespace {
 
-constexpr int kSteps = 420;
-constexpr std::uint64_t kMaxCallsPerStep = 150;  // no step makes more
+constexpr int kWorkloadSteps = 420;
+constexpr std::uint64_t kMaxCallsPerStep = 150;  // upper bound of the file system calls of one step
 
-// Whether the next step may make this call. Describing all messages costs more than a step, so that is done
-// only then.
-bool MayBeReached(const FaultInjectingFileSystem& disk, std::uint64_t at) {
-  return disk.calls() + kMaxCallsPerStep >= at;
+// Returns whether the next step may make the call with this number. Describing all messages takes longer than
+// a step, so the tests do it only if the next step may reach the call of the fault.
+bool MayBeReached(const FaultInjectingFileSystem& disk, std::uint64_t call) {
+  return disk.calls() + kMaxCallsPerStep >= call;
 }
 
-// What was known before and after the step in which a process ended.
+// The messages before and after the step in which a process ended.
 struct KnownStates {
   Descriptions before;
   Descriptions after;
@@ -25,9 +26,10 @@
   return entry == descriptions.end() ? "-" : entry->second;
 }
 
-void FailWithDifference(const char* what, std::uint64_t call, const Descriptions& found,
+// Prints which messages differ from the known ones, and fails. `fault` names the injected fault.
+void FailWithDifference(const char* fault, std::uint64_t call, const Descriptions& found,
                         const KnownStates& known) {
-  std::fprintf(stderr, "%s, call %llu\n", what, static_cast<unsigned long long>(call));
+  std::fprintf(stderr, "%s, call %llu\n", fault, static_cast<unsigned long long>(call));
   std::set<std::uint64_t> numbers;
   for (const Descriptions* descriptions : {&found, &known.before, &known.after}) {
     for (const auto& [number, text] : *descriptions) numbers.insert(number);
@@ -43,12 +45,12 @@
   assert(false);
 }
 
-void CheckRecovered(const char* what, std::uint64_t call, const Descriptions& found,
+void CheckRecovered(const char* fault, std::uint64_t call, const Descriptions& found,
                     const KnownStates& known) {
-  if (found != known.before && found != known.after) FailWithDifference(what, call, found, known);
+  if (found != known.before && found != known.after) FailWithDifference(fault, call, found, known);
 }
 
-// A plan by which one call has a fault.
+// Returns a plan that injects the fault at one call.
 auto FaultAt(std::uint64_t faulty_call, Fault fault) {
   return [faulty_call, fault](std::uint64_t call, std::string_view) {
     return Step{call == faulty_call ? fault : Fault::kNone, 0};
@@ -61,20 +63,21 @@
   return settings;
 }
 
-// Runs the workload until the plan ends the process at call `call`. None if it doesn't.
+// Runs the workload until the disk's plan crashes the process at call `call`. Returns nothing if the process
+// does not crash.
 std::optional<KnownStates> RunUntilCrash(FaultInjectingFileSystem& disk, TestClock& clock,
                                          const JournalSettings& settings, std::uint64_t seed,
                                          std::uint64_t call) {
   boost::random::mt19937_64 random(seed);
-  int names = 0;
+  int next_name = 0;
   KnownStates known;
   std::unique_ptr<JournalProcess> process;
   try {
     process = std::make_unique<JournalProcess>(disk, clock, settings);
-    for (int i = 0; i < kSteps; ++i) {
+    for (int i = 0; i < kWorkloadSteps; ++i) {
       if (MayBeReached(disk, call)) known.before = DescribeAll(process->messages);
       const std::uint64_t calls = disk.calls();
-      RunRandomStep(*process, random, names);
+      RunRandomStep(*process, random, next_name);
       assert(disk.calls() - calls < kMaxCallsPerStep);
     }
   } catch (const Crash&) {
@@ -84,7 +87,8 @@
   return std::nullopt;
 }
 
-// What one recovery finds; none if the plan ended the process during it.
+// Recovers the journal and describes its messages. Returns nothing if the disk's plan crashes the process
+// during the recovery.
 std::optional<Descriptions> Recover(FaultInjectingFileSystem& disk, TestClock& clock,
                                     const JournalSettings& settings) {
   try {
@@ -95,8 +99,9 @@
   }
 }
 
+// The size of the workload.
 struct Workload {
-  std::uint64_t calls = 0;
+  std::uint64_t calls = 0;  // of the file system
   std::uint64_t segments_dropped = 0;
 };
 
@@ -105,16 +110,16 @@
   FaultInjectingFileSystem disk;
   TestClock clock;
   boost::random::mt19937_64 random(seed);
-  int names = 0;
+  int next_name = 0;
   JournalProcess process(disk, clock, settings);
-  for (int i = 0; i < kSteps; ++i) RunRandomStep(process, random, names);
+  for (int i = 0; i < kWorkloadSteps; ++i) RunRandomStep(process, random, next_name);
   assert(process.journal.counters().bytes_copied > 0 && process.journal.disk_bytes() <= settings.disk_budget);
-  assert(disk.Used() <= settings.disk_budget);
+  assert(disk.UsedBytes() <= settings.disk_budget);
   return {disk.calls(), process.journal.counters().segments_dropped};
 }
 
-// Ends the process at each call of the recovery from `disk`; the next recovery must find all. Gives how many
-// crashes there were.
+// Crashes the process at each call of the recovery from `disk`. The recovery after that must find everything.
+// Returns the number of crashes.
 int CrashDuringRecovery(const FaultInjectingFileSystem& disk, TestClock& clock,
                         const JournalSettings& settings, Fault fault, std::uint64_t call,
                         const KnownStates& known) {
@@ -128,7 +133,7 @@
     copy.Restart();
     const auto found = Recover(copy, clock, settings);
     assert(found);
-    CheckRecovered("a crash within recovery", call, *found, known);
+    CheckRecovered("crash during recovery", call, *found, known);
   }
   return crashes;
 }
@@ -140,8 +145,8 @@
   const Workload workload = MeasureWorkload(settings, kCrashSeed);
   assert(workload.segments_dropped > 10);
   int crashes = 0;
-  int within_recovery = 0;
-  for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn}) {
+  int crashes_in_recovery = 0;
+  for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTornWrite}) {
     for (std::uint64_t call = 1; call <= workload.calls; ++call) {
       FaultInjectingFileSystem disk;
       TestClock clock;
@@ -151,20 +156,22 @@
       ++crashes;
       disk.plan = nullptr;
       disk.Restart();
-      // Now and then the process ends during recovery, too, at each of its calls.
-      if (call % 97 == 0) within_recovery += CrashDuringRecovery(disk, clock, settings, fault, call, *known);
+      // For some calls, the process also crashes during the recovery, at each call of it.
+      if (call % 97 == 0) {
+        crashes_in_recovery += CrashDuringRecovery(disk, clock, settings, fault, call, *known);
+      }
       const auto found = Recover(disk, clock, settings);
       assert(found);
-      CheckRecovered("a crash", call, *found, *known);
+      CheckRecovered("crash", call, *found, *known);
     }
   }
-  std::printf("%d crashes over %llu calls of the disk (%llu segments dropped), %d within recovery\n", crashes,
+  std::printf("%d crashes at %llu file system calls (%llu segments dropped), %d during recovery\n", crashes,
               static_cast<unsigned long long>(workload.calls),
-              static_cast<unsigned long long>(workload.segments_dropped), within_recovery);
-  assert(crashes > 3 * 400 && within_recovery > 50);
+              static_cast<unsigned long long>(workload.segments_dropped), crashes_in_recovery);
+  assert(crashes > 3 * 400 && crashes_in_recovery > 50);
 }
 
-// Starts a process; null if an error ends the program at start.
+// Starts a process. Returns null if the journal can't be opened because of an error.
 std::unique_ptr<JournalProcess> TryStart(FaultInjectingFileSystem& disk, TestClock& clock,
                                          const JournalSettings& settings) {
   try {
@@ -174,15 +181,16 @@
   }
 }
 
-// Errors of one kind at consecutive calls.
+// An error that occurs at consecutive calls.
 struct ErrorSpan {
-  int error = 0;
+  int error = 0;  // an errno value
   std::uint64_t first_call = 0;
   std::uint64_t calls = 0;
 };
 
-// Runs the workload with errors, then without; all must be on record in the end. Gives how many steps were
-// taken while the journal was unwritable; none if the process did not start.
+// Runs the workload with errors and then some time without. In the end all messages must be in the journal.
+// Returns the number of steps after which the journal was unwritable, or nothing if the process did not
+// start.
 std::optional<int> RunWithErrors(const JournalSettings& settings, std::uint64_t seed, const ErrorSpan& span) {
   FaultInjectingFileSystem disk;
   TestClock clock;
@@ -194,11 +202,11 @@
   std::unique_ptr<JournalProcess> process = TryStart(disk, clock, settings);
   if (!process) return std::nullopt;
   boost::random::mt19937_64 random(seed);
-  int names = 0;
-  int unwritable = 0;
-  for (int i = 0; i < kSteps; ++i) {
-    RunRandomStep(*process, random, names);
-    unwritable += process->journal.is_writable() ? 0 : 1;
+  int next_name = 0;
+  int unwritable_steps = 0;
+  for (int i = 0; i < kWorkloadSteps; ++i) {
+    RunRandomStep(*process, random, next_name);
+    unwritable_steps += process->journal.is_writable() ? 0 : 1;
   }
   disk.plan = nullptr;
   process->AdvanceTime(std::chrono::seconds(10));
@@ -210,34 +218,35 @@
   process.reset();
   disk.Restart();
   const JournalProcess next(disk, clock, settings);
-  CheckRecovered("an error", span.first_call, DescribeAll(next.messages), {known, known});
+  CheckRecovered("error", span.first_call, DescribeAll(next.messages), {known, known});
   assert(!next.journal.report().is_damaged());
-  return unwritable;
+  return unwritable_steps;
 }
 
 constexpr std::uint64_t kErrorSeed = 5;
 
-// An error instead: the journal continues, and once the disk works again all is on record.
+// An error at any call must not stop the journal. Once the disk works again, all messages must be recorded.
 void ErrorAtAnyCallLosesNothing() {
   const JournalSettings settings = CrashTestJournal();
   const Workload workload = MeasureWorkload(settings, kErrorSeed);
   int runs = 0;
-  int unwritable = 0;
+  int unwritable_steps = 0;
   for (const int error : {EIO, ENOSPC, EINTR}) {
-    for (const std::uint64_t lasting : {1, 6}) {
-      for (std::uint64_t call = 1; call <= workload.calls; call += lasting == 1 ? 1 : 7) {
-        const auto steps = RunWithErrors(settings, kErrorSeed, {error, call, lasting});
+    for (const std::uint64_t failing_calls : {1, 6}) {
+      for (std::uint64_t call = 1; call <= workload.calls; call += failing_calls == 1 ? 1 : 7) {
+        const auto steps = RunWithErrors(settings, kErrorSeed, {error, call, failing_calls});
         if (!steps) continue;
         ++runs;
-        unwritable += *steps;
+        unwritable_steps += *steps;
       }
     }
   }
-  std::printf("%d runs with errors, %d steps taken while unwritable\n", runs, unwritable);
-  assert(runs > 2000 && unwritable > 0);
+  std::printf("%d runs with errors, %d steps while unwritable\n", runs, unwritable_steps);
+  assert(runs > 2000 && unwritable_steps > 0);
 }
 
-// The process ends while an error lasts: messages that were durable are recovered all the same.
+// A process may crash while the calls of the file system still fail. Messages that were durable must be
+// recovered.
 void DurableMessagesSurviveACrashDuringErrors() {
   const JournalSettings settings = CrashTestJournal();
   int crashes = 0;
@@ -252,10 +261,11 @@
     std::unique_ptr<JournalProcess> process = TryStart(disk, clock, settings);
     if (!process) continue;
     boost::random::mt19937_64 random(11);
-    int names = 0;
-    // The process ends some steps after the first error.
-    for (std::uint64_t left = first_call % 30; left > 0; left -= disk.calls() >= first_call ? 1 : 0) {
-      RunRandomStep(*process, random, names);
+    int next_name = 0;
+    // The process crashes fewer than 30 steps after the first error.
+    for (std::uint64_t steps_left = first_call % 30; steps_left > 0;
+         steps_left -= disk.calls() >= first_call ? 1 : 0) {
+      RunRandomStep(*process, random, next_name);
     }
     Descriptions durable = DescribeAll(process->messages);
     not_durable += static_cast<int>(std::erase_if(durable, [&](const auto& entry) {
@@ -269,10 +279,10 @@
     const Descriptions found = DescribeAll(next.messages);
     for (const auto& [number, text] : durable) {
       if (DescriptionOf(found, number) == text) continue;
-      FailWithDifference("a crash under errors", first_call, found, {durable, durable});
+      FailWithDifference("crash during errors", first_call, found, {durable, durable});
     }
   }
-  std::printf("%d crashes under errors, %d times a message was not durable\n", crashes, not_durable);
+  std::printf("%d crashes during errors, %d messages that were not durable\n", crashes, not_durable);
   assert(crashes > 200 && not_durable > 200);
 }
 
@@ -287,19 +297,19 @@
   return descriptions;
 }
 
-// Runs the workload until the plan ends the process at call `call` or an error does. Gives which messages of
-// the synced class were durable before and after its last step.
+// Runs the workload until the disk's plan crashes the process at call `call`, or until an error ends its
+// start. Returns the durable messages of the synced class before and after the last step.
 KnownStates RunUntilPowerLoss(FaultInjectingFileSystem& disk, TestClock& clock,
                               const JournalSettings& settings, std::uint64_t call) {
   boost::random::mt19937_64 random(call % 7);
-  int names = 0;
+  int next_name = 0;
   KnownStates durable;
   std::unique_ptr<JournalProcess> process;
   try {
     process = std::make_unique<JournalProcess>(disk, clock, settings);
-    for (int i = 0; i < kSteps; ++i) {
+    for (int i = 0; i < kWorkloadSteps; ++i) {
       if (MayBeReached(disk, call)) durable.before = DescribeDurableOfSyncedClass(*process);
-      RunRandomStep(*process, random, names);
+      RunRandomStep(*process, random, next_name);
       if (MayBeReached(disk, call)) durable.after = DescribeDurableOfSyncedClass(*process);
     }
   } catch (const Crash&) {
@@ -310,7 +320,7 @@
   return durable;
 }
 
-// Synced classes: durable messages survive a loss of power, also after a sync has failed.
+// Durable messages of a synced class must survive a loss of power, also after a sync has failed.
 void SyncedMessagesSurviveALossOfPower() {
   JournalSettings settings = CrashTestJournal();
   settings.class_durability[kSyncedClass] = Durability::kSynced;
@@ -320,7 +330,8 @@
     FaultInjectingFileSystem disk;
     TestClock clock;
     std::uint64_t syncs = 0;
-    const std::uint64_t failing_sync = last_call % 3 == 0 ? last_call / 40 : 0;  // 0: none
+    const std::uint64_t failing_sync =
+        last_call % 3 == 0 ? last_call / 40 : 0;  // number of the sync; 0: none
     disk.plan = [&](std::uint64_t call, std::string_view name) {
       if (name == "sync" && ++syncs == failing_sync) {
         ++failed_syncs;
@@ -337,10 +348,10 @@
     for (const auto& [number, text] : durable.before) {
       const auto after = durable.after.find(number);
       if (after == durable.after.end()) continue;
-      // A message that changed in the last step may be as before or as after it.
+      // A message that changed in the last step may be recovered as it was before or after the step.
       const std::string recovered = DescriptionOf(found, number);
       if (recovered == text || recovered == after->second) continue;
-      FailWithDifference("a loss of power", last_call, found, durable);
+      FailWithDifference("loss of power", last_call, found, durable);
     }
   }
   std::printf("%d losses of power, %d syncs failed\n", losses, failed_syncs);
--- a/tests/journal/damage_test.cpp
+++ b/tests/journal/damage_test.cpp
@@ -1,4 +1,5 @@
-// Journals whose files are torn or damaged: what is recovered, and what counts as damage.
+// Tests of journals whose files are torn or damaged: which messages are recovered, and what is reported as
+// damage.
 #include "segment_fixtures.h"
 
 namespace sagetally {
@@ -25,24 +26,24 @@
   }
 }
 
-// Messages 1 and 2 are accepted before message 3, whose state will be damaged, and 4 after it. Message 2 has
-// records on both sides; none of its own is missing.
+// Returns a disk with four pending messages. Messages 1 and 2 are accepted before message 3, whose state the
+// tests damage, and message 4 after it. Message 2 has records before and after that state.
 FaultInjectingFileSystem DiskWithFourMessages(TestClock& clock, const JournalSettings& settings) {
   FaultInjectingFileSystem disk;
   JournalProcess process(disk, clock, settings);
-  const Message& early = *process.Accept("early", 40, 2);
-  Message& through = *process.Accept("through", 40, 2);
-  process.StartAttempt(through);
-  process.Accept("hit", 40, 2);
-  process.FinishAttempt(through, Outcome::kRejected);
-  Message& late = *process.Accept("late", 40, 2);
-  process.StartAttempt(late);
-  process.FinishAttempt(late, Outcome::kRejected);
-  assert(early.number == 1 && through.number == 2 && late.number == 4);
+  const Message& before = *process.Accept("before", 40, 2);
+  Message& around = *process.Accept("around", 40, 2);
+  process.StartAttempt(around);
+  process.Accept("bad", 40, 2);
+  process.FinishAttempt(around, Outcome::kRejected);
+  Message& after = *process.Accept("after", 40, 2);
+  process.StartAttempt(after);
+  process.FinishAttempt(after, Outcome::kRejected);
+  assert(before.number == 1 && around.number == 2 && after.number == 4);
   return disk;
 }
 
-// The only quarantine file's size.
+// Returns the size of the quarantine file, of which there must be exactly one.
 std::size_t QuarantinedBytes(FaultInjectingFileSystem& disk, const std::string& folder) {
   const std::string prefix = folder + "/";
   std::vector<std::size_t> sizes;
@@ -53,14 +54,15 @@
   return sizes.front();
 }
 
-// One bit in the middle: what is sound on both sides is recovered, the rest quarantined, and a message of
-// which a record may be missing counts as uncertain.
-void DamageInTheMiddleLosesOnlyTheRecordsHit() {
+// Flips one bit of a frame in the middle of the segment. The records before and after the frame must be
+// recovered, the frame must be quarantined, and messages of which a record may be missing must be marked as
+// uncertain.
+void DamagedFrameLosesOnlyItsOwnRecord() {
   TestClock clock;
   const JournalSettings settings = OneSegmentJournal();
   const FaultInjectingFileSystem whole = DiskWithFourMessages(clock, settings);
   const std::vector<std::size_t> frames = FrameOffsets(whole.Content(kFirstSegment));
-  for (std::size_t offset = frames[3]; offset < frames[4]; offset += 3) {  // the state of "hit"
+  for (std::size_t offset = frames[3]; offset < frames[4]; offset += 3) {  // the state of message 3
     FaultInjectingFileSystem disk = whole;
     disk.Restart();
     disk.FlipBit(kFirstSegment, offset, static_cast<int>(offset % 8));
@@ -75,7 +77,7 @@
              !process.messages.Find(4)->first_uncertain_attempt);
       assert(QuarantinedBytes(disk, settings.folder) == frames[4] - frames[3]);
     }
-    // All live messages were copied and the damaged file dropped: the next start finds the journal sound.
+    // The process copied all live messages and dropped the damaged segment, so the next one finds no damage.
     disk.Restart();
     JournalProcess next(disk, clock, settings);
     assert(!next.journal.report().is_damaged() && next.messages.Find(1)->first_uncertain_attempt == Time(0));
@@ -83,21 +85,21 @@
   }
 }
 
-// A record that is erased whole leaves only a gap in the sequence numbers.
-void ErasedRecordIsMissing() {
+// An erased frame leaves no unreadable bytes. The replay notices it by the gap in the sequence numbers.
+void ErasedFrameIsReportedAsMissing() {
   TestClock clock;
   const JournalSettings settings = OneSegmentJournal();
   FaultInjectingFileSystem disk = DiskWithFourMessages(clock, settings);
   const std::vector<std::size_t> frames = FrameOffsets(disk.Content(kFirstSegment));
   disk.Restart();
-  disk.EraseBytes(kFirstSegment, frames[4], frames[5] - frames[4]);  // the outcome of "through"
+  disk.EraseBytes(kFirstSegment, frames[4], frames[5] - frames[4]);  // the outcome of message 2
   JournalProcess process(disk, clock, settings);
   assert(process.journal.report().missing.size() == 1 && process.journal.report().unreadable_bytes == 0);
   assert(process.messages.pending_count() == 4 && process.messages.Find(2)->first_uncertain_attempt &&
          process.messages.Find(1)->first_uncertain_attempt);
 }
 
-void MissingSegmentIsDamageAndLostManifestIsRebuilt() {
+void MissingSegmentIsDamageAndLostManifestIsReconstructed() {
   TestClock clock;
   JournalSettings settings = SmallJournal();
   FaultInjectingFileSystem whole;
@@ -141,8 +143,9 @@
   }
 }
 
-// Bytes of a client's body that look like a frame are not read as one.
-void BodyCannotForgeARecord() {
+// A client's body may contain bytes that look like a frame. If the record with the body is damaged, the
+// search for the next frame must not accept these bytes as a record.
+void FrameInsideABodyIsNotReadAsARecord() {
   const JournalSettings settings = OneSegmentJournal();
   TestClock clock;
   FaultInjectingFileSystem disk;
@@ -151,12 +154,13 @@
     Message forged;
     forged.number = 99;
     forged.request.id = "forged";
-    Message m;
-    m.request.id = "a";
-    m.request.body = EncodeFrame(EncodeState(forged, 1), 2, 0) + EncodeFrame(EncodeState(forged, 1), 2, 1);
-    const Message& added = process.messages.Add(std::move(m));
-    const Message* one[] = {&added};
-    assert(process.journal.AppendAccepted(one));
+    Message message;
+    message.request.id = "a";
+    message.request.body =
+        EncodeFrame(EncodeState(forged, 1), 2, 0) + EncodeFrame(EncodeState(forged, 1), 2, 1);
+    const Message& added = process.messages.Add(std::move(message));
+    const Message* accepted[] = {&added};
+    assert(process.journal.AppendAccepted(accepted));
   }
   disk.Restart();
   disk.FlipBit(kFirstSegment, FrameOffsets(disk.Content(kFirstSegment)).front() + kFrameBytes + 3, 0);
@@ -170,10 +174,10 @@
 int main() {
   using namespace sagetally;
   TornTailIsDiscardedAtAnyLength();
-  DamageInTheMiddleLosesOnlyTheRecordsHit();
-  ErasedRecordIsMissing();
-  MissingSegmentIsDamageAndLostManifestIsRebuilt();
+  DamagedFrameLosesOnlyItsOwnRecord();
+  ErasedFrameIsReportedAsMissing();
+  MissingSegmentIsDamageAndLostManifestIsReconstructed();
   BatchIsRecoveredWholeOrNotAtAll();
-  BodyCannotForgeARecord();
+  FrameInsideABodyIsNotReadAsARecord();
   std::puts("6 passed, 0 failed");
 }
--- a/tests/journal/format1_log.h
+++ b/tests/journal/format1_log.h
@@ -1,4 +1,5 @@
-// A log of format 1, as the program wrote it before there were segments.
+// Builds a journal of format 1, a single log file, as the program wrote it before there were segments. Used
+// by the tests of the migration.
 #ifndef SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
 #define SAGETALLY_TESTS_JOURNAL_FORMAT1_LOG_H_
 
@@ -11,11 +12,12 @@
 
 namespace sagetally {
 
-// Messages "old1", "old2", ... for destination 7, idempotent by the names of their bodies. The first has an
-// attempt in flight, whose record lacks its last bytes if `torn`.
+// Returns the content of a log with `messages` pending messages. Their ids are "old1", "old2" and so on,
+// their bodies "aold1", "aold2" and so on, and all have the idempotency key "key" and destination 7. The last
+// record is an attempt of the first message, which has no outcome. With `torn`, its last 5 bytes are missing.
 inline std::string MakeFormat1Log(int messages, bool torn, Time deadline = Time(99), int message_class = 2) {
   std::string log;
-  const auto add = [&](const std::string& record) {
+  const auto append_record = [&](const std::string& record) {
     const auto crc =
         crc32(0, reinterpret_cast<const Bytef*>(record.data()), static_cast<uInt>(record.size()));
     log += ByteWriter()
@@ -24,35 +26,35 @@
                .bytes();
     log += record;
   };
-  for (std::uint64_t n = 1; n <= static_cast<std::uint64_t>(messages); ++n) {
-    const std::string id = "old" + std::to_string(n);
-    ByteWriter w;
-    w.AppendNumber('S')
-        .AppendNumber(n)
+  for (std::uint64_t number = 1; number <= static_cast<std::uint64_t>(messages); ++number) {
+    const std::string id = "old" + std::to_string(number);
+    ByteWriter state;
+    state.AppendNumber('S')
+        .AppendNumber(number)
         .AppendString(id)
         .AppendNumber<std::int32_t>(message_class)
         .AppendNumber<std::int32_t>(7);
-    w.AppendTime(deadline)
+    state.AppendTime(deadline)
         .AppendString("key")
         .AppendString("a" + id)
         .AppendNumber(IngressProtocol::kPlatform)
         .AppendNumber<std::uint32_t>(0);
-    w.AppendNumber<std::int32_t>(0)
+    state.AppendNumber<std::int32_t>(0)
         .AppendNumber(false)
         .AppendTime(Time(0))
         .AppendString("")
         .AppendNumber(false)
         .AppendTime(Time(0))
         .AppendString("");
-    w.AppendNumber(FinalStatus::kPending).AppendTime(Time(0)).AppendTime(Time(0)).AppendNumber(false);
-    add(w.bytes());
+    state.AppendNumber(FinalStatus::kPending).AppendTime(Time(0)).AppendTime(Time(0)).AppendNumber(false);
+    append_record(state.bytes());
   }
-  add(ByteWriter()
-          .AppendNumber('A')
-          .AppendNumber<std::uint64_t>(1)
-          .AppendTime(Time(55))
-          .AppendString("s-0")
-          .bytes());
+  append_record(ByteWriter()
+                    .AppendNumber('A')
+                    .AppendNumber<std::uint64_t>(1)
+                    .AppendTime(Time(55))
+                    .AppendString("s-0")
+                    .bytes());
   return torn ? log.substr(0, log.size() - 5) : log;
 }
 
--- a/tests/journal/golden_json.h
+++ b/tests/journal/golden_json.h
@@ -1,4 +1,4 @@
-// What was read from a journal as JSON, under the names of tests/golden/expected/*.json.
+// Converts what was read from a journal to JSON, with the names that tests/golden/expected/*.json uses.
 #ifndef SAGETALLY_TESTS_JOURNAL_GOLDEN_JSON_H_
 #define SAGETALLY_TESTS_JOURNAL_GOLDEN_JSON_H_
 
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-// The names in expected/*.json, by stored number.
+// The names of the enumerators in tests/golden/expected/*.json, indexed by their stored number.
 inline constexpr std::array<std::string_view, 5> kFinalStatusNames = {"none", "delivered", "undeliverable",
                                                                       "deferred", "over"};
 inline constexpr std::array<std::string_view, 8> kOutcomeNames = {
--- a/tests/journal/golden_test.cpp
+++ b/tests/journal/golden_test.cpp
@@ -1,6 +1,6 @@
-// Reads journals that an earlier version wrote (tests/golden) with the present code: all values, and the same
-// bytes when what was read is encoded again. Argument: the folder of golden data, which is copied and not
-// changed.
+// Reads journals that an earlier version wrote (tests/golden) with the present code. Checks that all values
+// are as expected, and that encoding what was read gives the same bytes. Argument: the folder of golden data,
+// which the test copies and does not change.
 #undef NDEBUG
 #include <cassert>
 #include <cstdio>
@@ -37,6 +37,7 @@
 
 // ---- The golden data.
 
+// A temporary copy of the folder of golden data.
 class Golden {
  public:
   explicit Golden(const fs::path& source) {
@@ -58,7 +59,8 @@
   fs::path root_;
 };
 
-// `expected` as it was before what stands in another file, too, was left out of it.
+// Returns `expected` with all its messages. The golden file leaves out the messages that `other`, the content
+// of another golden file, contains with the same values, and lists only the numbers of all messages.
 Json WithAllMessages(Json expected, const Json& other) {
   if (!expected.contains("other_messages")) return expected;
   std::map<std::uint64_t, Json> by_number;
@@ -75,14 +77,14 @@
   return expected;
 }
 
-void AssertEqual(const std::string& what, const Json& found, const Json& expected) {
+void AssertEqual(const std::string& name, const Json& found, const Json& expected) {
   if (found == expected) return;
-  std::fprintf(stderr, "%s differs; from what is expected to what was found:\n%s\n", what.c_str(),
-               Json::diff(expected, found).dump(1).c_str());
+  std::fprintf(stderr, "%s: the found values differ from the expected ones by this patch:\n%s\n",
+               name.c_str(), Json::diff(expected, found).dump(1).c_str());
   assert(false);
 }
 
-// A segment file, taken apart.
+// The decoded content of a segment file.
 struct SegmentFile {
   std::string bytes;
   DecodedSegmentHeader decoded;
@@ -134,7 +136,7 @@
           {"messages", ToJson(messages)}};
 }
 
-// ---- Encoding again.
+// ---- Encoding decoded records again.
 
 std::string EncodeBatchAgain(std::string_view record) {
   ByteReader in(record);
@@ -148,7 +150,8 @@
   return EncodeBatch(states);
 }
 
-// Applies records one by one and encodes each from the message that it left.
+// Applies records one by one, encodes each of them again from its message as it is after that, and compares
+// the bytes.
 class RecordReencoder {
  public:
   RecordReencoder() {
@@ -167,14 +170,15 @@
     assert(*again == record.bytes);
     ++checked_[record.bytes.front()];
   }
-  // How many records of a kind were encoded again.
+  // Returns how many records of a kind were encoded again.
   int checked(RecordKind kind) const {
     const auto entry = checked_.find(static_cast<char>(kind));
     return entry == checked_.end() ? 0 : entry->second;
   }
 
  private:
-  // None: its message was over before the journal's oldest segment, so nothing is known of it.
+  // Returns nothing if the message of the record is not known, because its state was in a segment that was
+  // dropped.
   std::optional<std::string> EncodeAgain(RecordKind kind, std::string_view record) {
     if (kind == RecordKind::kBatch) return EncodeBatchAgain(record);
     ByteReader in(record);
@@ -212,7 +216,7 @@
   std::map<char, int> checked_;
 };
 
-// A segment's header and frames, encoded from what was read.
+// Encodes the header and the frames of a segment from what was read.
 std::string EncodeSegmentAgain(const SegmentFile& segment) {
   const SegmentHeader& header = segment.decoded.header;
   std::string bytes = EncodeSegmentHeader(header);
@@ -325,8 +329,9 @@
   void OnFenced() override { assert(false); }
 };
 
-// A process that opens the journal has the messages of the replay, begins one segment and leaves the others.
-void OpenedJournalContinuesTheOldOne(const Golden& golden) {
+// A process that opens the journal must have the messages of the replay, begin one segment and leave the
+// other segments as they are.
+void OpenedJournalKeepsMessagesAndSegments(const Golden& golden) {
   const Json expected = golden.Expected("journal");
   const fs::path folder = golden.Path("opened");
   fs::copy(golden.Path("journal"), folder);
@@ -342,15 +347,16 @@
   const SegmentJournal journal(files, settings, messages, clock, log, host);
   AssertEqual("opened", ToJson(messages), expected.at("messages"));
   assert(journal.epoch() == 4 && journal.segments() == 5 && !journal.is_new());
-  const SegmentFile begun = ReadSegment(folder / SegmentName(20));
-  assert(begun.records.empty() && begun.decoded.header.first_sequence == 319);
+  const SegmentFile new_segment = ReadSegment(folder / SegmentName(20));
+  assert(new_segment.records.empty() && new_segment.decoded.header.first_sequence == 319);
   for (int number = 16; number <= 19; ++number) {
     const std::string name = SegmentName(static_cast<std::uint64_t>(number));
     assert(ReadFile(folder / name) == ReadFile(golden.Path("journal") / name));
   }
 }
 
-// A process that opens the log of format 1 has its messages, and the next one the same from the new journal.
+// A process that opens the log of format 1 must have its messages, and the next process the same messages
+// from the new journal.
 void OpenedFormat1LogIsMigrated(const Golden& golden) {
   const Json expected = golden.Expected("journal-format1").at("log");
   const fs::path state = golden.Path("migrated");
@@ -387,7 +393,7 @@
   ManifestsHaveTheSameBytesWhenEncodedAgain(golden);
   SegmentsHaveTheSameBytesWhenEncodedAgain(golden);
   RecordsHaveTheSameBytesWhenEncodedAgain(golden);
-  OpenedJournalContinuesTheOldOne(golden);
+  OpenedJournalKeepsMessagesAndSegments(golden);
   OpenedFormat1LogIsMigrated(golden);
   std::puts("9 passed, 0 failed");
 }
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -1,4 +1,5 @@
-// Cases of the journal: older and newer formats, two processes, full disks, classes, clocks.
+// Tests of the journal: older and newer formats, two processes on one journal, full disks, changes of the
+// configured classes, and clocks.
 #include <functional>
 
 #include "format1_log.h"
@@ -9,7 +10,8 @@
 namespace sagetally {
 namespace {
 
-// The text of the error that `call` throws, which must be of this type; empty if it throws none.
+// Returns the text of the error that `call` throws, or an empty text if it throws none. The error must be of
+// the type `Error`.
 template <typename Error>
 std::string TextOfError(const std::function<void()>& call) {
   try {
@@ -29,7 +31,7 @@
   for (int i = 0; process->Accept("m" + std::to_string(i), i % 3 == 0 ? 65'536 : 1'000) != nullptr; ++i) {
   }
   const int pending = process->messages.pending_count();
-  assert(pending >= 7 && disk.Used() <= settings.disk_budget);
+  assert(pending >= 7 && disk.UsedBytes() <= settings.disk_budget);
   process.reset();
   disk.Restart();
   process = std::make_unique<JournalProcess>(disk, clock, settings);
@@ -46,7 +48,7 @@
   assert(!disk.Exists(settings.format1_path));
 }
 
-// Starts a process that ends at this call of the file system.
+// Starts a process that crashes at this call of the file system, and restarts the disk.
 void CrashAt(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings, Fault fault,
              std::uint64_t faulty_call) {
   disk.plan = [&](std::uint64_t call, std::string_view) {
@@ -60,7 +62,9 @@
   disk.Restart();
 }
 
-void Format1LogIsMigratedThroughAnyCrash() {
+// The migration of a log of format 1 must be completed by the next process if the first one crashes at any
+// call.
+void Format1LogIsMigratedDespiteACrashAtAnyCall() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
   for (const bool is_torn : {false, true}) {
@@ -71,7 +75,7 @@
     const std::uint64_t calls = clean.calls();
     clean.Restart();
     CheckMigrated(clean, clock, settings, is_torn);
-    for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTorn}) {
+    for (const Fault fault : {Fault::kCrash, Fault::kCrashAfter, Fault::kTornWrite}) {
       for (std::uint64_t call = 1; call <= calls; ++call) {
         FaultInjectingFileSystem disk = fresh;
         CrashAt(disk, clock, settings, fault, call);
@@ -109,14 +113,14 @@
   assert(first.Accept("a", 100) != nullptr);
   const std::string error_text =
       TextOfError<JournalLockedError>([&] { JournalProcess(disk, clock, settings); });
-  assert(error_text.find("another process holds this journal") != error_text.npos);
-  // The lock file was removed and made anew, so both have a lock. The older process notices and writes no
-  // more.
+  assert(error_text.find("another process has locked this journal") != error_text.npos);
+  // If somebody removes the lock file, a second process can create and lock a new one. The first process must
+  // then notice the later epoch in the manifest and stop writing.
   FaultInjectingFileSystem shared(disk);
   const Manifest newer = [&] {
-    Manifest m = *ReadManifestFile(shared, settings.folder).manifest;
-    m.epoch += 1;
-    return m;
+    Manifest manifest = *ReadManifestFile(shared, settings.folder).manifest;
+    manifest.epoch += 1;
+    return manifest;
   }();
   assert(WriteManifest(disk, settings.folder, newer, false) == 0);
   Message& a = *first.messages.Find(1);
@@ -126,7 +130,7 @@
   assert(!first.journal.IsDurable(a));
 }
 
-// Copies the files of a process that was to continue with this journal and died.
+// Copies the files that differ, or exist only on `other`, to `disk`. Simulates the writes of another process.
 void CopyChangedFiles(FaultInjectingFileSystem& disk, FaultInjectingFileSystem& other) {
   for (const std::string& name : other.List("/state/journal").value) {
     const std::string path = "/state/journal/" + name;
@@ -134,7 +138,8 @@
   }
 }
 
-// A disk on which a successor began its epoch and died.
+// Returns a copy of `disk` on which a successor, a process that took over the journal, began its epoch and
+// died. `use` is called with the successor before it dies.
 FaultInjectingFileSystem DiskOfSuccessor(const FaultInjectingFileSystem& disk, TestClock& clock,
                                          const JournalSettings& settings,
                                          const std::function<void(JournalProcess&)>& use = {}) {
@@ -145,7 +150,7 @@
   return other;
 }
 
-// A successor begins an epoch and dies; `old` continues in the next one.
+// Lets a successor begin an epoch and die, and checks that `old` continues in the epoch after that.
 void ReclaimAfterSuccessor(JournalProcess& old, FaultInjectingFileSystem& disk, TestClock& clock,
                            const JournalSettings& settings, std::uint64_t expected_epoch) {
   FaultInjectingFileSystem other = DiskOfSuccessor(disk, clock, settings, [&](const JournalProcess& next) {
@@ -166,10 +171,11 @@
       JournalProcess old(disk, clock, settings);
       old.Accept("a", 40, 2);
       old.StartAttempt(*old.messages.Find(1));
-      assert(old.journal.Reclaim() && old.journal.epoch() == 1);  // there is no successor
+      assert(old.journal.Reclaim() && old.journal.epoch() == 1);  // no successor has begun an epoch
       ReclaimAfterSuccessor(old, disk, clock, settings, 3);
       ReclaimAfterSuccessor(old, disk, clock, settings, 5);
-      old.FinishAttempt(*old.messages.Find(1), Outcome::kRejected);  // continues the attempt before
+      old.FinishAttempt(*old.messages.Find(1),
+                        Outcome::kRejected);  // the attempt started before the takeovers
       for (int i = 0; i < 100; ++i) old.Accept("more", 200);
       assert(old.messages.pending_count() > 20 && !old.fenced);
     }
@@ -181,7 +187,8 @@
   }
 }
 
-// A successor that wrote more than the beginning of its epoch: records, or other classes.
+// Reclaim must fail if the successor did more than begin its epoch: if it wrote records or changed the
+// classes.
 void ReclaimFailsAfterASuccessorWrote() {
   TestClock clock;
   for (const bool changes_classes : {false, true}) {
@@ -204,17 +211,17 @@
   JournalProcess old(disk, clock, SmallJournal());
   FaultInjectingFileSystem other = DiskOfSuccessor(disk, clock, SmallJournal());
   CopyChangedFiles(disk, other);
-  disk.capacity = disk.Used();
+  disk.capacity = disk.UsedBytes();
   assert(!old.journal.Reclaim());
 }
 
 void UnwritableFolderIsReported() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
-  for (const char* call : {"mkdir", "lock", "create", "append", "rename"}) {
+  for (const char* failing_call : {"mkdir", "lock", "create", "append", "rename"}) {
     FaultInjectingFileSystem disk;
-    disk.plan = [&](std::uint64_t, std::string_view what) {
-      return Step{what == call ? Fault::kError : Fault::kNone, EROFS};
+    disk.plan = [&](std::uint64_t, std::string_view call_name) {
+      return Step{call_name == failing_call ? Fault::kError : Fault::kNone, EROFS};
     };
     const std::string error_text =
         TextOfError<JournalIoError>([&] { JournalProcess(disk, clock, settings); });
@@ -222,7 +229,8 @@
   }
 }
 
-// Makes attempts for all messages and completes them. Gives how often one was durable, of six times each.
+// Makes five attempts for each message and completes it. Returns how often a message was durable: each
+// message is checked six times, after the start of each attempt and after its completion.
 int CompleteAll(JournalProcess& process, const std::vector<Message*>& messages, bool acknowledge) {
   int durable = 0;
   const auto count_durable = [&](const Message& message) {
@@ -243,8 +251,8 @@
 
 constexpr int kMessages = 40;
 
-// With a reserve, all accepted messages are completed although the disk is full; new ones are rejected until
-// there is space.
+// On a full disk new messages must be rejected until there is space. With a disk reserve, all accepted
+// messages must still be completed.
 void FullDiskRejectsOnlyNewMessages() {
   for (const bool reserves_space : {false, true}) {
     JournalSettings settings = SmallJournal();
@@ -253,11 +261,11 @@
     FaultInjectingFileSystem disk;
     TestClock clock;
     auto process = std::make_unique<JournalProcess>(disk, clock, settings);
-    std::vector<Message*> all;
-    all.reserve(kMessages);
-    for (int i = 0; i < kMessages; ++i) all.push_back(process->Accept("m" + std::to_string(i), 200, 2));
-    disk.capacity = disk.Used();  // files of others
-    const int durable = CompleteAll(*process, all, reserves_space);
+    std::vector<Message*> accepted;
+    accepted.reserve(kMessages);
+    for (int i = 0; i < kMessages; ++i) accepted.push_back(process->Accept("m" + std::to_string(i), 200, 2));
+    disk.capacity = disk.UsedBytes();  // as if other programs had filled the rest of the disk
+    const int durable = CompleteAll(*process, accepted, reserves_space);
     assert(process->journal.is_full() && process->Accept("new", 100) == nullptr);
     assert(process->journal.is_writable() == reserves_space);
     assert(reserves_space ? durable == kMessages * 6 : durable < kMessages);
@@ -293,16 +301,17 @@
   }
 }
 
-// What became of a snapshot's messages before it was restored is not known.
+// A restored snapshot lacks the records that were written after it. All its messages must be marked as
+// uncertain, and messages that are accepted later must not.
 void MessagesOfARestoredSnapshotAreUncertain() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
   FaultInjectingFileSystem disk;
   AcceptThreeMessages(disk, clock, settings);
   disk.Restart();
-  Manifest m = *ReadManifestFile(disk, settings.folder).manifest;
-  m.unknown_from = 4'000'000'000;
-  assert(WriteManifest(disk, settings.folder, m, true) == 0);
+  Manifest manifest = *ReadManifestFile(disk, settings.folder).manifest;
+  manifest.unknown_from = 4'000'000'000;
+  assert(WriteManifest(disk, settings.folder, manifest, true) == 0);
   for (int start = 0; start < 2; ++start) {
     disk.Restart();
     JournalProcess process(disk, clock, settings);
@@ -321,59 +330,62 @@
              .ContinueFrom({now.wall_time - std::chrono::seconds(3),
                             now.steady_time - std::chrono::seconds(3), now.boot_id})
              .amount == Duration(0));
-  // The wall clock was set forward by an hour: deadlines and windows are spans of real time.
+  // The wall clock was set forward by an hour while 7 s passed on the steady clock. The clock must follow the
+  // steady clock, because deadlines and deduplication windows are spans of real time.
   SystemClock forward;
   const auto back = forward.ContinueFrom(
       {now.wall_time - std::chrono::hours(1), now.steady_time - std::chrono::seconds(7), now.boot_id});
   assert(back.is_measured && back.amount < -std::chrono::minutes(59));
   assert(forward.Now() - now.wall_time < -std::chrono::minutes(59));
-  // The wall clock was set back by an hour; 7 s passed on the steady clock.
+  // The wall clock was set back by an hour while 7 s passed on the steady clock.
   const auto correction = clock.ContinueFrom(
       {now.wall_time + std::chrono::hours(1), now.steady_time - std::chrono::seconds(7), now.boot_id});
   assert(correction.is_measured &&
          clock.Now() - now.wall_time >= std::chrono::hours(1) + std::chrono::seconds(7));
   SystemClock other;
   assert(!other.ContinueFrom({other.Now() + std::chrono::hours(1), Time(5), 0}).is_measured);
-  // The journal's latest timestamp is that of the latest attempt.
+  // The journal must report the time of the latest attempt as its latest timestamp.
   FaultInjectingFileSystem disk;
   TestClock test;
   const JournalSettings settings = SmallJournal();
-  const Time begun = test.now;
+  const Time started_at = test.now;
   {
     JournalProcess process(disk, test, settings);
-    Message& m = *process.Accept("a", 10);
+    Message& message = *process.Accept("a", 10);
     process.AdvanceTime(std::chrono::seconds(3));
-    process.StartAttempt(m);
+    process.StartAttempt(message);
   }
   disk.Restart();
   JournalProcess process(disk, test, settings);
-  const Timestamp last = process.journal.report().latest_timestamp;
-  assert(last.wall_time == begun + std::chrono::seconds(3) && last.steady_time == last.wall_time &&
-         last.boot_id == 9);
+  const Timestamp latest = process.journal.report().latest_timestamp;
+  assert(latest.wall_time == started_at + std::chrono::seconds(3) && latest.steady_time == latest.wall_time &&
+         latest.boot_id == 9);
 }
 
-// With a segment size that leaves little of the budget, live messages still fit and compaction ends.
+// The segment size may be configured too large for the disk budget. Live messages must still fit, and
+// compaction must still drop segments.
 void SegmentSizeIsLimitedByTheBudget() {
-  for (const std::uint64_t segment : {6'000, 14'000, 30'000, 90'000}) {
+  for (const std::uint64_t segment_bytes : {6'000, 14'000, 30'000, 90'000}) {
     JournalSettings settings = SmallJournal();
     settings.disk_budget = 50'000;
-    settings.segment_bytes = segment;
+    settings.segment_bytes = segment_bytes;
     FaultInjectingFileSystem disk;
     TestClock clock;
     JournalProcess process(disk, clock, settings);
-    boost::random::mt19937_64 random(segment);
-    int names = 0;
+    boost::random::mt19937_64 random(segment_bytes);
+    int next_name = 0;
     int rejected = 0;
     for (int i = 0; i < 3000; ++i) {
       rejected += process.Accept("full" + std::to_string(i), 400) == nullptr ? 1 : 0;
-      RunRandomStep(process, random, names);
-      assert(process.journal.is_writable() && disk.Used() <= settings.disk_budget);
+      RunRandomStep(process, random, next_name);
+      assert(process.journal.is_writable() && disk.UsedBytes() <= settings.disk_budget);
     }
     assert(rejected > 0 && process.journal.counters().segments_dropped > 10);
   }
 }
 
-// An attempt interrupted by the end of a process may have run, whatever the outcome of a later one.
+// An attempt that was interrupted by the end of its process may have run. The message must stay marked as
+// uncertain, whatever the outcome of a later attempt is.
 void InterruptedAttemptStaysUncertain() {
   const JournalSettings settings = SmallJournal();
   TestClock clock;
@@ -382,15 +394,15 @@
     JournalProcess process(disk, clock, settings);
     process.StartAttempt(*process.Accept("a", 40, 1));
   }
-  const Time cut = clock.now;
+  const Time interrupted_at = clock.now;
   for (int start = 0; start < 3; ++start) {
     disk.Restart();
     clock.now += std::chrono::seconds(1);
     JournalProcess process(disk, clock, settings);
-    Message& m = *process.messages.Find(1);
-    assert(m.first_uncertain_attempt == cut);
-    process.StartAttempt(m);
-    process.FinishAttempt(m, Outcome::kRejected);
+    Message& message = *process.messages.Find(1);
+    assert(message.first_uncertain_attempt == interrupted_at);
+    process.StartAttempt(message);
+    process.FinishAttempt(message, Outcome::kRejected);
   }
 }
 
@@ -400,7 +412,7 @@
 int main() {
   using namespace sagetally;
   LongRecordsFillSegmentsWithinTheBudget();
-  Format1LogIsMigratedThroughAnyCrash();
+  Format1LogIsMigratedDespiteACrashAtAnyCall();
   NewerFormatIsRejected();
   SecondProcessIsLockedOutAndFirstIsFenced();
   ReclaimContinuesAfterASuccessorDied();
--- a/tests/journal/journal_world.h
+++ b/tests/journal/journal_world.h
@@ -1,5 +1,5 @@
-// The real journal and message table on a file system in memory with a clock of the test's own, a random
-// workload, and descriptions of what must be recovered.
+// Fixtures for tests of the journal: the real journal and message table on an in-memory file system with a
+// manual clock, a random workload, and descriptions of the messages that must be recovered.
 #ifndef SAGETALLY_TESTS_JOURNAL_JOURNAL_WORLD_H_
 #define SAGETALLY_TESTS_JOURNAL_JOURNAL_WORLD_H_
 
@@ -26,165 +26,175 @@
   Time now{1'700'000'000'000'000};
 };
 
-// What is known of a message after a restart, whatever became of its last attempt.
-inline std::string Describe(const Message& m) {
-  const bool is_uncertain =
-      m.final_status != FinalStatus::kDelivered && (m.first_uncertain_attempt.has_value() || m.is_in_flight);
-  return m.request.id + " class " + std::to_string(m.request.message_class) + " body " +
-         std::to_string(m.final_status == FinalStatus::kPending ? m.request.body.size() : 0) + " attempts " +
-         std::to_string(m.attempts) + (is_uncertain ? " uncertain" : "") + " status " +
-         std::to_string(static_cast<int>(m.final_status)) +
-         (m.notification_pending ? " notification pending" : "") +
-         (m.dead_letter_pending ? " dead letter pending" : "") + " history " +
-         std::to_string(m.history.size());
+// Describes what a recovery must know of a message. The text is the same whether an attempt is in flight or a
+// restart has marked it as uncertain.
+inline std::string Describe(const Message& message) {
+  const bool is_uncertain = message.final_status != FinalStatus::kDelivered &&
+                            (message.first_uncertain_attempt.has_value() || message.is_in_flight);
+  return message.request.id + " class " + std::to_string(message.request.message_class) + " body " +
+         std::to_string(message.final_status == FinalStatus::kPending ? message.request.body.size() : 0) +
+         " attempts " + std::to_string(message.attempts) + (is_uncertain ? " uncertain" : "") + " status " +
+         std::to_string(static_cast<int>(message.final_status)) +
+         (message.notification_pending ? " notification pending" : "") +
+         (message.dead_letter_pending ? " dead letter pending" : "") + " history " +
+         std::to_string(message.history.size());
 }
-// By message number.
+// The descriptions of messages, by message number.
 using Descriptions = std::map<std::uint64_t, std::string>;
+// Describes all messages that a restart does not remove.
 inline Descriptions DescribeAll(const MessageTable& messages) {
   Descriptions descriptions;
-  for (const auto& [number, m] : messages.messages()) {
-    // A message that ended with an attempt in flight stays until that ends; a restart removes it.
-    const bool is_removed_by_restart = m.final_status != FinalStatus::kPending && !m.notification_pending &&
-                                       !m.dead_letter_pending &&
-                                       m.request.protocol == IngressProtocol::kPlatform;
-    if (!is_removed_by_restart) descriptions[number] = Describe(m);
+  for (const auto& [number, message] : messages.messages()) {
+    // A message that ended while an attempt was in flight stays in the table until the attempt ends. A
+    // restart removes it.
+    const bool is_removed_by_restart = message.final_status != FinalStatus::kPending &&
+                                       !message.notification_pending && !message.dead_letter_pending &&
+                                       message.request.protocol == IngressProtocol::kPlatform;
+    if (!is_removed_by_restart) descriptions[number] = Describe(message);
   }
   return descriptions;
 }
 
-// One process that has the journal open, and its event loop.
+// One process that has opened the journal, together with its event loop.
 struct JournalProcess : JournalHost {
   JournalProcess(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings)
       : clock(clock), journal(disk, settings, messages, clock, log, *this) {}
 
-  void ScheduleTurn(Duration d) override { due = clock.now + d; }
+  void ScheduleTurn(Duration delay) override { due = clock.now + delay; }
   void OnProgress() override { ++progress; }
-  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override {
-    syncs.emplace_back(std::move(file), std::move(done));
+  void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> on_done) override {
+    syncs.emplace_back(std::move(file), std::move(on_done));
   }
   void OnFenced() override { fenced = true; }
 
-  // Does the journal's work as it falls due.
-  void AdvanceTime(Duration d) {
-    const Time until = clock.now + d;
-    while (due <= until) {
+  // Advances the clock by `duration` and runs the journal's work at the times at which it is due.
+  void AdvanceTime(Duration duration) {
+    const Time end = clock.now + duration;
+    while (due <= end) {
       clock.now = std::max(clock.now, due);
       due = Time::max();
       journal.RunDueWork();
       FinishSyncs();
     }
-    clock.now = until;
+    clock.now = end;
   }
+  // Runs the syncs that the journal has requested.
   void FinishSyncs() {
-    for (auto& [file, done] : std::exchange(syncs, {})) done(file->Sync());
+    for (auto& [file, on_done] : std::exchange(syncs, {})) on_done(file->Sync());
   }
 
-  // Null if the journal rejects it.
-  Message* Accept(const std::string& id, std::size_t body, int message_class = 0) {
-    Message m;
-    m.request.id = id;
-    m.request.idempotency_key = "key-" + id;
-    m.request.message_class = message_class;
-    m.request.body = std::string(body, 'b');
-    m.deadline = clock.now + std::chrono::seconds(10);
-    Message& added = messages.Add(std::move(m));
-    const Message* one[] = {&added};
-    if (journal.AppendAccepted(one)) return &added;
+  // Accepts a message with a body of this many bytes. Returns null if the journal rejects it.
+  Message* Accept(const std::string& id, std::size_t body_bytes, int message_class = 0) {
+    Message message;
+    message.request.id = id;
+    message.request.idempotency_key = "key-" + id;
+    message.request.message_class = message_class;
+    message.request.body = std::string(body_bytes, 'b');
+    message.deadline = clock.now + std::chrono::seconds(10);
+    Message& added = messages.Add(std::move(message));
+    const Message* accepted[] = {&added};
+    if (journal.AppendAccepted(accepted)) return &added;
     messages.Remove(added.number);
     return nullptr;
   }
-  bool AcceptBatch(const std::string& id, int count, std::size_t body) {
-    std::vector<const Message*> all;
+  // Accepts `count` CloudEvents as one batch. Returns false if the journal rejects it.
+  bool AcceptBatch(const std::string& id, int count, std::size_t body_bytes) {
+    std::vector<const Message*> batch;
     for (int i = 0; i < count; ++i) {
-      Message m;
-      m.request.id = id + "." + std::to_string(i);
-      m.request.protocol = IngressProtocol::kCloudEvents;
-      m.request.body = std::string(body, 'e');
-      m.request.attributes = {{"source", "/test"}, {"id", m.request.id}};
-      all.push_back(&messages.Add(std::move(m)));
+      Message message;
+      message.request.id = id + "." + std::to_string(i);
+      message.request.protocol = IngressProtocol::kCloudEvents;
+      message.request.body = std::string(body_bytes, 'e');
+      message.request.attributes = {{"source", "/test"}, {"id", message.request.id}};
+      batch.push_back(&messages.Add(std::move(message)));
     }
-    if (journal.AppendAccepted(all)) return true;
-    for (const Message* m : all) messages.Remove(m->number);
+    if (journal.AppendAccepted(batch)) return true;
+    for (const Message* message : batch) messages.Remove(message->number);
     return false;
   }
-  void StartAttempt(Message& m) {
-    m.is_in_flight = true;
-    m.attempts += 1;
-    m.in_flight_since = clock.now;
-    m.in_flight_endpoint = "s-1";
-    journal.AppendAttempt(m);
+  void StartAttempt(Message& message) {
+    message.is_in_flight = true;
+    message.attempts += 1;
+    message.in_flight_since = clock.now;
+    message.in_flight_endpoint = "s-1";
+    journal.AppendAttempt(message);
   }
-  void FinishAttempt(Message& m, sagetally::Outcome outcome) {
-    m.is_in_flight = false;
-    if (MayHaveRun(outcome) && !m.first_uncertain_attempt) m.first_uncertain_attempt = m.in_flight_since;
-    journal.AppendOutcome(m, outcome);
+  void FinishAttempt(Message& message, sagetally::Outcome outcome) {
+    message.is_in_flight = false;
+    if (MayHaveRun(outcome) && !message.first_uncertain_attempt) {
+      message.first_uncertain_attempt = message.in_flight_since;
+    }
+    journal.AppendOutcome(message, outcome);
   }
-  void Complete(Message& m, enum FinalStatus end) {
-    messages.Complete(m, end, Duration(0), clock.now);
-    journal.AppendCompletion(m);
-    messages.RemoveIfFinished(m);
+  void Complete(Message& message, enum FinalStatus final_status) {
+    messages.Complete(message, final_status, Duration(0), clock.now);
+    journal.AppendCompletion(message);
+    messages.RemoveIfFinished(message);
   }
-  void AcknowledgeNotification(Message& m) {
-    if (m.is_in_flight) MarkUncertainAttempt(m);
-    m.is_in_flight = false;
-    m.notification_pending = false;
-    journal.AppendNotified(m);
-    messages.RemoveIfFinished(m);
+  void AcknowledgeNotification(Message& message) {
+    if (message.is_in_flight) MarkUncertainAttempt(message);
+    message.is_in_flight = false;
+    message.notification_pending = false;
+    journal.AppendNotified(message);
+    messages.RemoveIfFinished(message);
   }
 
   TestClock& clock;
   Logger log{LogOptions{LogFormat::kText, static_cast<LogLevel>(9)}};
   MessageTable messages;
-  Time due = Time::max();
+  Time due = Time::max();  // when the journal's work is due
+  // The syncs that the journal has requested, each with the function that receives its errno value.
   std::vector<std::pair<std::shared_ptr<File>, std::function<void(int)>>> syncs;
-  int progress = 0;
-  bool fenced = false;
+  int progress = 0;     // number of calls of OnProgress
+  bool fenced = false;  // whether OnFenced was called
   SegmentJournal journal;
 };
 
+// Settings of a journal with a small budget and small segments, so that compaction runs often.
 inline JournalSettings SmallJournal() {
-  JournalSettings s;
-  s.folder = "/state/journal";
-  s.format1_path = "/state/log";
-  s.node_name = "n0";
-  s.disk_budget = 160'000;
-  s.segment_bytes = 4'096;
-  s.class_names = {"aviso", "pedido", "pagamento"};
-  return s;
+  JournalSettings settings;
+  settings.folder = "/state/journal";
+  settings.format1_path = "/state/log";
+  settings.node_name = "n0";
+  settings.disk_budget = 160'000;
+  settings.segment_bytes = 4'096;
+  settings.class_names = {"aviso", "pedido", "pagamento"};
+  return settings;
 }
 
-// One step of a workload drawn from `random`: messages are accepted, attempted, completed and their clients
-// notified; some wait for long. `names` counts the names given so far.
-inline void RunRandomStep(JournalProcess& process, boost::random::mt19937_64& random, int& names) {
-  const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
+// Runs one random step of a workload, which accepts messages, starts and finishes attempts, completes
+// messages and acknowledges notifications. Some messages stay pending for a long time. `next_name` numbers
+// the ids of the messages and batches.
+inline void RunRandomStep(JournalProcess& process, boost::random::mt19937_64& random, int& next_name) {
+  const auto draw = [&](int max) { return boost::random::uniform_int_distribution<int>(0, max)(random); };
   process.AdvanceTime(std::chrono::milliseconds(draw(3)));
   std::vector<Message*> pending, unnotified;
-  for (const auto& [number, m] : process.messages.messages()) {
-    if (m.final_status == FinalStatus::kPending) pending.push_back(process.messages.Find(number));
-    if (m.notification_pending) unnotified.push_back(process.messages.Find(number));
+  for (const auto& [number, message] : process.messages.messages()) {
+    if (message.final_status == FinalStatus::kPending) pending.push_back(process.messages.Find(number));
+    if (message.notification_pending) unnotified.push_back(process.messages.Find(number));
   }
   const int action = draw(9);
   if (pending.empty() || (action < 3 && pending.size() < 40)) {
     if (draw(9) == 0) {
-      process.AcceptBatch("e" + std::to_string(names++), 3, 100);
+      process.AcceptBatch("e" + std::to_string(next_name++), 3, 100);
     } else {
-      process.Accept("m" + std::to_string(names++), draw(7) == 0 ? 3000 : 150, draw(2));
+      process.Accept("m" + std::to_string(next_name++), draw(7) == 0 ? 3000 : 150, draw(2));
     }
     return;
   }
   if (!unnotified.empty() && action == 3)
     return process.AcknowledgeNotification(*unnotified[draw(static_cast<int>(unnotified.size()) - 1)]);
-  // Mostly the latest messages, so that some old ones stay and must be copied forward.
-  const std::size_t back = static_cast<std::size_t>(draw(draw(5) == 0 ? 39 : 4));
-  Message& m = *pending[pending.size() - 1 - std::min(back, pending.size() - 1)];
-  if (!m.is_in_flight && m.attempts < 6 && action < 7) return process.StartAttempt(m);
-  if (m.is_in_flight && action < 8)
-    return process.FinishAttempt(m, action % 2 == 0 ? Outcome::kRejected : Outcome::kReset);
-  if (action == 8 && m.attempts == 0) return process.Complete(m, FinalStatus::kFailed);
-  // A delivered message's attempt has ended; one that failed may end with an attempt in flight.
+  // Mostly selects one of the latest messages, so that some old messages stay and compaction must copy them.
+  const std::size_t age_rank = static_cast<std::size_t>(draw(draw(5) == 0 ? 39 : 4));
+  Message& message = *pending[pending.size() - 1 - std::min(age_rank, pending.size() - 1)];
+  if (!message.is_in_flight && message.attempts < 6 && action < 7) return process.StartAttempt(message);
+  if (message.is_in_flight && action < 8)
+    return process.FinishAttempt(message, action % 2 == 0 ? Outcome::kRejected : Outcome::kReset);
+  if (action == 8 && message.attempts == 0) return process.Complete(message, FinalStatus::kFailed);
+  // The attempt of a delivered message has ended. A failed message may have an attempt in flight.
   const bool delivered = action % 2 != 0;
-  if (delivered) m.is_in_flight = false;
-  process.Complete(m, delivered ? FinalStatus::kDelivered : FinalStatus::kFailed);
+  if (delivered) message.is_in_flight = false;
+  process.Complete(message, delivered ? FinalStatus::kDelivered : FinalStatus::kFailed);
 }
 
 }  // namespace sagetally
--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -1,5 +1,6 @@
-// The program on the real file system, killed at seeded moments under traffic, most of them as its journal's
-// files change. Arguments: the program, how many kills, a seed, the journal's durability.
+// Runs the program on the real file system under traffic, kills it again and again at random times, mostly at
+// a change of its journal's files, and checks that no accepted message is lost. Arguments: the program, the
+// number of kills, a random seed, and the durability of the journal.
 #include <sys/inotify.h>
 
 #include <boost/random/uniform_int_distribution.hpp>
@@ -11,18 +12,18 @@
 namespace sagetally {
 namespace {
 
-// Calls back at the n-th change of a file in a folder.
+// Calls a function after a given number of file changes in a folder.
 class FolderWatcher {
  public:
-  FolderWatcher(EventLoop& loop, const std::string& folder, std::function<void()> on_reached)
-      : on_reached_(std::move(on_reached)),
+  FolderWatcher(EventLoop& loop, const std::string& folder, std::function<void()> on_count_reached)
+      : on_count_reached_(std::move(on_count_reached)),
         descriptor_(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)),
         event_(event_new(loop.base(), descriptor_.get(), EV_READ | EV_PERSIST, OnReadable, this)) {
     ::inotify_add_watch(descriptor_.get(), folder.c_str(),
                         IN_CREATE | IN_MOVED_TO | IN_DELETE | IN_CLOSE_WRITE);
     event_add(event_.get(), nullptr);
   }
-  // 0: never.
+  // Calls the function at the change with this number, counted from now on. 0 means never.
   void CallAfter(int changes) { changes_left_ = changes; }
 
  private:
@@ -33,16 +34,17 @@
     for (ssize_t offset = 0; offset + static_cast<ssize_t>(sizeof(inotify_event)) <= size;) {
       const auto* event = reinterpret_cast<const inotify_event*>(bytes + offset);
       offset += static_cast<ssize_t>(sizeof(inotify_event) + event->len);
-      if (watcher->changes_left_ > 0 && --watcher->changes_left_ == 0) watcher->on_reached_();
+      if (watcher->changes_left_ > 0 && --watcher->changes_left_ == 0) watcher->on_count_reached_();
     }
   }
-  const std::function<void()> on_reached_;
+  const std::function<void()> on_count_reached_;
   FileDescriptor descriptor_;
   EventPtr event_;
   int changes_left_ = 0;
 };
 
-// One node under traffic of clients, with partners that fail, and what its clients were notified of.
+// One node with clients that send messages and a partner that injects faults. Records which messages were
+// delivered and of which final statuses the clients were notified.
 class KillTest {
  public:
   KillTest(std::string program, std::uint64_t seed, const std::string& durability)
@@ -72,7 +74,8 @@
     partner_.menu = {Fault::kNone};
     accepted_ = clients_->Taken();
     const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    RunUntil(world_.loop, [&] { return CountOpen() == 0 || std::chrono::steady_clock::now() >= give_up_at; });
+    RunUntil(world_.loop,
+             [&] { return CountUnfinished() == 0 || std::chrono::steady_clock::now() >= give_up_at; });
     const int status = process_->End(SIGTERM);
     assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
     Report(kills);
@@ -106,14 +109,15 @@
     partner_.menu.resize(30, Fault::kNone);
   }
 
-  // From 0 to `max`.
+  // Returns a random number from 0 to `max`.
   int Draw(int max) { return boost::random::uniform_int_distribution<int>(0, max)(random_); }
 
   void WaitUntilReady() {
     RunUntil(world_.loop, [this] { return process_->Port() != 0; });
   }
 
-  // Lets clients send until the watcher or the time kills the process, and starts the next one.
+  // Lets clients send until the process is killed, either by the watcher or after a random time, and starts
+  // the next process.
   void KillUnderTraffic(FolderWatcher& watcher) {
     WaitUntilReady();
     is_killed_ = false;
@@ -127,31 +131,32 @@
     process_ = std::make_unique<Process>(program_, world_.folder.path);
   }
 
-  // Accepted messages that were neither delivered nor notified.
-  int CountOpen() const {
+  // Returns the number of accepted messages that were not delivered and whose client was not notified.
+  int CountUnfinished() const {
     return static_cast<int>(std::count_if(accepted_.begin(), accepted_.end(), [this](const auto& name) {
       return !partner_.delivered.contains(name) && !notified_.contains(name);
     }));
   }
 
-  int CountTwoEnds() const {
+  // Returns the number of messages whose client was notified of more than one final status.
+  int CountConflictingNotifications() const {
     return static_cast<int>(std::count_if(notified_.begin(), notified_.end(),
                                           [](const auto& entry) { return entry.second.size() > 1; }));
   }
 
   void Report(int kills) {
     std::printf(
-        "%d kills (%d as the journal's files changed), %d posted, %zu accepted, %zu delivered, %zu notified; "
-        "lost "
-        "%d, two ends %d, forbidden repeats %d, hedged requests %d\n",
+        "%d kills (%d at changes of the journal's files), %d posted, %zu accepted, %zu delivered, %zu "
+        "notified; "
+        "%d lost, %d with conflicting notifications, %d forbidden retries, %d hedged requests\n",
         kills, kills_at_changes_, clients_->posted, accepted_.size(), partner_.delivered.size(),
-        notified_.size(), CountOpen(), CountTwoEnds(), partner_.forbidden_repeats,
+        notified_.size(), CountUnfinished(), CountConflictingNotifications(), partner_.forbidden_repeats,
         partner_.Broken("second copy"));
     std::fflush(stdout);
   }
 
   void Check(int kills) {
-    assert(CountOpen() == 0 && CountTwoEnds() == 0 && partner_.forbidden_repeats == 0);
+    assert(CountUnfinished() == 0 && CountConflictingNotifications() == 0 && partner_.forbidden_repeats == 0);
     assert(partner_.Broken("too many attempts") == 0 && partner_.most_out() <= 24 + 1);
     assert(kills_at_changes_ > kills / 4 && accepted_.size() > static_cast<std::size_t>(kills));
   }
@@ -160,7 +165,8 @@
   World world_{0, 24, 150};
   Partner partner_;
   boost::random::mt19937_64 random_;
-  std::map<std::string, std::set<std::string>> notified_;  // by id: the statuses
+  std::map<std::string, std::set<std::string>>
+      notified_;  // the final statuses in notifications, by message id
   std::unique_ptr<Process> process_;
   std::unique_ptr<Clients> clients_;
   std::set<std::string> accepted_;
--- a/tests/journal/segment_fixtures.h
+++ b/tests/journal/segment_fixtures.h
@@ -1,4 +1,4 @@
-// Journals of one segment, and where its frames begin, for tests that damage the file.
+// Journals of a single segment, and the offsets of its frames, for tests that damage or replace the file.
 #ifndef SAGETALLY_TESTS_JOURNAL_SEGMENT_FIXTURES_H_
 #define SAGETALLY_TESTS_JOURNAL_SEGMENT_FIXTURES_H_
 
@@ -13,7 +13,7 @@
 
 inline constexpr char kFirstSegment[] = "/state/journal/0000000000000001.seg";
 
-// A journal that never begins a second segment.
+// Settings of a journal whose segment is so large that the tests never begin a second one.
 inline JournalSettings OneSegmentJournal() {
   JournalSettings settings = SmallJournal();
   settings.segment_bytes = 1'000'000;
@@ -21,7 +21,8 @@
   return settings;
 }
 
-// Offsets at which the frames of a segment begin, and its end.
+// Returns the offsets at which the frames of a segment begin, and as the last element the size of the
+// segment.
 inline std::vector<std::size_t> FrameOffsets(const std::string& bytes) {
   std::vector<std::size_t> offsets = {DecodeSegmentHeader(bytes)->size};
   while (offsets.back() < bytes.size()) {
@@ -32,7 +33,7 @@
   return offsets;
 }
 
-// Three messages, the first with an attempt in flight.
+// Accepts three messages and starts an attempt of the first one, which has no outcome.
 inline void AcceptThreeMessages(FaultInjectingFileSystem& disk, TestClock& clock,
                                 const JournalSettings& settings) {
   JournalProcess process(disk, clock, settings);
