--- a/src/core/attempt_history.h
+++ b/src/core/attempt_history.h
@@ -1,5 +1,5 @@
-// The completed attempts of the last minute: what a successor process replays into its own dispatch policy.
-// The pipeline appends to it, the handover encodes it. Used by the event loop's thread only; no I/O.
+// The history of recently completed attempts, which a successor process replays into its own dispatch policy.
+// The pipeline appends to it, and the handover encodes it. Used on the event loop's thread only; no I/O.
 #ifndef SAGETALLY_SRC_CORE_ATTEMPT_HISTORY_H_
 #define SAGETALLY_SRC_CORE_ATTEMPT_HISTORY_H_
 
@@ -17,26 +17,28 @@
 struct CompletedAttempt {
   Time sent_at{0};
   Time completed_at{0};
-  Time deadline{0};  // of its message
+  Time deadline{0};  // of the message
   int destination = 0;
   int message_class = 0;
-  int attempts = 0;  // of its message, this one included
+  int attempts = 0;  // made for the message so far, including this one
   std::string endpoint = {};
   Outcome outcome = Outcome::kOk;
-  Duration retry_after{0};  // as the endpoint asked for it; 0: not stated
+  Duration retry_after{0};  // as requested by the endpoint; 0: not stated
   LoadReport load_report = {};
 };
 
-// A bounded window over the latest completed attempts, oldest first.
+// The latest completed attempts, limited by age and number, oldest first.
 class AttemptHistory {
  public:
-  // Long enough to show an ejection with its half-open attempts, the slow start after it, and the averages
-  // that pacing rests on.
+  // Long enough to cover an ejection with its half-open attempts, the slow start after it, and the averages
+  // on which pacing is based.
   static constexpr Duration kRetention = std::chrono::seconds(60);
   static constexpr std::size_t kMaxAttempts = 3000;
 
-  // Appends `attempt`, then drops the oldest ones beyond kRetention before it or beyond kMaxAttempts.
+  // Appends `attempt`, and drops the oldest attempts as long as there are more than kMaxAttempts or they
+  // completed more than kRetention before `attempt`.
   void Add(CompletedAttempt attempt);
+  // Returns the attempts, oldest first.
   std::vector<CompletedAttempt> Recent() const { return {recent_.begin(), recent_.end()}; }
   std::size_t size() const { return recent_.size(); }
 
--- a/src/core/endpoint_client.h
+++ b/src/core/endpoint_client.h
@@ -1,5 +1,5 @@
-// Calls to endpoints, as the core sees them. Implemented by the connection pool; called on the event loop's
-// thread.
+// The interface for calls to endpoints. Implemented by the connection pool; called by the pipeline on the
+// event loop's thread.
 #ifndef SAGETALLY_SRC_CORE_ENDPOINT_CLIENT_H_
 #define SAGETALLY_SRC_CORE_ENDPOINT_CLIENT_H_
 
@@ -10,23 +10,24 @@
 
 namespace sagetally {
 
-// Each call gets exactly one CallResult, which arrives later, never from within StartCall().
+// Each call gets exactly one CallResult. It arrives later, never from within StartCall().
 class EndpointClient {
  public:
   virtual ~EndpointClient() = default;
 
-  // Starts a call. The request that it points to outlives the call.
+  // Starts a call. `call.request` must stay valid until the call has completed.
   virtual void StartCall(const CallRequest& call) = 0;
-  // Gives up the call of message `number`, written or not. Does nothing without one.
+  // Cancels the call of message `number`, whether or not it has been written. Does nothing if the message has
+  // no call.
   virtual void CancelCall(std::uint64_t number) = 0;
-  // Gives up the call of message `number` if its last byte has not been written; its outcome is kNotSent
-  // then.
+  // Cancels the call of message `number` if its last byte has not been written; its outcome is then kNotSent.
+  // Does nothing otherwise.
   virtual void CancelCallIfUnsent(std::uint64_t number) = 0;
-  // Closes the connections of `endpoint` that carry no call.
+  // Closes the connections to `endpoint` that carry no call.
   virtual void CloseIdleConnections(const std::string& endpoint) = 0;
-  // The endpoint list has a new or changed entry.
+  // Called when an entry of the endpoint list is new or has changed.
   virtual void UpdateEndpoint(const EndpointUpdate& update) = 0;
-  // The endpoint list no longer names `endpoint`.
+  // Called when `endpoint` is no longer in the endpoint list.
   virtual void RemoveEndpoint(const std::string& endpoint) = 0;
 };
 
--- a/src/core/journal.h
+++ b/src/core/journal.h
@@ -1,5 +1,5 @@
-// The durable record of every message, as the core sees it. Implemented by the segment journal; called on the
-// event loop's thread.
+// The interface to the journal, which durably records every message. Implemented by the segment journal;
+// called by the pipeline on the event loop's thread.
 #ifndef SAGETALLY_SRC_CORE_JOURNAL_H_
 #define SAGETALLY_SRC_CORE_JOURNAL_H_
 
@@ -9,29 +9,31 @@
 
 namespace sagetally {
 
-// Appends a record for each change of a message. A message is passed in its state after the change.
+// Appends a record for each change of a message. The message is passed in its state after the change.
 //
-// A record is not durable as soon as it is appended: nothing that others can see (an answer, a call, a
-// notification) may follow from it before IsDurable() says so. The implementation tells its owner when it has
-// made progress, and the owner then calls MessagePipeline::OnJournalProgress().
+// An appended record is not durable immediately. Until IsDurable() returns true for the message, the change
+// must have no effect that is visible outside of the process: no response, no call and no notification. The
+// implementation notifies its owner when more records have become durable, and the owner then calls
+// MessagePipeline::OnJournalProgress().
 class Journal {
  public:
   virtual ~Journal() = default;
 
-  // Appends all messages as one record. Returns false, and appends nothing, if the disk is full.
+  // Records that all `messages` were accepted, in a single journal record. Returns false, and appends
+  // nothing, if the journal can't take them, for example because the disk is full.
   virtual bool AppendAccepted(std::span<const Message* const> messages) = 0;
-  // Appends the start of the message's latest attempt.
+  // Records the start of the message's latest attempt.
   virtual void AppendAttempt(const Message& message) = 0;
-  // Appends the outcome of an attempt after which the message stays pending.
+  // Records the outcome of an attempt after which the message is still pending.
   virtual void AppendOutcome(const Message& message, Outcome outcome) = 0;
-  // Appends the message's final status.
+  // Records the message's final status.
   virtual void AppendCompletion(const Message& message) = 0;
-  // Appends that the client acknowledged the notification.
+  // Records that the client acknowledged the notification.
   virtual void AppendNotified(const Message& message) = 0;
-  // Appends that the dead-letter store holds the message, or never will.
+  // Records that the dead-letter store has stored the message, or has given it up for good.
   virtual void AppendDeadLettered(const Message&) {}
 
-  // Whether all records of the message are as durable as its class demands.
+  // Whether all records of the message are as durable as its class requires.
   virtual bool IsDurable(const Message&) const { return true; }
 };
 
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -1,6 +1,6 @@
-// The core's data: requests, messages, attempts, calls and endpoint lists. Plain values without behaviour;
-// wire and stored forms are the business of their codecs. Core depends on the policy's interface and the
-// clock only; handover, pipeline and the adapters build upon it.
+// The core data types: requests, messages, attempts, calls and endpoint lists. They are plain values without
+// behaviour; codecs elsewhere define their wire and stored formats. Core depends on the policy's interface
+// and the clock only; the handover, the pipeline and the adapters depend on core.
 #ifndef SAGETALLY_SRC_CORE_MESSAGE_H_
 #define SAGETALLY_SRC_CORE_MESSAGE_H_
 
@@ -15,22 +15,23 @@
 
 namespace sagetally {
 
-// The class of a message whose class is no longer configured.
+// The class number of a message whose class is no longer configured.
 constexpr int kUnknownClass = -1;
 
-// The protocol by which a message came in, and by which its client is notified. The numbers are stored.
+// The protocol by which a message was submitted and by which its client is notified. The numbers are stored,
+// so they must not change.
 enum class IngressProtocol : std::uint8_t { kPlatform = 0, kCloudEvents = 1 };
 
-// The context attributes of a CloudEvent as the HTTP headers of its binary mode, by header name ("ce-type").
-// They are passed on unchanged. Empty for messages of the platform's protocol.
+// The context attributes of a CloudEvent as HTTP headers of the binary mode, by header name ("ce-type"). They
+// are passed on unchanged. Empty for messages of the platform's protocol.
 using CloudEventAttributes = std::map<std::string, std::string>;
 
 // A message as a client submits it.
 struct Request {
-  std::string id = {};  // names the message to endpoints and in notifications
+  std::string id = {};  // identifies the message to endpoints and in notifications
   int message_class = 0;
   int destination = 0;
-  Duration time_left{0};             // until its deadline, when it was submitted
+  Duration time_left{0};             // from the submission until the deadline
   std::string idempotency_key = {};  // passed on unchanged; empty: none
   std::string body = {};             // any bytes
   IngressProtocol protocol = IngressProtocol::kPlatform;
@@ -38,16 +39,16 @@
   bool operator==(const Request&) const = default;
 };
 
-// What became of a message. The numbers are stored.
+// The final status of a message. The numbers are stored, so they must not change.
 enum class FinalStatus : std::uint8_t {
-  kPending = 0,    // not ended yet
-  kDelivered = 1,  // an endpoint answered with success
-  kFailed = 2,     // ended undelivered; the client can't rely on a repeat being harmless
-  kRejected = 3,   // ended undelivered; the client may submit it again after Message::retry_after
+  kPending = 0,    // not completed yet
+  kDelivered = 1,  // an endpoint responded with success
+  kFailed = 2,     // undelivered; the client can't rely on it being harmless to submit the message again
+  kRejected = 3,   // undelivered; the client may submit the message again after Message::retry_after
   kExpired = 4     // nobody waits for the result any more
 };
 
-// Why a message ended undelivered. The numbers are stored.
+// Why a message completed undelivered. The numbers are stored, so they must not change.
 enum class FailureReason : std::uint8_t {
   kNone = 0,
   kAttemptsExhausted = 1,
@@ -58,26 +59,26 @@
   kDeduplicationWindowExpired = 6,   // may have run, and the destination no longer drops a repeated key
   kInterruptedByRestart = 7,         // a call was in flight when the process ended, and can't be retried
   kShed = 8,                         // given up in favour of other messages
-  kRedriveForbiddenAfterRestart = 9  // the redrive policy does not allow it to go on
+  kRedriveForbiddenAfterRestart = 9  // the redrive policy forbids sending it again after the restart
 };
 
-// One attempt in a message's history, which is recorded where dead letters are configured.
+// One attempt in a message's history, which is recorded only if dead letters are configured.
 struct AttemptRecord {
   Timestamp sent_at;
   std::string endpoint = {};
-  std::optional<Outcome> outcome = {};  // nothing: in flight, or interrupted by the end of the process
-  Duration retry_after{0};              // as the endpoint asked for it; 0: not stated
+  std::optional<Outcome> outcome = {};  // empty: in flight, or interrupted by the end of the process
+  Duration retry_after{0};              // as requested by the endpoint; 0: not stated
   bool operator==(const AttemptRecord&) const = default;
 };
 
 // An accepted request and the state of its delivery.
 struct Message {
-  std::uint64_t number = 0;  // in the message table, from 1
+  std::uint64_t number = 0;  // identifies the message in the message table; counts from 1
   Request request = {};
   Time deadline{0};
-  int attempts = 0;  // made so far, the one in flight included
+  int attempts = 0;  // made so far, including the one in flight
 
-  // The call in flight or, without one, the latest.
+  // The call in flight, or the latest call if none is in flight.
   bool is_in_flight = false;
   Time in_flight_since{0};
   std::string in_flight_endpoint = {};
@@ -87,19 +88,19 @@
   std::string first_uncertain_endpoint = {};
 
   FinalStatus final_status = FinalStatus::kPending;
-  Duration retry_after{0};            // kRejected: when the client may submit it again
+  Duration retry_after{0};            // kRejected: after which time the client may submit it again
   Time completed_at{0};               // when the final status was set
-  bool notification_pending = false;  // the client has not acknowledged the final status
-  bool client_answered = true;        // the client has the response to its request
+  bool notification_pending = false;  // the client must be notified, and has not acknowledged that yet
+  bool is_response_sent = true;       // false while the client waits for the response to its submission
 
-  // Used only where dead letters are configured.
+  // Used only if dead letters are configured.
   Time accepted_at{0};
   std::vector<AttemptRecord> history = {};
   FailureReason failure_reason = FailureReason::kNone;
-  bool dead_letter_pending = false;  // the dead-letter store has still to take the message
+  bool dead_letter_pending = false;  // the dead-letter store still has to store the message
 
-  // The dead letter that this message redrives: its number (0: this is no redrive), how often it was redriven
-  // before, and the node that stored it.
+  // The dead letter that this message redrives: its number (0: this message is not a redrive), how often it
+  // was redriven before, and the node that stored it.
   std::uint64_t redrive_number = 0;
   std::int32_t redrive_incarnation = 0;
   std::string redrive_node = {};
@@ -107,48 +108,49 @@
 
 enum class AdmissionStatus {
   kAccepted,
-  kRejected,      // no capacity; may be submitted again
-  kShuttingDown,  // this process accepts no more; may be submitted to another
-  kInvalid        // the request itself is wrong
+  kRejected,      // can't be accepted at present; the client may submit it again
+  kShuttingDown,  // this process accepts no more messages; the client may submit it to another process
+  kInvalid        // the request itself is invalid
 };
 
-// The immediate response to a client's request.
+// The immediate response to a client's submission.
 struct AdmissionResult {
   AdmissionStatus status = AdmissionStatus::kAccepted;
   Duration retry_after{0};  // 0: not stated
-  std::string reason = {};  // for people; empty if accepted
+  std::string reason = {};  // human-readable; empty if accepted
 };
 
 // A call to be made to an endpoint.
 struct CallRequest {
-  std::uint64_t message_number = 0;  // of the message
+  std::uint64_t message_number = 0;
   const Request* request = nullptr;
   std::string endpoint = {};
   Duration timeout{0};
-  // The last byte is written within this time or not at all; the outcome is kNotSent then. Nothing: no limit.
+  // If the last byte can't be written within this time, the call is given up with the outcome kNotSent.
+  // Empty: no limit.
   std::optional<Duration> write_timeout = {};
 };
 
 // The result of a call.
 struct CallResult {
-  std::uint64_t message_number = 0;  // of the message
+  std::uint64_t message_number = 0;
   Outcome outcome = Outcome::kOk;
-  bool message_expired = false;  // the endpoint says that nobody waits for the message any more
-  Duration retry_after{0};
+  bool message_expired = false;  // the endpoint reports that nobody waits for the message any more
+  Duration retry_after{0};       // as requested by the endpoint; 0: not stated
   LoadReport load_report = {};
 };
 
 // One entry of an endpoint list.
 struct EndpointUpdate {
   EndpointRecord record = {};
-  std::string address = {};
+  std::string address = {};  // "host:port"
 };
 
-// A full endpoint list, or changes to it.
+// A full snapshot or a delta of the endpoint list.
 struct EndpointListUpdate {
   bool is_full_snapshot = false;
-  bool is_cached = false;  // read from the configuration, not from discovery
-  std::int64_t revision = 0;
+  bool is_cached = false;     // read from the configuration, not from discovery
+  std::int64_t revision = 0;  // of the list, as discovery counts it
   std::vector<EndpointUpdate> endpoints = {};
 };
 
--- a/src/core/message_table.cpp
+++ b/src/core/message_table.cpp
@@ -5,13 +5,14 @@
 namespace sagetally {
 namespace {
 
-// The two protocols have id spaces of their own.
-std::string DeduplicationKey(const Request& request) {
+// Each ingress protocol has its own id space, so the key contains the protocol.
+std::string MakeDeduplicationKey(const Request& request) {
   return (request.protocol == IngressProtocol::kCloudEvents ? "e" : "p") + request.id;
 }
 
-// A rejected event is not retained: submitted again, it is a new message.
-bool IsRetainedAfterEnd(const Message& message) {
+// Rejected events are not retained, because an event that is submitted again after a rejection is a new
+// message.
+bool IsRetainedAfterCompletion(const Message& message) {
   return message.request.protocol == IngressProtocol::kCloudEvents &&
          message.final_status != FinalStatus::kRejected;
 }
@@ -24,10 +25,10 @@
   if (message.number == 0) message.number = next_number_;
   next_number_ = std::max(next_number_, message.number + 1);
   const std::uint64_t number = message.number;
-  numbers_by_key_[DeduplicationKey(message.request)] = number;
+  numbers_by_key_[MakeDeduplicationKey(message.request)] = number;
   if (IsPending(message)) ++pending_count_;
   Message& added = messages_.insert_or_assign(number, std::move(message)).first->second;
-  // Only the journal's replay adds ended messages.
+  // Only the journal's replay adds messages that have completed already.
   if (!IsPending(added) && !added.dead_letter_pending) Retain(added);
   return added;
 }
@@ -38,7 +39,7 @@
 }
 
 Message* MessageTable::FindDuplicate(const Request& request) {
-  const auto found = numbers_by_key_.find(DeduplicationKey(request));
+  const auto found = numbers_by_key_.find(MakeDeduplicationKey(request));
   return found == numbers_by_key_.end() ? nullptr : Find(found->second);
 }
 
@@ -47,27 +48,28 @@
   message.final_status = final_status;
   message.retry_after = retry_after;
   message.completed_at = now;
-  // No client waits for a redrive: it was notified when the message ended for the first time.
+  // No client waits for a redrive, because it was notified when the original message completed.
   const bool has_waiting_client = message.redrive_number == 0;
   message.notification_pending =
       has_waiting_client && (final_status == FinalStatus::kFailed || final_status == FinalStatus::kRejected);
   --pending_count_;
-  if (IsRetainedAfterEnd(message) && !message.dead_letter_pending) Retain(message);
+  if (IsRetainedAfterCompletion(message) && !message.dead_letter_pending) Retain(message);
 }
 
 void MessageTable::MarkDeadLettered(Message& message) {
   if (!message.dead_letter_pending) return;
   message.dead_letter_pending = false;
-  if (IsRetainedAfterEnd(message)) Retain(message);
+  if (IsRetainedAfterCompletion(message)) Retain(message);
   RemoveIfFinished(message);
 }
 
 void MessageTable::RemoveIfFinished(Message& message) {
-  if (IsPending(message) || message.is_in_flight || !message.client_answered || message.dead_letter_pending) {
+  if (IsPending(message) || message.is_in_flight || !message.is_response_sent ||
+      message.dead_letter_pending) {
     return;
   }
-  if (IsRetainedAfterEnd(message)) {
-    message.request.body = std::string();  // releases its memory, which clear() does not
+  if (IsRetainedAfterCompletion(message)) {
+    message.request.body = std::string();  // releases the memory of the body, which clear() would not do
     return;
   }
   if (!message.notification_pending) Remove(message.number);
@@ -78,15 +80,15 @@
   if (found == messages_.end()) return;
   const Message& message = found->second;
   if (on_message_removed) on_message_removed(message);
-  const auto key = numbers_by_key_.find(DeduplicationKey(message.request));
+  const auto key = numbers_by_key_.find(MakeDeduplicationKey(message.request));
   if (key != numbers_by_key_.end() && key->second == number) numbers_by_key_.erase(key);
   if (IsPending(message)) --pending_count_;
   messages_.erase(found);
 }
 
 void MessageTable::ExpireRetained(Time now) {
-  while (!retained_.empty() &&
-         (retained_.front().ended_at + kDeduplicationWindow < now || retained_.size() > kMaxRetained)) {
+  while (!retained_.empty() && (retained_.front().completed_at + kDeduplicationWindow < now ||
+                                retained_.size() > kMaxRetainedMessages)) {
     if (!RemoveOldestRetained()) return;
   }
 }
@@ -96,7 +98,7 @@
   const std::uint64_t number = retained_.front().number;
   const Message* message = Find(number);
   if (message != nullptr &&
-      (message->notification_pending || message->is_in_flight || !message->client_answered)) {
+      (message->notification_pending || message->is_in_flight || !message->is_response_sent)) {
     return false;
   }
   retained_.pop_front();
--- a/src/core/message_table.h
+++ b/src/core/message_table.h
@@ -1,8 +1,9 @@
-// All messages of a process: pending ones, ended ones whose final status somebody has still to learn, and
-// ended CloudEvents that are retained to answer repeated submissions.
+// The table of all messages of a process: pending messages, completed messages for which a response, a call,
+// a notification or a transfer to the dead-letter store is still outstanding, and completed CloudEvents that
+// are retained to recognise repeated submissions.
 //
-// Used on the event loop's thread only. The journal's replay fills it at the start; the pipeline owns its
-// changes from then on.
+// Used on the event loop's thread only. The journal's replay fills the table at the start of the process;
+// from then on only the pipeline changes it.
 #ifndef SAGETALLY_SRC_CORE_MESSAGE_TABLE_H_
 #define SAGETALLY_SRC_CORE_MESSAGE_TABLE_H_
 
@@ -22,54 +23,62 @@
 
 class MessageTable {
  public:
-  // How long, and how many, ended CloudEvents are retained for deduplication.
+  // Completed CloudEvents are retained for deduplication for this long, and at most this many of them.
   static constexpr Duration kDeduplicationWindow = std::chrono::minutes(5);
-  static constexpr std::size_t kMaxRetained = 1500;
+  static constexpr std::size_t kMaxRetainedMessages = 1500;
 
-  // Adds a message, under the next free number if its own is 0. The reference is valid until Remove().
+  // Adds a message. If its number is 0, it is assigned the next free number. The returned reference stays
+  // valid until the message is removed.
   Message& Add(Message message);
-  // Returns null if there is no message of this number.
+  // Returns the message with this number, or null if there is none.
   Message* Find(std::uint64_t number);
-  // Returns the message that was last submitted by the same protocol under the same id; null if none is
-  // known.
+  // Returns the latest message that was submitted by the same protocol with the same id, or null if there is
+  // none.
   Message* FindDuplicate(const Request& request);
 
+  // The number of messages that have not completed yet.
   int pending_count() const { return pending_count_; }
+  // The number of messages in the table.
   std::size_t size() const { return messages_.size(); }
+  // All messages, by message number.
   const std::map<std::uint64_t, Message>& messages() const { return messages_; }
 
-  // Sets the final status of a pending message; does nothing to one that has ended.
+  // Sets the final status of a pending message. Does nothing if the message has completed already. `now` is
+  // recorded as the time of the completion.
   void Complete(Message& message, FinalStatus final_status, Duration retry_after, Time now);
-  // The dead-letter store holds the message, or never will. May remove it.
+  // Called when the dead-letter store has stored the message, or has given it up for good. May remove the
+  // message from the table.
   void MarkDeadLettered(Message& message);
-  // Numbers below this are not assigned any more.
+  // From now on, assigns no message numbers below `number`.
   void SkipNumbersBelow(std::uint64_t number) { next_number_ = std::max(next_number_, number); }
 
-  // Removes an ended message once nothing is owed for it: no call is in flight, and its client and the
-  // dead-letter store know its end. One that is retained for deduplication loses only its body.
+  // Removes a completed message if nothing is outstanding for it: no call is in flight, its client has the
+  // response and has acknowledged a pending notification, and the dead-letter store does not still have to
+  // store it. A message that is retained for deduplication stays in the table, but its body is released.
   void RemoveIfFinished(Message& message);
-  // Removes a message whatever its state. Does nothing without one of this number.
+  // Removes a message in any state. Does nothing if there is no message with this number.
   void Remove(std::uint64_t number);
-  // Removes messages that were retained beyond kDeduplicationWindow or kMaxRetained.
+  // Removes messages that have been retained longer than kDeduplicationWindow, and the oldest ones beyond
+  // kMaxRetainedMessages.
   void ExpireRetained(Time now);
-  // Removes the message retained longest. Returns false if there is none, or if its client has still to learn
-  // its end.
+  // Removes the message that has been retained longest. Returns false if no message is retained, or if that
+  // message has a call in flight or its client still has to get the response or the notification.
   bool RemoveOldestRetained();
 
   // Called before a message is removed. May be empty.
   std::function<void(const Message&)> on_message_removed;
 
  private:
-  // An ended message that is retained for deduplication.
+  // A completed message that is retained for deduplication.
   struct RetainedMessage {
-    Time ended_at{0};
+    Time completed_at{0};
     std::uint64_t number = 0;
   };
 
   void Retain(const Message& message);
 
   std::map<std::uint64_t, Message> messages_;
-  std::unordered_map<std::string, std::uint64_t> numbers_by_key_;  // by DeduplicationKey()
+  std::unordered_map<std::string, std::uint64_t> numbers_by_key_;  // by MakeDeduplicationKey()
   std::deque<RetainedMessage> retained_;                           // oldest first
   std::uint64_t next_number_ = 1;
   int pending_count_ = 0;
--- a/src/core/metrics_recorder.h
+++ b/src/core/metrics_recorder.h
@@ -1,5 +1,5 @@
-// The counters that operators read, as the core sees them. Implemented by the metrics; called on the event
-// loop's thread.
+// The interface to the counters that operators read. Implemented by the metrics; called on the event loop's
+// thread.
 #ifndef SAGETALLY_SRC_CORE_METRICS_RECORDER_H_
 #define SAGETALLY_SRC_CORE_METRICS_RECORDER_H_
 
@@ -7,16 +7,16 @@
 
 namespace sagetally {
 
-// Is called exactly once for each fact that a counter rests on.
+// Each function is called exactly once for each event that the metrics count.
 class MetricsRecorder {
  public:
   virtual ~MetricsRecorder() = default;
 
-  // An accepted message has its final status, and the journal its record.
+  // Called when the final status of an accepted message was set and appended to the journal.
   virtual void RecordCompletion(const Message& message) = 0;
-  // A request of a valid class was rejected without having been accepted.
+  // Called when a request of a valid class was rejected without having been accepted.
   virtual void RecordRejection(int message_class) = 0;
-  // The last byte of a call was written to an endpoint.
+  // Called when the last byte of a call was written to an endpoint.
   virtual void RecordCallWritten() = 0;
 };
 
--- a/src/core/policy_message_id.cpp
+++ b/src/core/policy_message_id.cpp
@@ -5,7 +5,7 @@
 
 namespace sagetally {
 
-std::string PolicyMessageId(std::uint64_t number) { return std::to_string(number); }
+std::string ToPolicyMessageId(std::uint64_t number) { return std::to_string(number); }
 
 std::optional<std::uint64_t> ParsePolicyMessageId(std::string_view id) {
   std::uint64_t number = 0;
--- a/src/core/policy_message_id.h
+++ b/src/core/policy_message_id.h
@@ -1,4 +1,5 @@
-// How the service names its messages to the dispatch policy, which knows them by strings only.
+// Conversions between message numbers and the string ids by which the dispatch policy identifies messages. No
+// state; may be called on any thread.
 #ifndef SAGETALLY_SRC_CORE_POLICY_MESSAGE_ID_H_
 #define SAGETALLY_SRC_CORE_POLICY_MESSAGE_ID_H_
 
@@ -9,11 +10,11 @@
 
 namespace sagetally {
 
-// The id under which the policy knows message `number`.
-std::string PolicyMessageId(std::uint64_t number);
+// Returns the policy's id of message `number`.
+std::string ToPolicyMessageId(std::uint64_t number);
 
-// The message number behind an id of the policy. Nothing if the id does not begin with a number, as that of
-// an attempt replayed from an earlier process.
+// Returns the message number of an id of the policy. Returns nothing if the id does not begin with a number,
+// as in the ids of attempts replayed from an earlier process.
 std::optional<std::uint64_t> ParsePolicyMessageId(std::string_view id);
 
 }  // namespace sagetally
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,5 +1,5 @@
-// All interfaces through which the core reaches the outside, for those who implement or pass on several of
-// them. Each has a header of its own.
+// Includes all interfaces (ports) through which the core uses its adapters, for code that implements or
+// passes on several of them. Each interface also has its own header.
 #ifndef SAGETALLY_SRC_CORE_PORTS_H_
 #define SAGETALLY_SRC_CORE_PORTS_H_
 
--- a/src/handover/handover_state.cpp
+++ b/src/handover/handover_state.cpp
@@ -14,11 +14,13 @@
 template <typename Value, typename ReadValue>
 void ReadList(ByteReader& reader, std::vector<Value>& values, ReadValue read_value) {
   const auto count = reader.ReadNumber<std::uint32_t>();
-  // The count may be wrong: it ends with the bytes, and reserves nothing.
+  // The count may be corrupt. So the loop stops at the end of the bytes, and no memory is reserved for
+  // `count` values.
   for (std::uint32_t i = 0; i < count && reader.ok(); ++i) values.push_back(read_value(reader));
 }
 
-// Reads an enumerator stored as one byte; `last` is the highest known.
+// Reads an enumerator that is stored as one byte. A value above `last`, the highest known enumerator, makes
+// the bytes malformed.
 template <typename Enum>
 Enum ReadEnum(ByteReader& reader, Enum last) {
   const auto value = reader.ReadNumber<std::uint8_t>();
@@ -54,9 +56,9 @@
   return report;
 }
 
-void AppendClass(ByteWriter& writer, const std::string& name) { writer.AppendString(name); }
+void AppendClassName(ByteWriter& writer, const std::string& name) { writer.AppendString(name); }
 
-std::string ReadClass(ByteReader& reader) { return reader.ReadString(); }
+std::string ReadClassName(ByteReader& reader) { return reader.ReadString(); }
 
 void AppendEndpoint(ByteWriter& writer, const EndpointUpdate& update) {
   const EndpointRecord& record = update.record;
@@ -140,7 +142,7 @@
   writer.AppendNumber(kHandoverVersion);
   AppendTimestamp(writer, state.now);
   writer.AppendNumber(state.endpoint_list_revision);
-  AppendList(writer, state.class_names, AppendClass);
+  AppendList(writer, state.class_names, AppendClassName);
   AppendList(writer, state.endpoints, AppendEndpoint);
   AppendList(writer, state.recent_attempts, AppendCompletedAttempt);
   AppendList(writer, state.in_flight_calls, AppendInFlightCall);
@@ -153,7 +155,7 @@
   HandoverState state;
   state.now = ReadTimestamp(reader);
   state.endpoint_list_revision = reader.ReadNumber<std::int64_t>();
-  ReadList(reader, state.class_names, ReadClass);
+  ReadList(reader, state.class_names, ReadClassName);
   ReadList(reader, state.endpoints, ReadEndpoint);
   ReadList(reader, state.recent_attempts, ReadCompletedAttempt);
   ReadList(reader, state.in_flight_calls, ReadInFlightCall);
--- a/src/handover/handover_state.h
+++ b/src/handover/handover_state.h
@@ -1,8 +1,10 @@
-// What a process passes to its successor besides descriptors and the journal, and its encoding. It holds
-// facts only, in a form that does not depend on what the dispatch policy of either version keeps.
+// The state that a process passes to its successor in a handover, in addition to file descriptors and the
+// journal, and the encoding of that state. It contains facts only, such as endpoints and attempts, so that
+// its format does not depend on the internal state of the dispatch policy in either version of the program.
 //
-// The handover session in src/app sends and receives these bytes. No I/O here, and no state between calls.
-// The directory depends on core and base only; the pipeline fills the attempt history without knowing of it.
+// The handover classes in src/app send and receive the encoded bytes. The functions here do no I/O and keep
+// no state between calls. This folder depends on core and base only; the pipeline, which fills the attempt
+// history, does not depend on it.
 #ifndef SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
 #define SAGETALLY_SRC_HANDOVER_HANDOVER_STATE_H_
 
@@ -17,12 +19,12 @@
 
 namespace sagetally {
 
-// Two processes hand over to each other only if they agree on it.
+// The version of the handover format. A handover takes place only between processes of the same version.
 constexpr std::uint32_t kHandoverVersion = 1;
 
-// A call that stays with the old process, which reports its result to the new one.
+// A call that stays in flight in the predecessor, which reports its result to the successor.
 struct InFlightCall {
-  std::uint64_t message_number = 0;  // of the message
+  std::uint64_t message_number = 0;
   std::string endpoint = {};
   Time sent_at{0};
   // The earliest of the message's attempts before this one that may have run.
@@ -30,21 +32,24 @@
   std::string first_uncertain_endpoint = {};
 };
 
+// What the predecessor knows at the time of the handover.
 struct HandoverState {
-  Timestamp now = {};
-  std::vector<std::string> class_names = {};  // names of the message classes, by number
-  std::int64_t endpoint_list_revision = 0;    // of the endpoint list
-  std::vector<EndpointUpdate> endpoints = {};
+  Timestamp now = {};                         // when the predecessor captured the state
+  std::vector<std::string> class_names = {};  // names of the message classes, by class number
+  std::int64_t endpoint_list_revision = 0;
+  std::vector<EndpointUpdate> endpoints = {};          // the endpoint list
   std::vector<CompletedAttempt> recent_attempts = {};  // oldest first
   std::vector<InFlightCall> in_flight_calls = {};
 };
 
+// Encodes a state in the format of kHandoverVersion.
 std::string EncodeHandoverState(const HandoverState& state);
-// Returns nothing if the bytes are of another version or not exactly one state.
+// Returns nothing if the bytes have another version or are not exactly one encoded state.
 std::optional<HandoverState> DecodeHandoverState(std::string_view bytes);
 
+// Encodes the result of a call that stayed in flight in the predecessor.
 std::string EncodeCallResult(const CallResult& result);
-// Returns nothing if the bytes are not exactly one result.
+// Returns nothing if the bytes are not exactly one encoded result.
 std::optional<CallResult> DecodeCallResult(std::string_view bytes);
 
 }  // namespace sagetally
--- a/src/handover/state_replay.cpp
+++ b/src/handover/state_replay.cpp
@@ -11,26 +11,27 @@
 namespace sagetally {
 namespace {
 
-// Collects the events of a replay with their times, and the endpoints that they refer to.
+// Collects the events of a replay with their times, and the endpoints to which they refer.
 class ReplayBuilder {
  public:
   void AddCompletedAttempt(const CompletedAttempt& attempt, int message_class);
   void AddInFlightMessage(const Message& message);
-  // The endpoint list of `state`. Endpoints of the events that it no longer names are added as removed ones,
-  // since calls to them still count.
-  EndpointListUpdated EndpointList(const HandoverState& state, std::size_t kind_count) const;
-  // By time; those of one time in the order they were added.
+  // Returns the endpoint list of `state`. Endpoints to which the events refer but which are no longer listed
+  // are added as removed endpoints, because calls to them still count.
+  EndpointListUpdated MakeEndpointList(const HandoverState& state, std::size_t kind_count) const;
+  // The events in the order of their times. Events with the same time are in the order in which they were
+  // added.
   const std::multimap<Time, Event>& events() const { return events_; }
 
  private:
   std::multimap<Time, Event> events_;
-  std::map<std::string, int> destinations_;  // by endpoint
+  std::map<std::string, int> destinations_;  // destination numbers by endpoint name
   std::uint64_t completed_count_ = 0;
 };
 
 void ReplayBuilder::AddCompletedAttempt(const CompletedAttempt& attempt, int message_class) {
   destinations_.emplace(attempt.endpoint, attempt.destination);
-  // An id that is none of a message: its number may be in use by now.
+  // The id must not be a message number, because the number of the attempt's message may be in use by now.
   const std::string id = "past-" + std::to_string(++completed_count_);
 
   MessageAccepted accepted;
@@ -56,7 +57,7 @@
 void ReplayBuilder::AddInFlightMessage(const Message& message) {
   destinations_.emplace(message.in_flight_endpoint, message.request.destination);
   MessageAccepted accepted;
-  accepted.id = PolicyMessageId(message.number);
+  accepted.id = ToPolicyMessageId(message.number);
   accepted.destination = message.request.destination;
   accepted.message_class = message.request.message_class;
   accepted.time_left = message.deadline - message.in_flight_since;
@@ -67,7 +68,8 @@
   events_.emplace(message.in_flight_since, std::move(accepted));
 }
 
-EndpointListUpdated ReplayBuilder::EndpointList(const HandoverState& state, std::size_t kind_count) const {
+EndpointListUpdated ReplayBuilder::MakeEndpointList(const HandoverState& state,
+                                                    std::size_t kind_count) const {
   EndpointListUpdated list;
   list.kind = EndpointListUpdated::Kind::kFullSnapshot;
   std::map<std::string, int> unlisted = destinations_;
@@ -87,7 +89,8 @@
   return list;
 }
 
-// The number, among `classes`, of the class that had number `previous_class` in the process before.
+// Returns the number in `classes` of the class that had the number `previous_class` in the predecessor;
+// nothing if this process does not have that class.
 std::optional<int> FindClass(const HandoverState& state, int previous_class,
                              const std::vector<std::string>& classes) {
   const auto index = static_cast<std::size_t>(previous_class);
@@ -100,7 +103,8 @@
 }  // namespace
 
 void ReplayHandoverState(const HandoverState& state, const std::vector<std::string>& classes,
-                         std::size_t kind_count, const MessageTable& messages, const ReplayStep& step) {
+                         std::size_t kind_count, const MessageTable& messages,
+                         const ProcessEventsAt& process_events) {
   ReplayBuilder replay;
   for (const CompletedAttempt& attempt : state.recent_attempts) {
     if (const std::optional<int> message_class = FindClass(state, attempt.message_class, classes)) {
@@ -113,10 +117,11 @@
     }
   }
 
-  const Time end = state.now.wall_time;
-  const Time begin = replay.events().empty() ? end : std::min(end, replay.events().begin()->first);
-  step(begin, {replay.EndpointList(state, kind_count)});
-  for (const auto& [time, event] : replay.events()) step(std::min(time, end), {event});
+  const Time end_time = state.now.wall_time;
+  const Time start_time =
+      replay.events().empty() ? end_time : std::min(end_time, replay.events().begin()->first);
+  process_events(start_time, {replay.MakeEndpointList(state, kind_count)});
+  for (const auto& [time, event] : replay.events()) process_events(std::min(time, end_time), {event});
 }
 
 }  // namespace sagetally
--- a/src/handover/state_replay.h
+++ b/src/handover/state_replay.h
@@ -1,5 +1,6 @@
-// Teaches the dispatch policy of a new process what that of the process before learnt from its latest
-// attempts. Called once, after the journal's replay and before the policy's first run. No I/O.
+// Replays the predecessor's recent attempts into the dispatch policy of the successor, so that this policy
+// learns from them what the predecessor's policy had learned. Called once on the event loop's thread, after
+// the journal was replayed and before the policy runs for the first time. No I/O.
 #ifndef SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
 #define SAGETALLY_SRC_HANDOVER_STATE_REPLAY_H_
 
@@ -14,19 +15,20 @@
 
 namespace sagetally {
 
-// Lets the policy process events as of the time `now`; see Router::ReplayEvents().
-using ReplayStep = std::function<void(Time now, const std::vector<Event>& events)>;
+// Makes the policy process events as of the time `now`; see Router::ReplayEvents().
+using ProcessEventsAt = std::function<void(Time now, const std::vector<Event>& events)>;
 
-// Replays `state` by calling `step` with events in the order of their times, none of them later than
-// `state.now`: the endpoint list, each completed attempt, and each pending message of `messages` whose call
-// is in flight.
+// Replays `state` by calling `process_events` with events in the order of their times, none of them later
+// than `state.now`: the endpoint list, each completed attempt, and each pending message of `messages` that
+// has a call in flight.
 //
-// `classes` are this process's message classes by number, `kind_count` the number of its destination kinds.
-// Attempts of a class that it does not have are left out; endpoints of a kind that it does not have count as
-// of the first kind. The actions that the policy answers with have no meaning, apart from the timer it asks
-// for.
+// `classes` holds the names of this process's message classes by class number, and `kind_count` is the number
+// of its destination kinds. Attempts of a class that this process does not have are skipped. Endpoints of a
+// kind that it does not have are treated as endpoints of the first kind. `process_events` must ignore the
+// actions that the policy returns, except for the timer that it requests.
 void ReplayHandoverState(const HandoverState& state, const std::vector<std::string>& classes,
-                         std::size_t kind_count, const MessageTable& messages, const ReplayStep& step);
+                         std::size_t kind_count, const MessageTable& messages,
+                         const ProcessEventsAt& process_events);
 
 }  // namespace sagetally
 
--- a/src/pipeline/admission_controller.cpp
+++ b/src/pipeline/admission_controller.cpp
@@ -7,11 +7,11 @@
 namespace sagetally {
 namespace {
 
-// Stated to clients that are rejected because the disk is full, which is tried again all the time, or because
-// this process is draining or shutting down.
+// The Retry-After time for clients that are rejected because the disk is full or because this process is
+// draining or shutting down. The journal keeps checking whether a full disk has space again.
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
-// Reasons as clients get them, in the response's body.
+// Rejection reasons, sent to clients in the response body.
 constexpr char kDrainingReason[] = "draining";
 constexpr char kTableFullReason[] = "all places are taken";
 constexpr char kDiskFullReason[] = "no room on disk";
@@ -54,15 +54,16 @@
     Message message;
     message.deadline = now + request.time_left;
     message.request = std::move(request);
-    message.client_answered = false;
+    message.is_response_sent = false;
     if (dead_letters_ != nullptr) message.accepted_at = now;
     messages.push_back(&messages_.Add(std::move(message)));
   }
   return messages;
 }
 
-// New messages go before ended ones that are retained for deduplication only: these are removed, oldest
-// first, until the record fits on the disk.
+// Accepting new messages takes precedence over retaining completed messages for deduplication. If the record
+// does not fit on the disk, retained messages are removed, oldest first, until it fits or none can be
+// removed.
 bool AdmissionController::AppendToJournal(const std::vector<const Message*>& messages) {
   bool is_recorded = journal_.AppendAccepted(messages);
   while (!is_recorded && messages_.RemoveOldestRetained()) is_recorded = journal_.AppendAccepted(messages);
@@ -98,10 +99,10 @@
   return true;
 }
 
-void AdmissionController::AnswerWaitingClients() {
+void AdmissionController::RespondToWaitingClients() {
   for (WaitingClient& client : std::exchange(waiting_clients_, {})) {
     if (IsDurable(client)) {
-      Answer(client);
+      Respond(client);
     } else {
       waiting_clients_.push_back(std::move(client));
     }
@@ -116,9 +117,9 @@
                      });
 }
 
-// The single message of the submission if the policy rejected it before any attempt: the response states
-// that, and no notification is due. A submission of several messages has one response, so each of them is
-// notified.
+// Returns the message of a single-message submission if the policy rejected it before its first attempt, else
+// null. The response then states the rejection, and no notification is due. A submission of several messages
+// has only one response, so the client is notified of each of its rejected messages instead.
 const Message* AdmissionController::FindShedMessage(const WaitingClient& client) {
   if (client.message_numbers.size() != 1) return nullptr;
   const Message* message = messages_.Find(client.message_numbers.front());
@@ -128,30 +129,30 @@
   return message;
 }
 
-void AdmissionController::Answer(const WaitingClient& client) {
+void AdmissionController::Respond(const WaitingClient& client) {
   AdmissionResult result;
-  ClientKnowledge knowledge = ClientKnowledge::kAccepted;
+  ResponseOutcome outcome = ResponseOutcome::kAccepted;
   if (const Message* shed = FindShedMessage(client)) {
     result = {AdmissionStatus::kRejected, shed->retry_after, kShedReason};
-    knowledge = ClientKnowledge::kRejected;
+    outcome = ResponseOutcome::kRejected;
   }
-  if (!client.respond(result)) knowledge = ClientKnowledge::kDisconnected;
+  if (!client.respond(result)) outcome = ResponseOutcome::kDisconnected;
   for (const std::uint64_t number : client.message_numbers) {
-    if (Message* message = messages_.Find(number)) OnAnswered(*message, knowledge);
+    if (Message* message = messages_.Find(number)) OnResponded(*message, outcome);
   }
 }
 
-void AdmissionController::OnAnswered(Message& message, ClientKnowledge knowledge) {
-  message.client_answered = true;
-  if (knowledge == ClientKnowledge::kDisconnected && message.final_status == FinalStatus::kPending) {
-    // Without a response the client submits the message again: this copy is withdrawn.
+void AdmissionController::OnResponded(Message& message, ResponseOutcome outcome) {
+  message.is_response_sent = true;
+  if (outcome == ResponseOutcome::kDisconnected && message.final_status == FinalStatus::kPending) {
+    // The client has no response and will submit the message again, so this copy is withdrawn.
     router_.OnWithdrawn(message);
     completion_handler_.Complete(message, FinalStatus::kExpired);
     return;
   }
-  if (knowledge != ClientKnowledge::kAccepted && message.notification_pending) {
-    // The client knows the end, or submits the message again: neither a dead letter nor a notification is
-    // due.
+  if (outcome != ResponseOutcome::kAccepted && message.notification_pending) {
+    // The client either learned the final status from the response, or has no response and will submit the
+    // message again. In both cases neither a dead letter nor a notification is due.
     const std::uint64_t number = message.number;
     completion_handler_.OnDeadLettered(number);
     completion_handler_.OnNotificationAcknowledged(number);
--- a/src/pipeline/admission_controller.h
+++ b/src/pipeline/admission_controller.h
@@ -1,5 +1,6 @@
-// Admits validated requests, all of a submission or none: adds them to the message table and the journal, and
-// answers the client once the records are durable. Rejects at once what exceeds the capacity.
+// Admits validated requests. Either all requests of a submission are accepted or none. Accepted requests are
+// added to the message table and the journal, and the client gets its response once their records are
+// durable. Submissions that exceed the capacity are rejected immediately.
 //
 // Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_ADMISSION_CONTROLLER_H_
@@ -25,7 +26,7 @@
 
 class AdmissionController {
  public:
-  // `dead_letters` and `metrics` may be null. All references outlive this object.
+  // `dead_letters` and `metrics` may be null. All referenced objects must outlive this one.
   AdmissionController(MessageTable& messages, Journal& journal, Router& router,
                       CompletionHandler& completion_handler, const Clock& clock, int max_pending_messages,
                       DeadLetterSink* dead_letters, MetricsRecorder* metrics)
@@ -38,31 +39,33 @@
         dead_letters_(dead_letters),
         metrics_(metrics) {}
 
-  // Accepts all requests, or rejects them. `respond` is called exactly once: within this call if they are
-  // rejected, else by AnswerWaitingClients().
+  // Accepts or rejects all requests of a submission. `respond` is called exactly once: during this call if
+  // the requests are rejected, otherwise by RespondToWaitingClients().
   void Accept(std::vector<Request> requests, AdmissionCallback respond);
   // Rejects all requests of a submission with `result`.
   void Reject(const std::vector<Request>& requests, const AdmissionCallback& respond,
               const AdmissionResult& result);
-  // Accepts a dead letter that is redriven: a message with its history and without a client. Returns false if
-  // this process accepts no messages now or has no capacity for it.
+  // Accepts a redriven dead letter: a message that has a history but no client waiting for a response.
+  // Returns false if this process accepts no messages at present, has no capacity for the message, or can't
+  // record it in the journal.
   bool AcceptRedrive(Message message);
-  // Answers the clients whose messages are durable. Called after each run of the policy, which may have shed
-  // a message that was just accepted.
-  void AnswerWaitingClients();
+  // Responds to the clients whose messages are durable. Called after each run of the policy, which may have
+  // shed a message that was just accepted, and after each progress of the journal.
+  void RespondToWaitingClients();
+  // Whether any accepted submission still waits for its response.
   bool has_waiting_clients() const { return !waiting_clients_.empty(); }
 
-  // Whether messages are accepted at present. Empty: always.
+  // Returns whether this process accepts messages at present. If empty, it always does.
   std::function<bool()> is_accepting;
 
  private:
-  // A client whose messages were accepted, and that has no response yet.
+  // A client whose messages were accepted and whose response is still pending.
   struct WaitingClient {
     std::vector<std::uint64_t> message_numbers;
     AdmissionCallback respond;
   };
-  // What the client knows after the response.
-  enum class ClientKnowledge { kAccepted, kRejected, kDisconnected };
+  // What the response told the client; kDisconnected: the client received no response.
+  enum class ResponseOutcome { kAccepted, kRejected, kDisconnected };
 
   bool IsAccepting() const { return !is_accepting || is_accepting(); }
   bool HasCapacityFor(std::size_t message_count) const;
@@ -72,8 +75,8 @@
 
   bool IsDurable(const WaitingClient& client);
   const Message* FindShedMessage(const WaitingClient& client);
-  void Answer(const WaitingClient& client);
-  void OnAnswered(Message& message, ClientKnowledge knowledge);
+  void Respond(const WaitingClient& client);
+  void OnResponded(Message& message, ResponseOutcome outcome);
 
   MessageTable& messages_;
   Journal& journal_;
@@ -83,7 +86,7 @@
   const int max_pending_messages_;
   DeadLetterSink* dead_letters_;
   MetricsRecorder* metrics_;
-  std::vector<WaitingClient> waiting_clients_;  // in the order of their requests
+  std::vector<WaitingClient> waiting_clients_;  // in the order of submission
 };
 
 }  // namespace sagetally
--- a/src/pipeline/attempt_sender.cpp
+++ b/src/pipeline/attempt_sender.cpp
@@ -5,8 +5,8 @@
 namespace sagetally {
 namespace {
 
-// For how long a decision of the policy may be carried out. Rejections and draining endpoints that became
-// known after it make it obsolete.
+// The longest time between a decision of the policy and the start of the call. An older decision may be
+// obsolete, because rejections and draining endpoints may have become known since.
 constexpr Duration kMaxDecisionAge = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -34,8 +34,9 @@
   return true;
 }
 
-// A connection may be established long after the policy's decision. Whether the destination still drops a
-// repeated key is therefore judged when the bytes are written, counted from the first attempt on record.
+// The connection may be established long after the policy's decision. The write timeout ensures that a retry
+// with an idempotency key is written only while the destination still drops a repeated key. This
+// deduplication window is counted from the first attempt on record that may have run.
 void AttemptSender::StartCall(const Message& message, const std::string& endpoint, Duration timeout) {
   CallRequest call{message.number, &message.request, endpoint, timeout};
   const ClassSettings& settings = classes_.at(static_cast<std::size_t>(message.request.message_class));
@@ -48,12 +49,12 @@
 void AttemptSender::OnJournalProgress() {
   const Time now = clock_.Now();
   std::vector<std::uint64_t> not_sent = std::exchange(cancelled_attempts_, {});
-  for (auto entry = waiting_attempts_.begin(); entry != waiting_attempts_.end();) {
-    const auto& [number, attempt] = *entry;
+  for (auto waiting = waiting_attempts_.begin(); waiting != waiting_attempts_.end();) {
+    const auto& [number, attempt] = *waiting;
     const Message* message = messages_.Find(number);
     const bool is_pending = message != nullptr && message->final_status == FinalStatus::kPending;
     if (is_pending && !journal_.IsDurable(*message)) {
-      ++entry;
+      ++waiting;
       continue;
     }
     if (is_pending && now - attempt.decided_at <= kMaxDecisionAge) {
@@ -61,7 +62,7 @@
     } else {
       not_sent.push_back(number);
     }
-    entry = waiting_attempts_.erase(entry);
+    waiting = waiting_attempts_.erase(waiting);
   }
   for (const std::uint64_t number : not_sent) ReportNotSent(number);
 }
--- a/src/pipeline/attempt_sender.h
+++ b/src/pipeline/attempt_sender.h
@@ -1,6 +1,6 @@
-// Starts the attempts that the dispatch policy decides on: records each in the journal, and makes the call
-// once the record is durable. An attempt that had to wait for too long is reported as not sent instead, so
-// that the policy decides anew.
+// Starts the attempts that the dispatch policy decides on. Each attempt is recorded in the journal, and its
+// call is made once the record is durable. If that takes too long, the attempt is reported as not sent
+// instead, so that the policy decides again.
 //
 // Used on the event loop's thread only, by Router and MessagePipeline.
 #ifndef SAGETALLY_SRC_PIPELINE_ATTEMPT_SENDER_H_
@@ -22,9 +22,9 @@
 
 class AttemptSender {
  public:
-  // `classes` are the message classes by number. With `records_history` each attempt is added to its
-  // message's history. `on_not_sent` receives a result for each attempt whose call was never made. All
-  // references outlive this object.
+  // `classes` holds the settings of the message classes by class number. If `records_history` is true, each
+  // attempt is added to its message's history. `on_not_sent` receives a result for each attempt whose call
+  // was never made. All referenced objects must outlive this one.
   AttemptSender(const std::vector<ClassSettings>& classes, MessageTable& messages, Journal& journal,
                 EndpointClient& endpoint_client, const Clock& clock, bool records_history,
                 std::function<void(const CallResult&)> on_not_sent)
@@ -36,29 +36,29 @@
         records_history_(records_history),
         on_not_sent_(std::move(on_not_sent)) {}
 
-  // Starts an attempt to send message `number` to `endpoint`. Does nothing if the message is unknown, has
-  // ended or has a call in flight.
+  // Starts an attempt to send message `number` to `endpoint`; `timeout` is that of the call. Does nothing if
+  // the message is unknown, has completed or has a call in flight.
   void StartAttempt(std::uint64_t number, const std::string& endpoint, Duration timeout);
 
-  // Cancels the attempt of message `number` if it still waits for the journal, and returns whether it did.
-  // The next OnJournalProgress() reports it as not sent.
+  // Cancels the attempt of message `number` if its record is not durable yet, and returns whether it did so.
+  // The next OnJournalProgress() reports the attempt as not sent.
   bool CancelIfWaiting(std::uint64_t number);
 
-  // Makes the calls whose records have become durable, and reports the attempts that were cancelled or have
-  // waited for too long.
+  // Makes the calls whose records have become durable. Reports as not sent the attempts that were cancelled,
+  // that waited too long, or whose message has completed meanwhile.
   void OnJournalProgress();
 
-  // Whether OnJournalProgress() has cancelled attempts to report.
+  // Whether there are cancelled attempts that the next OnJournalProgress() will report.
   bool has_cancelled_attempts() const { return !cancelled_attempts_.empty(); }
-  // Whether any attempt was recorded whose call has not been made, nor reported as not sent.
+  // Whether there are recorded attempts whose call was neither made nor reported as not sent.
   bool has_waiting_attempts() const { return !waiting_attempts_.empty() || has_cancelled_attempts(); }
 
  private:
-  // A recorded attempt that waits until its record is durable.
+  // An attempt whose record is not durable yet.
   struct WaitingAttempt {
     std::string endpoint;
     Duration timeout{0};
-    Time decided_at{0};
+    Time decided_at{0};  // when the policy decided on the attempt
   };
 
   void StartCall(const Message& message, const std::string& endpoint, Duration timeout);
@@ -72,7 +72,7 @@
   const bool records_history_;
   const std::function<void(const CallResult&)> on_not_sent_;
   std::map<std::uint64_t, WaitingAttempt> waiting_attempts_;  // by message number
-  std::vector<std::uint64_t> cancelled_attempts_;             // message numbers, in the order of cancelling
+  std::vector<std::uint64_t> cancelled_attempts_;             // message numbers, in the order of cancellation
 };
 
 }  // namespace sagetally
--- a/src/pipeline/completion_handler.cpp
+++ b/src/pipeline/completion_handler.cpp
@@ -10,14 +10,15 @@
   if (dead_letters_ != nullptr) {
     dead_letters_->BeforeCompletion(message, final_status);
   } else if (message.redrive_number != 0) {
-    // The dead-letter store, which is switched off now, still has the redrive as claimed. It must learn its
-    // end when it is back, or it would redrive the message again.
+    // Dead letters are disabled at present, but the store still has this redrive on record as claimed. The
+    // store must be told the final status once dead letters are enabled again, or else it would redrive the
+    // message once more.
     message.dead_letter_pending = true;
   }
   messages_.Complete(message, final_status, retry_after, clock_.Now());
   journal_.AppendCompletion(message);
   if (metrics_ != nullptr) metrics_->RecordCompletion(message);
-  if (message.client_answered) NotifyClient(message);
+  if (message.is_response_sent) NotifyClient(message);
 }
 
 void CompletionHandler::NotifyClient(Message& message) {
@@ -31,8 +32,8 @@
 
 void CompletionHandler::PassToDeadLetters(Message& message) {
   const bool is_due = message.dead_letter_pending && message.final_status != FinalStatus::kPending &&
-                      message.client_answered && !message.is_in_flight;
-  // Without a store the message waits in the journal until dead letters are switched on again.
+                      message.is_response_sent && !message.is_in_flight;
+  // If dead letters are disabled, the message stays in the journal until they are enabled again.
   if (is_due && dead_letters_ != nullptr) dead_letters_->Store(message);
   messages_.RemoveIfFinished(message);
 }
@@ -63,7 +64,7 @@
 }
 
 void CompletionHandler::ResumeNotifications() {
-  // By number, since NotifyClient() may remove messages from the table.
+  // Collects the numbers first, because NotifyClient() may remove messages from the table.
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, message] : messages_.messages()) {
     if (message.notification_pending || message.dead_letter_pending) numbers.push_back(number);
--- a/src/pipeline/completion_handler.h
+++ b/src/pipeline/completion_handler.h
@@ -1,5 +1,5 @@
-// Ends messages: sets the final status once, records it, and then notifies the client and hands the message
-// to the dead-letter store, each only when the record is durable.
+// Completes messages: sets the final status exactly once and records it in the journal. Once the record is
+// durable, notifies the client and passes the message to the dead-letter store.
 //
 // Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_COMPLETION_HANDLER_H_
@@ -19,7 +19,7 @@
 
 class CompletionHandler {
  public:
-  // `dead_letters` and `metrics` may be null. All of them outlive this object.
+  // `dead_letters` and `metrics` may be null. All referenced objects must outlive this one.
   CompletionHandler(MessageTable& messages, Journal& journal, Notifier& notifier, const Clock& clock,
                     DeadLetterSink* dead_letters, MetricsRecorder* metrics)
       : messages_(messages),
@@ -29,25 +29,30 @@
         dead_letters_(dead_letters),
         metrics_(metrics) {}
 
-  // Ends a pending message; does nothing to one that has ended. May remove it from the table.
+  // Sets the final status of a pending message. Does nothing if the message has completed already. May remove
+  // the message from the table. `retry_after` tells the client when it may submit a rejected message again;
+  // 0: not stated.
   void Complete(Message& message, FinalStatus final_status, Duration retry_after = Duration(0));
-  // Notifies the client of an ended message if a notification is pending, then passes the message on as
-  // PassToDeadLetters() does. Waits with both until the message's records are durable.
+  // Notifies the client of a completed message if a notification is pending, and then calls
+  // PassToDeadLetters(). If the message's records are not durable yet, both are deferred until they are.
   void NotifyClient(Message& message);
-  // The client of message `number` acknowledged its notification.
+  // Called when the client of message `number` has acknowledged its notification.
   void OnNotificationAcknowledged(std::uint64_t number);
-  // Message `number` has nobody to notify. Called from within Notifier::Notify().
+  // Called from within Notifier::Notify() if there is nobody to notify of message `number`. Drops the
+  // notification.
   void OnNoRecipient(std::uint64_t number);
-  // Hands the message to the dead-letter store if it is due there, and removes it if nothing is owed for it.
+  // Passes a completed message to the dead-letter store if its transfer is pending, its client has its
+  // response and no call is in flight. Then removes the message from the table if nothing else is pending for
+  // it.
   void PassToDeadLetters(Message& message);
-  // The dead-letter store holds message `number`, or never will.
+  // Called when the dead-letter store has stored message `number`, or has given it up for good.
   void OnDeadLettered(std::uint64_t number);
-  // After a restart: takes up all notifications and transfers to the dead-letter store that are pending.
+  // Called after a restart. Resumes all pending notifications and pending transfers to the dead-letter store.
   void ResumeNotifications();
-  // Notifies the clients that waited for durable records.
+  // Called when more records have become durable. Notifies the clients whose notification waited for that.
   void OnJournalProgress();
 
-  // Whether ended messages wait until their records are durable.
+  // Whether any completed message waits until its records are durable.
   bool has_waiting_completions() const { return !awaiting_durability_.empty(); }
 
  private:
--- a/src/pipeline/message_pipeline.cpp
+++ b/src/pipeline/message_pipeline.cpp
@@ -23,7 +23,7 @@
 void MessagePipeline::ResumeAfterRestart() {
   std::vector<std::uint64_t> forbidden;
   for (const auto& [number, message] : messages_.messages()) {
-    // A call in flight after a handover is with the process before; its result comes as any other.
+    // After a handover, a call may still be in flight in the predecessor. Its result arrives like any other.
     if (message.final_status != FinalStatus::kPending || message.is_in_flight) continue;
     if (MayContinueAfterRestart(message)) {
       router.OnAccepted(message);
@@ -45,12 +45,12 @@
 void MessagePipeline::OnJournalProgress() {
   attempt_sender.OnJournalProgress();
   completion_handler.OnJournalProgress();
-  admission_controller.AnswerWaitingClients();
+  admission_controller.RespondToWaitingClients();
 }
 
 void MessagePipeline::RunPolicy() {
   router.RunPolicy();
-  admission_controller.AnswerWaitingClients();
+  admission_controller.RespondToWaitingClients();
 }
 
 bool MessagePipeline::IsQuiescent() const {
--- a/src/pipeline/message_pipeline.h
+++ b/src/pipeline/message_pipeline.h
@@ -1,5 +1,5 @@
-// The way of a message through the service, wired: a request is validated, admitted, routed by the dispatch
-// policy and sent; its calls' results are handled, and the message is completed.
+// Connects the parts that process a message: a request is validated, admitted, routed by the dispatch policy
+// and sent to an endpoint; then the results of its calls are handled, and the message is completed.
 //
 //   RequestValidator -> AdmissionController -> Router -> AttemptSender -> (endpoint client)
 //                                                 ^                              |
@@ -7,9 +7,9 @@
 //                                                              |
 //                                                       CompletionHandler -> (notifier, dead letters)
 //
-// The pipeline does no I/O: it reaches the outside by the interfaces of core/ports.h. It depends on core,
-// config and the policy only; the handover reads its attempt history from outside. Used on the event loop's
-// thread only.
+// The pipeline does no I/O. It uses the journal, the endpoints and other services through the interfaces in
+// core/ports.h. It depends on core, config and the policy only, and not on the handover, which reads
+// `attempt_history` from outside. Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
 #define SAGETALLY_SRC_PIPELINE_MESSAGE_PIPELINE_H_
 
@@ -32,29 +32,33 @@
 class MessagePipeline {
  public:
   // `seed` makes the policy's random choices repeatable. `dead_letters` and `metrics` may be null. All
-  // references outlive the pipeline.
+  // referenced objects must outlive the pipeline.
   MessagePipeline(const SiteSettings& site, std::uint64_t seed, MessageTable& messages, Journal& journal,
                   EndpointClient& endpoint_client, Notifier& notifier, Scheduler& scheduler,
                   const Clock& clock, DeadLetterSink* dead_letters = nullptr,
                   MetricsRecorder* metrics = nullptr);
-  // The parts refer to one another.
+  // Not copyable, because the parts hold references to one another.
   MessagePipeline(const MessagePipeline&) = delete;
   MessagePipeline& operator=(const MessagePipeline&) = delete;
 
-  // After a restart: gives every pending message to the policy, with what is known of its attempts, and takes
-  // up pending notifications. Messages that must not be sent again fail. The endpoint list must be known.
+  // Called once at the start of the process, after the journal was replayed and the endpoint list was passed
+  // to `router`. Passes every pending message without a call in flight to the policy, with what is known of
+  // its attempts, and resumes pending notifications. Messages that must not be sent again are completed as
+  // failed.
   void ResumeAfterRestart();
-  // The journal has made more records durable: continues what waited for them.
+  // Called when the journal has made more records durable. Continues the work that waited for them.
   void OnJournalProgress();
-  // Processes all queued events and carries out the policy's decisions.
+  // Passes all queued events to the policy and carries out its decisions.
   void RunPolicy();
   // Whether nothing waits for durable records.
   bool IsQuiescent() const;
-  // The messages that this pipeline works on; owned by whoever made the pipeline.
+  // The message table that was passed to the constructor.
   MessageTable& messages() { return messages_; }
   const MessageTable& messages() const { return messages_; }
 
+  // The recently completed attempts, which a handover passes to the successor.
   AttemptHistory attempt_history;
+  // The parts shown in the diagram at the top of this file.
   CompletionHandler completion_handler;
   AttemptSender attempt_sender;
   Router router;
--- a/src/pipeline/outcome_handler.cpp
+++ b/src/pipeline/outcome_handler.cpp
@@ -12,15 +12,15 @@
   attempt_history_.Add(ToCompletedAttempt(*message, result));
 
   AttemptCompleted event = ToPolicyEvent(*message, result);
-  const bool had_ended = message->final_status != FinalStatus::kPending;
-  const bool ends_now = !had_ended && (result.outcome == Outcome::kOk || result.message_expired);
-  event.message_ended = had_ended || ends_now;
+  const bool was_completed = message->final_status != FinalStatus::kPending;
+  const bool completes_now = !was_completed && (result.outcome == Outcome::kOk || result.message_expired);
+  event.message_ended = was_completed || completes_now;
   if (!event.message_ended) journal_.AppendOutcome(*message, result.outcome);
   router_.QueueEvent(std::move(event));
 
-  if (had_ended) {
+  if (was_completed) {
     completion_handler_.PassToDeadLetters(*message);
-  } else if (ends_now) {
+  } else if (completes_now) {
     const bool is_delivered = result.outcome == Outcome::kOk;
     completion_handler_.Complete(*message, is_delivered ? FinalStatus::kDelivered : FinalStatus::kExpired);
   }
@@ -55,7 +55,7 @@
 
 AttemptCompleted OutcomeHandler::ToPolicyEvent(const Message& message, const CallResult& result) const {
   AttemptCompleted event;
-  event.id = PolicyMessageId(message.number);
+  event.id = ToPolicyMessageId(message.number);
   event.attempt = message.attempts - 1;
   event.outcome = result.outcome;
   event.latency = clock_.Now() - message.in_flight_since;
--- a/src/pipeline/outcome_handler.h
+++ b/src/pipeline/outcome_handler.h
@@ -1,8 +1,8 @@
-// Takes the results of calls: updates the message, records the outcome, and reports it to the dispatch
-// policy.
+// Handles the results of calls: updates the message, records the outcome in the journal and the attempt
+// history, reports it to the dispatch policy, and completes the message if the result is final.
 //
-// Used on the event loop's thread only. Results come from the endpoint client, from AttemptSender (calls that
-// were never made) and, after a handover, from the process before.
+// Used on the event loop's thread only. Results come from the endpoint client, from AttemptSender (for calls
+// that were never made) and, after a handover, from the predecessor process.
 #ifndef SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
 #define SAGETALLY_SRC_PIPELINE_OUTCOME_HANDLER_H_
 
@@ -18,7 +18,7 @@
 
 class OutcomeHandler {
  public:
-  // `dead_letters` may be null. All of them outlive this object.
+  // `dead_letters` may be null. All referenced objects must outlive this one.
   OutcomeHandler(MessageTable& messages, Journal& journal, Router& router,
                  CompletionHandler& completion_handler, const Clock& clock, DeadLetterSink* dead_letters,
                  AttemptHistory& attempt_history)
@@ -30,7 +30,7 @@
         dead_letters_(dead_letters),
         attempt_history_(attempt_history) {}
 
-  // Ignores a result for a message that is unknown or has no call in flight.
+  // Handles the result of a call. Ignores results for a message that is unknown or has no call in flight.
   void OnCallResult(const CallResult& result);
 
  private:
--- a/src/pipeline/request_validator.cpp
+++ b/src/pipeline/request_validator.cpp
@@ -8,10 +8,10 @@
 namespace sagetally {
 namespace {
 
-// Stated to the client of a message whose dead letter is being redriven.
+// The Retry-After time for a client that submits another copy of a dead letter which is being redriven.
 constexpr Duration kRetryAfterRedrive = std::chrono::seconds(1);
 
-// Reasons as clients get them, in the response's body.
+// Rejection reasons, sent to clients in the response body.
 constexpr char kUnknownDestinationReason[] = "no endpoint of this destination is known";
 constexpr char kRedriveReason[] = "a kept copy of it is being sent again";
 
@@ -46,7 +46,7 @@
       return;
     }
   }
-  std::vector<Request> new_requests = WithoutDuplicates(std::move(requests));
+  std::vector<Request> new_requests = RemoveDuplicates(std::move(requests));
   if (new_requests.empty()) {
     respond({});
     return;
@@ -56,37 +56,38 @@
 
 std::optional<RequestError> RequestValidator::FindError(const Request& request) const {
   const int class_count = static_cast<int>(site_.classes.size());
-  if (request.id.empty() || request.id.size() > kMaxNameBytes) return RequestError::kIdLength;
+  if (request.id.empty() || request.id.size() > kMaxIdOrKeyBytes) return RequestError::kIdLength;
   if (request.message_class < 0 || request.message_class >= class_count) return RequestError::kUnknownClass;
   if (request.destination < 0 || request.destination > kMaxDestination) {
     return RequestError::kDestinationRange;
   }
   if (request.time_left <= Duration(0)) return RequestError::kDeadline;
   if (request.body.size() > kMaxBodyBytes) return RequestError::kBodyLength;
-  if (request.idempotency_key.size() > kMaxNameBytes) return RequestError::kIdempotencyKeyLength;
+  if (request.idempotency_key.size() > kMaxIdOrKeyBytes) return RequestError::kIdempotencyKeyLength;
   return std::nullopt;
 }
 
 std::optional<AdmissionResult> RequestValidator::FindRejection(const Request& request) const {
-  // Messages that can't be sent would use up the capacity. The endpoint list may only be late, so the client
-  // may submit the message again.
+  // Messages to an unknown destination can't be sent and would use up the capacity. The endpoint list may be
+  // out of date, so the client may submit the message again.
   if (!router_.KnowsDestination(request.destination)) {
     return AdmissionResult{AdmissionStatus::kRejected, Duration(0), kUnknownDestinationReason};
   }
-  // A second copy beside the one that is redriven could take effect twice.
+  // If this copy were delivered as well as the redriven one, the message could take effect twice.
   if (dead_letters_ != nullptr && dead_letters_->IsBeingRedriven(request)) {
     return AdmissionResult{AdmissionStatus::kRejected, kRetryAfterRedrive, kRedriveReason};
   }
   return std::nullopt;
 }
 
-// A message that was rejected before is new.
-std::vector<Request> RequestValidator::WithoutDuplicates(std::vector<Request> requests) const {
+// Removes the requests that were accepted before, and those that repeat an id within the submission. A
+// request whose earlier copy was rejected counts as new.
+std::vector<Request> RequestValidator::RemoveDuplicates(std::vector<Request> requests) const {
   std::vector<Request> new_requests;
   std::set<std::string> ids;
   for (Request& request : requests) {
-    const Message* known = messages_.FindDuplicate(request);
-    if (known != nullptr && known->final_status != FinalStatus::kRejected) continue;
+    const Message* earlier = messages_.FindDuplicate(request);
+    if (earlier != nullptr && earlier->final_status != FinalStatus::kRejected) continue;
     if (ids.insert(request.id).second) new_requests.push_back(std::move(request));
   }
   return new_requests;
--- a/src/pipeline/request_validator.h
+++ b/src/pipeline/request_validator.h
@@ -1,5 +1,5 @@
-// The pipeline's entrance: checks a submission of either protocol, rejects what can't be delivered now, and
-// drops requests that were accepted before.
+// The entry point of the pipeline. Validates submissions of both ingress protocols, rejects requests that
+// can't be delivered at present, and drops requests that were accepted before.
 //
 // Used on the event loop's thread only, by the frontends.
 #ifndef SAGETALLY_SRC_PIPELINE_REQUEST_VALIDATOR_H_
@@ -18,7 +18,7 @@
 
 namespace sagetally {
 
-// What is wrong with a request.
+// Why a request is invalid.
 enum class RequestError {
   kIdLength,
   kUnknownClass,
@@ -28,16 +28,16 @@
   kIdempotencyKeyLength
 };
 
-// The sentence that the client gets.
+// Returns the error message that is sent to the client.
 std::string_view DescribeRequestError(RequestError error);
 
 class RequestValidator {
  public:
   static constexpr std::size_t kMaxBodyBytes = 64 * 1024;
-  static constexpr std::size_t kMaxNameBytes = 512;  // of an id or an idempotency key
-  static constexpr int kMaxDestination = 1'000'000;
+  static constexpr std::size_t kMaxIdOrKeyBytes = 512;  // limit for ids and for idempotency keys
+  static constexpr int kMaxDestination = 1'000'000;     // highest valid destination number
 
-  // `dead_letters` may be null. All references outlive this object.
+  // `dead_letters` may be null. All referenced objects must outlive this one.
   RequestValidator(const SiteSettings& site, MessageTable& messages, const Router& router,
                    AdmissionController& admission, DeadLetterSink* dead_letters)
       : site_(site),
@@ -46,14 +46,15 @@
         admission_(admission),
         dead_letters_(dead_letters) {}
 
-  // Submits requests of one client, of which all are accepted or none. `respond` is called exactly once, now
-  // or later. Requests that were accepted before are answered as accepted and not delivered again.
+  // Submits the requests of one client, of which either all are accepted or none. `respond` is called exactly
+  // once, during this call or later. For requests that were accepted before, the response says accepted, and
+  // they are not delivered again.
   void Submit(std::vector<Request> requests, AdmissionCallback respond);
 
  private:
   std::optional<RequestError> FindError(const Request& request) const;
   std::optional<AdmissionResult> FindRejection(const Request& request) const;
-  std::vector<Request> WithoutDuplicates(std::vector<Request> requests) const;
+  std::vector<Request> RemoveDuplicates(std::vector<Request> requests) const;
 
   const SiteSettings& site_;
   MessageTable& messages_;
--- a/src/pipeline/router.cpp
+++ b/src/pipeline/router.cpp
@@ -18,7 +18,7 @@
   std::vector<Action> actions;
   policy_.Process(clock_.Now(), events, actions);
   for (const Action& action : actions) {
-    std::visit([this](const auto& chosen) { Execute(chosen); }, action);
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
   }
   if (attempt_sender_.has_cancelled_attempts()) attempt_sender_.OnJournalProgress();
   messages_.ExpireRetained(clock_.Now());
@@ -26,7 +26,7 @@
 
 void Router::OnAccepted(const Message& message) {
   MessageAccepted event;
-  event.id = PolicyMessageId(message.number);
+  event.id = ToPolicyMessageId(message.number);
   event.destination = message.request.destination;
   event.message_class = message.request.message_class;
   event.time_left = message.deadline - clock_.Now();
@@ -37,7 +37,7 @@
 }
 
 void Router::OnWithdrawn(const Message& message) {
-  QueueEvent(MessageWithdrawn{PolicyMessageId(message.number)});
+  QueueEvent(MessageWithdrawn{ToPolicyMessageId(message.number)});
 }
 
 void Router::OnEndpointListUpdate(const EndpointListUpdate& update) {
@@ -80,8 +80,8 @@
 }
 
 void Router::ReplayEvents(Time now, const std::vector<Event>& events) {
-  while (replay_timer_ <= now) {
-    const Time fired_at = std::exchange(replay_timer_, Time::max());
+  while (replay_timer_due_ <= now) {
+    const Time fired_at = std::exchange(replay_timer_due_, Time::max());
     ProcessReplayed(fired_at, {TimerFired{}});
   }
   ProcessReplayed(now, events);
@@ -91,13 +91,13 @@
   std::vector<Action> actions;
   policy_.Process(now, events, actions);
   for (const Action& action : actions) {
-    if (const auto* timer = std::get_if<ScheduleTimer>(&action)) replay_timer_ = now + timer->delay;
+    if (const auto* timer = std::get_if<ScheduleTimer>(&action)) replay_timer_due_ = now + timer->delay;
   }
 }
 
 void Router::FinishReplay() {
-  if (replay_timer_ == Time::max()) return;
-  scheduler_.ScheduleTimer(std::max(Duration(0), replay_timer_ - clock_.Now()));
+  if (replay_timer_due_ == Time::max()) return;
+  scheduler_.ScheduleTimer(std::max(Duration(0), replay_timer_due_ - clock_.Now()));
 }
 
 void Router::Execute(const StartAttempt& action) {
--- a/src/pipeline/router.h
+++ b/src/pipeline/router.h
@@ -1,5 +1,5 @@
-// Connects the dispatch policy with the service: queues events for it, runs it, and carries out its actions.
-// Decides nothing itself.
+// Connects the dispatch policy with the service: queues events for the policy, runs it, and carries out its
+// actions. Makes no decisions of its own.
 //
 // Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_PIPELINE_ROUTER_H_
@@ -24,7 +24,7 @@
 
 class Router {
  public:
-  // All references outlive this object.
+  // All referenced objects must outlive this one.
   Router(DispatchPolicy policy, MessageTable& messages, AttemptSender& attempt_sender,
          CompletionHandler& completion_handler, EndpointClient& endpoint_client, Scheduler& scheduler,
          const Clock& clock)
@@ -36,36 +36,38 @@
         scheduler_(scheduler),
         clock_(clock) {}
 
-  // Queues an event for the next RunPolicy(), and schedules that.
+  // Queues an event for the policy and schedules a RunPolicy().
   void QueueEvent(Event event);
-  // Gives all queued events to the policy and carries out its actions in order.
+  // Passes all queued events to the policy and carries out its actions in order. Also removes messages from
+  // the table whose retention for deduplication has expired.
   void RunPolicy();
 
-  // A message was accepted; its attempts of an earlier process go with it.
+  // Queues the event that a message was accepted, with what is known of attempts made by an earlier process.
   void OnAccepted(const Message& message);
-  // Nobody waits for the message any more.
+  // Queues the event that nobody waits for the message any more.
   void OnWithdrawn(const Message& message);
 
-  // Takes over a new endpoint list, or changes to it.
+  // Applies a full snapshot or a delta of the endpoint list, and passes it on to the policy and the endpoint
+  // client.
   void OnEndpointListUpdate(const EndpointListUpdate& update);
-  // The endpoint list as it stands, in order of names.
+  // Returns the current endpoint list, ordered by endpoint name.
   std::vector<EndpointUpdate> EndpointList() const;
-  // Whether any list has named an endpoint of this destination, even one that is removed by now.
+  // Whether any endpoint list had an endpoint of this destination, even if it has been removed since.
   bool KnowsDestination(int destination) const { return known_destinations_.contains(destination); }
-  // Whether the list names an endpoint of this destination that takes new messages.
+  // Whether the current list has an endpoint of this destination that accepts new messages.
   bool HasUsableEndpoint(int destination) const;
-  // The number of endpoints in the list, draining ones included.
+  // The number of endpoints in the current list, including draining ones.
   std::size_t known_endpoint_count() const { return endpoints_.size(); }
-  // How many of these the policy avoids: draining or ejected ones.
+  // The number of listed endpoints that the policy avoids because they are draining or ejected.
   std::size_t avoided_endpoint_count() const {
     return static_cast<std::size_t>(policy_.AvoidedEndpointCount());
   }
 
-  // Gives the policy events of an earlier process, at their own time `now`, which must not go back from call
-  // to call. Timers that the policy asked for fire in between; its other actions are dropped. Before the
-  // first RunPolicy() only.
+  // Replays events of an earlier process to the policy as of their time `now`, which must not decrease from
+  // call to call. Timers that the policy schedules fire between the events as they fall due; its other
+  // actions are ignored. May be called only before the first RunPolicy().
   void ReplayEvents(Time now, const std::vector<Event>& events);
-  // Ends the replay: schedules the timer that the policy asked for last.
+  // Ends the replay, and schedules the timer that the policy requested last.
   void FinishReplay();
 
  private:
@@ -78,14 +80,16 @@
   void Execute(const ScheduleTimer& action) { scheduler_.ScheduleTimer(action.delay); }
   void Execute(const SendGossip& action) { scheduler_.SendGossip(action.body); }
   void Execute(const WriteLogLine& action) { scheduler_.WriteLogLine(action.line); }
-  // The settings allow no health checks, and the endpoint list is always watched.
+  // Ignored: the policy requests no health checks and no fetches of the endpoint list, and the service always
+  // watches the endpoint list without being asked to.
   void Execute(const StartHealthCheck&) {}
   void Execute(const SubscribeEndpointList&) {}
   void Execute(const FetchEndpointList&) {}
 
-  // Returns the message behind an id of the policy, or null.
+  // Returns the message with this policy message id, or null if there is none.
   Message* FindMessage(const std::string& policy_id);
-  // Returns the message of this id if its latest attempt is number `attempt`, counted from 0; else null.
+  // Returns the message with this policy message id if its latest attempt has the index `attempt`, counted
+  // from 0; otherwise null.
   const Message* FindLatestAttempt(const std::string& policy_id, int attempt);
   void ProcessReplayed(Time now, const std::vector<Event>& events);
 
@@ -99,7 +103,7 @@
   std::vector<Event> pending_events_;
   std::map<std::string, EndpointUpdate> endpoints_;  // the current list, by endpoint name
   std::set<int> known_destinations_;
-  Time replay_timer_ = Time::max();  // when the timer fires that the replay asked for; max: none
+  Time replay_timer_due_ = Time::max();  // when the timer scheduled during the replay fires; max: no timer
 };
 
 }  // namespace sagetally
--- a/src/time/backoff.h
+++ b/src/time/backoff.h
@@ -1,4 +1,4 @@
-// Delays between retries. No I/O.
+// Delays between retries, for clients on an event loop. No I/O; an object is used on one thread.
 #ifndef SAGETALLY_SRC_TIME_BACKOFF_H_
 #define SAGETALLY_SRC_TIME_BACKOFF_H_
 
@@ -10,26 +10,26 @@
 
 namespace sagetally {
 
-// Exponential backoff with full jitter: each delay is drawn between zero and a bound that doubles with each
-// failure in a row. Clients that were rejected together then don't come back together, which would keep what
-// could serve them one after the other overloaded.
+// Exponential backoff with full jitter: each delay is drawn uniformly between zero and a bound that doubles
+// with each consecutive failure. Without jitter, clients that were rejected together would retry together and
+// keep a server overloaded that could serve them one after the other.
 class Backoff {
  public:
-  // `initial_bound` is positive; `max_bound` also limits the first delay. With a `max_bound` of zero the
-  // bound stays as it is.
+  // `initial_bound` must be positive. `max_bound` also limits the first delay. If `max_bound` is zero, the
+  // bound stays at `initial_bound`.
   Backoff(Duration initial_bound, Duration max_bound, std::uint64_t seed)
       : initial_bound_(max_bound > Duration(0) ? std::min(initial_bound, max_bound) : initial_bound),
         max_bound_(std::max(initial_bound_, max_bound)),
         bound_(initial_bound_),
         random_(seed) {}
 
-  // The delay after one more failure.
+  // Returns the delay after a failure, and doubles the bound of the next delay.
   Duration NextDelay() {
     const std::int64_t drawn = std::uniform_int_distribution<std::int64_t>(0, bound_.count())(random_);
     bound_ = std::min(2 * bound_, max_bound_);
     return Duration(drawn);
   }
-  // After a success.
+  // To be called after a success: the next delay is drawn from the initial bound again.
   void Reset() { bound_ = initial_bound_; }
 
  private:
--- a/src/time/clock.cpp
+++ b/src/time/clock.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
-// By so much the clocks may differ between two processes without a step of the wall clock.
+// The wall clock and the steady clock may drift apart by this much between two processes. A larger difference
+// counts as a step of the wall clock.
 constexpr Duration kMaxClockDrift = std::chrono::milliseconds(20);
 
 }  // namespace
 
 SystemClock::SystemClock() {
-  // The kernel identifies this start of the machine by a UUID; 16 of its hexadecimal digits do.
+  // The kernel identifies each boot of the machine by a UUID. Its first 16 hexadecimal digits are unique
+  // enough.
   std::ifstream file("/proc/sys/kernel/random/boot_id");
   std::string text;
   std::getline(file, text);
--- a/src/time/clock.h
+++ b/src/time/clock.h
@@ -1,5 +1,6 @@
-// Clocks. One time scale serves the whole program: the wall clock as read at the start, advanced by the
-// steady clock. It never goes back, and deadlines in the journal keep their meaning over a restart.
+// Clocks. The whole program uses one time scale: the wall clock as read at the start of the process, advanced
+// by the steady clock. Time on this scale never goes back, and deadlines in the journal stay valid across
+// restarts.
 #ifndef SAGETALLY_SRC_TIME_CLOCK_H_
 #define SAGETALLY_SRC_TIME_CLOCK_H_
 
@@ -10,42 +11,49 @@
 
 namespace sagetally {
 
-// A moment on both clocks. The wall clock may be set anew between two processes; the steady clock can't be,
-// but counts from the machine's start.
+// A point in time on both clocks. The wall clock may be set between two processes. The steady clock can't be
+// set, but starts again from zero when the machine is booted.
 struct Timestamp {
   Time wall_time{0};    // since 1970
-  Time steady_time{0};  // since the machine's start
-  // Identifies one start of the machine; 0: not known, and then steady_time isn't either.
+  Time steady_time{0};  // since the boot of the machine
+  // Identifies one boot of the machine; 0: not known, and then steady_time isn't known either.
   std::uint64_t boot_id = 0;
   bool operator==(const Timestamp&) const = default;
 };
 
+// The interface to the program's time scale; tests replace it with a manual clock.
 class Clock {
  public:
   virtual ~Clock() = default;
+  // Returns the current time, in microseconds since 1970.
   virtual Time Now() const = 0;
-  // Now() as a moment on both clocks. Without a steady clock only the wall time is known.
+  // Returns Now() as a point in time on both clocks. A clock without a steady clock knows only the wall time.
   virtual Timestamp CurrentTimestamp() const { return {Now(), Time(0), 0}; }
 };
 
+// The clock of the operating system. Not synchronised: ContinueFrom() must not run while another thread reads
+// the clock.
 class SystemClock : public Clock {
  public:
+  // Starts a time scale at the present wall time.
   SystemClock();
-  // Continues the time scale of another process, of which `reference` is a moment. If the machine was started
-  // anew since, it begins a scale of its own.
+  // Continues the time scale of another process, on which `reference` is a point in time. If the machine was
+  // booted since, or that is not known, starts a time scale of its own.
   explicit SystemClock(const Timestamp& reference);
   Time Now() const override {
     return wall_start_ +
            std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - steady_start_);
   }
   Timestamp CurrentTimestamp() const override;
+  // How ContinueFrom() changed the clock.
   struct ClockCorrection {
-    Duration amount{0};       // by how far the clock was advanced; negative: set back
-    bool is_measured = true;  // false: the time that passed meanwhile isn't known
+    Duration amount{0};       // how far the clock was advanced; negative: how far it was set back
+    bool is_measured = true;  // false: it is not known how much time has passed since the earlier process
   };
-  // Continues after the last moment of an earlier process, by the steady clock, whatever was done to the wall
-  // clock since. If the machine was started anew, the wall clock alone tells the time, and the scale goes on
-  // from `last` on if that was set back.
+  // Continues the time scale of an earlier process, whose last known point in time is `last`. The time that
+  // has passed since is measured with the steady clock, so it doesn't matter whether the wall clock was set
+  // meanwhile. If the machine was booted since, only the wall clock tells the time that has passed; if it is
+  // behind `last`, the time scale continues from `last`.
   ClockCorrection ContinueFrom(const Timestamp& last);
 
  private:
--- a/tests/handover/golden_test.cpp
+++ b/tests/handover/golden_test.cpp
@@ -1,7 +1,9 @@
-// Bytes of a handover that sagetally 0.1.0 encoded, before its code was renamed (tests/golden/README.md): the
-// present code reads the same values from them, and encodes the same bytes.
+// Tests that the handover format stays compatible with sagetally 0.1.0, whose encoded handover is stored as
+// golden data (see tests/golden/README.md): the present code must decode the same values from these bytes,
+// and encode the same bytes from these values.
 //
-// Covers what src/handover encodes. The packets around it belong to the handover session in src/app.
+// Covers the encodings in src/handover. The packets that carry them belong to the handover classes in
+// src/app.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -29,14 +31,14 @@
 
 Json ReadExpected() { return Json::parse(ReadGoldenFile("expected/handover.json")); }
 
-// Names of the outcomes in the golden data, by number.
+// The names of the outcomes in the golden data, indexed by outcome number.
 constexpr std::array<std::string_view, 8> kOutcomeNames = {
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent"};
 
 Json OutcomeJson(Outcome outcome) { return kOutcomeNames.at(static_cast<std::size_t>(outcome)); }
 
-// The decoded values in the form of expected/handover.json. Comparing whole objects finds a value that is
-// missing or too many on either side, too.
+// The following functions convert decoded values to the JSON form of expected/handover.json. Comparing whole
+// JSON objects also finds values that are missing or superfluous on either side.
 
 Json ToJson(const LoadReport& report) {
   return {{"allowance_left", report.quota_left}, {"limit", report.rate_limit}};
@@ -120,24 +122,24 @@
   EXPECT_EQ(EncodeCallResult(*result), bytes);
 }
 
-// The payloads of all datagrams of one kind that the old process sent, in order.
+// Returns the payloads of all datagrams of one kind that the predecessor sent, in order.
 std::vector<std::string> ReadPayloads(const Json& expected, const std::string& kind) {
   std::vector<std::string> payloads;
   for (const Json& datagram : expected.at("from_old_process")) {
     if (datagram.at("kind") != kind) continue;
     const std::string bytes = ReadGoldenFile("handover/" + datagram.at("file").get<std::string>());
-    const std::string header = kind + '\0';  // the kind, and that no more of the packet follows
+    const std::string header = kind + '\0';  // the zero byte says that no further part of the packet follows
     EXPECT_TRUE(bytes.starts_with(header)) << datagram;
     payloads.push_back(bytes.substr(header.size()));
   }
   return payloads;
 }
 
-TEST(HandoverGolden, StateHasTheSameValuesAndBytes) {
+TEST(HandoverGolden, StateDecodesToExpectedValuesAndReencodesToSameBytes) {
   ExpectSameState(ReadGoldenFile("handover/state"), ReadExpected().at("state"));
 }
 
-TEST(HandoverGolden, EveryCallResultHasTheSameValuesAndBytes) {
+TEST(HandoverGolden, EveryCallResultDecodesToExpectedValuesAndReencodesToSameBytes) {
   const Json expected = ReadExpected().at("results");
   std::set<std::string> outcomes;
   for (const auto& [name, values] : expected.items()) {
@@ -148,15 +150,15 @@
   EXPECT_EQ(outcomes, std::set<std::string>(kOutcomeNames.begin(), kOutcomeNames.end()));
 }
 
-TEST(HandoverGolden, DatagramOfTheStateHasTheSameValuesAndBytes) {
+TEST(HandoverGolden, StateDatagramDecodesToExpectedValuesAndReencodesToSameBytes) {
   const Json expected = ReadExpected();
   const std::vector<std::string> states = ReadPayloads(expected, "s");
   ASSERT_EQ(states.size(), 1U);
   ExpectSameState(states.front(), expected.at("state"));
 }
 
-// The old process reported one call of each outcome, in the order of their numbers.
-TEST(HandoverGolden, DatagramsOfCallResultsHaveTheSameValuesAndBytes) {
+// The predecessor reported one call result for each outcome, in the order of the outcome numbers.
+TEST(HandoverGolden, CallResultDatagramsDecodeToExpectedValuesAndReencodeToSameBytes) {
   const Json expected = ReadExpected();
   const std::vector<std::string> results = ReadPayloads(expected, "r");
   ASSERT_EQ(results.size(), kOutcomeNames.size());
--- a/tests/handover/state_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -1,4 +1,5 @@
-// What a process hands over, and what the dispatch policy of the next one learns from it. No I/O.
+// Tests the encoding of the handover state, and what the successor's dispatch policy learns from its replay.
+// No I/O.
 #include <gtest/gtest.h>
 
 #include "../policy/policy_driver.h"
@@ -23,7 +24,7 @@
   return attempt;
 }
 
-// One endpoint, which rejected a call at 99 s and asked for 3 s without any; it is 100 s now.
+// The state at 100 s, with one endpoint, which rejected a call at 99 s and requested a pause of 3 s.
 HandoverState MakeState() {
   HandoverState state;
   state.now = {100s, 50s, 9};
@@ -97,7 +98,7 @@
   EXPECT_FALSE(DecodeCallResult(unknown_outcome));
 }
 
-TEST(AttemptHistory, KeepsOneMinuteAndABoundedCount) {
+TEST(AttemptHistory, DropsAttemptsOlderThanAMinuteOrBeyondTheMaximumCount) {
   AttemptHistory history;
   for (int i = 0; i < 10'000; ++i) history.Add(MakeAttempt(i * 1ms, i * 1ms, Outcome::kOk));
   EXPECT_EQ(history.size(), AttemptHistory::kMaxAttempts);
@@ -105,7 +106,7 @@
   EXPECT_EQ(history.size(), 1U);
 }
 
-// A dispatch policy after the replay of a handover state.
+// A dispatch policy into which a handover state was replayed.
 class SuccessorPolicy {
  public:
   explicit SuccessorPolicy(const HandoverState& state, const MessageTable& messages = MessageTable())
@@ -119,7 +120,7 @@
                           Process(now, events);
                         });
   }
-  // Returns the ids of the messages that are sent.
+  // Runs the policy once and returns the ids of the messages that it sends.
   std::vector<std::string> Process(Time now, const std::vector<Event>& events) {
     std::vector<Action> actions;
     policy_.Process(now, events, actions);
@@ -135,24 +136,24 @@
   DispatchPolicy policy_;
 };
 
-const std::vector<std::string> kOnlyM = {"m"};
+const std::vector<std::string> kOnlyMessageM = {"m"};
 
-TEST(StateReplay, RetryAfterStatedBeforeTheHandoverIsRespected) {
+TEST(StateReplay, RetryAfterTimeFromBeforeTheHandoverIsRespected) {
   SuccessorPolicy policy(MakeState());
   EXPECT_TRUE(policy.Process(100s, {PolicyDriver::Accepted("m")}).empty());
   EXPECT_TRUE(policy.Process(101s + 900ms, {TimerFired{}}).empty());
-  // Then it gets its turn within the recovery budget.
+  // After the 3 s the message is sent as soon as the recovery budget allows it.
   std::vector<std::string> sent;
-  for (Time t = 102s; t < 104s && sent.empty(); t += 20ms) sent = policy.Process(t, {TimerFired{}});
-  EXPECT_EQ(sent, kOnlyM);
+  for (Time now = 102s; now < 104s && sent.empty(); now += 20ms) sent = policy.Process(now, {TimerFired{}});
+  EXPECT_EQ(sent, kOnlyMessageM);
 }
 
-TEST(StateReplay, MessageIsSentAtOnceWithoutAttemptsBeforeTheHandover) {
+TEST(StateReplay, MessageIsSentImmediatelyIfThereWereNoAttemptsBeforeTheHandover) {
   SuccessorPolicy policy(MakeStateWithoutAttempts());
-  EXPECT_EQ(policy.Process(100s, {PolicyDriver::Accepted("m")}), kOnlyM);
+  EXPECT_EQ(policy.Process(100s, {PolicyDriver::Accepted("m")}), kOnlyMessageM);
 }
 
-TEST(StateReplay, OutlierSeenBeforeTheHandoverIsAvoided) {
+TEST(StateReplay, OutlierFromBeforeTheHandoverIsAvoided) {
   HandoverState state = MakeStateWithoutAttempts();
   for (int i = 0; i < 10; ++i) {
     const Time sent_at = 90s + i * 1s;
@@ -164,8 +165,8 @@
       << "an outlier gets no messages that can't be retried";
 }
 
-// Eight calls in flight, as many as SmallSettings() allows; the last one to an endpoint that has left the
-// list.
+// Eight messages have a call in flight, as many as SmallSettings() allows. The endpoint of the last call is
+// no longer listed.
 struct InFlightReplay : testing::Test {
   static constexpr int kCalls = 8;
 
@@ -184,7 +185,7 @@
   }
   static AttemptCompleted Completed(std::uint64_t number) {
     AttemptCompleted event;
-    event.id = PolicyMessageId(number);
+    event.id = ToPolicyMessageId(number);
     event.attempt = 1;
     event.message_ended = true;
     return event;
@@ -196,7 +197,7 @@
 TEST_F(InFlightReplay, CallsCountAgainstTheLimitUntilTheyCompleteAndFailedOnesAreRetried) {
   SuccessorPolicy policy(MakeStateWithoutAttempts(), messages);
   EXPECT_TRUE(policy.Process(100s, {PolicyDriver::Accepted("m")}).empty());
-  EXPECT_EQ(policy.Process(100s + 1ms, {Completed(8)}), kOnlyM);
+  EXPECT_EQ(policy.Process(100s + 1ms, {Completed(8)}), kOnlyMessageM);
   for (std::uint64_t number = 2; number <= 7; ++number) policy.Process(100s + 1ms, {Completed(number)});
 
   AttemptCompleted failed = Completed(1);
@@ -204,7 +205,7 @@
   failed.outcome = Outcome::kConnectFailed;
   std::vector<std::string> sent = policy.Process(100s + 2ms, {failed});
   for (int i = 0; i < 40 && sent.empty(); ++i) sent = policy.Process(101s + i * 100ms, {TimerFired{}});
-  EXPECT_EQ(sent, std::vector<std::string>{PolicyMessageId(1)}) << "on its third attempt of six";
+  EXPECT_EQ(sent, std::vector<std::string>{ToPolicyMessageId(1)}) << "the third of six attempts";
 }
 
 }  // namespace
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Upgrades: the program takes over from itself under traffic, on real processes and sockets. Arguments: the
-// program, how many upgrades, a seed.
+// Tests upgrades: a new process of the program takes over from the serving one under load, with real
+// processes and sockets. Arguments: the path of the program, the number of upgrades, a random seed.
 #include <filesystem>
 #include <fstream>
 
@@ -13,9 +13,9 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr bool kMemoryIsMeaningful = false;  // it would include the sanitizer's
+constexpr bool kChecksMemory = false;  // resident memory would include that of the sanitizer
 #else
-constexpr bool kMemoryIsMeaningful = true;
+constexpr bool kChecksMemory = true;
 #endif
 
 std::string ReadFile(const std::string& path) {
@@ -23,10 +23,13 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// A serving process under the load of `clients`, and its successors.
-struct Upgrades : World {
-  Upgrades(std::string program, std::uint64_t seed)
-      : World(0, 24, 150), program(std::move(program)), partner(loop, seed, 10s), seed(seed) {
+// A serving process, its predecessors, the partner that it delivers to, and clients that submit messages.
+struct UpgradeScenario : World {
+  UpgradeScenario(std::string program, std::uint64_t seed)
+      : World(/*endpoint_count=*/0, /*max_concurrent_calls=*/24, /*max_pending_messages=*/150),
+        program(std::move(program)),
+        partner(loop, seed, 10s),
+        seed(seed) {
     ports.resize(8, partner.port);
     one_destination_each = true;
     sockets = 512;
@@ -48,21 +51,21 @@
   std::unique_ptr<Process> Start(const std::string& config = "config.json") {
     return std::make_unique<Process>(program, folder.path, "log" + std::to_string(++starts), config);
   }
-  // Waits for its end while the loop, on which the partner runs, goes on.
+  // Waits until the process has ended. Meanwhile the event loop runs, which the partner needs.
   void WaitUntilEnded(Process& process) {
     RunUntil(loop, [&] { return !process.child.Running(); });
   }
-  // The answer to one operator's request, at the address that the process has logged.
-  std::string Ask(Process& process, const std::string& line) {
+  // Sends an operator's request to the admin port that the process has logged, and returns the response.
+  std::string SendAdminRequest(Process& process, const std::string& line) {
     const std::string log = ReadFile(process.child.log());
-    const std::size_t at = log.find(" admin.ready ");
-    assert(at != log.npos);
-    const int port = std::atoi(log.c_str() + log.find("port=", at) + 5);
+    const std::size_t position = log.find(" admin.ready ");
+    assert(position != log.npos);
+    const int port = std::atoi(log.c_str() + log.find("port=", position) + 5);
     RawClient client(loop, static_cast<std::uint16_t>(port), line);
     RunUntil(loop, [&] { return client.closed; });
     return client.received;
   }
-  // Starts the next process, which takes over; then `signal` is sent to the old one, none with 0.
+  // Starts a new process and waits until it has taken over. Then sends `signal` to the old process; 0: none.
   void Upgrade(int signal) {
     auto next = Start();
     RunUntil(loop, [&] { return next->Port() != 0 || !next->child.Running(); });
@@ -70,36 +73,40 @@
     assert(ReadFile(next->child.log()).find(" handover.received ") != std::string::npos);
     auto previous = std::exchange(serving, std::move(next));
     if (signal != 0) previous->child.Signal(signal);
-    leaving.push_back(std::move(previous));
+    predecessors.push_back(std::move(previous));
   }
-  // Messages that were accepted and have no end yet.
-  std::size_t CountOpen() {
+  // The number of accepted messages that were neither delivered nor reported as undelivered yet.
+  std::size_t CountPendingMessages() {
     std::size_t count = 0;
     for (const std::string& name : clients->Taken()) {
       count += partner.delivered.contains(name) || notified.contains(name) ? 0 : 1;
     }
     return count;
   }
-  void Finish(std::size_t most_unknown) {
+  // Stops the load, waits until all accepted messages have completed, ends all processes, and checks that no
+  // message was lost, repeated against the rules, or reported with different final statuses. `max_unanswered`
+  // is the permitted number of client requests without a response.
+  void Finish(std::size_t max_unanswered) {
     clients->Pause();
     partner.menu = {Partner::Fault::kNone};
-    // The last clients may still wait for their answers.
-    RunUntil(loop, [&] { return clients->Unknown().size() <= most_unknown && CountOpen() == 0; });
+    // The latest requests may still be waiting for their responses.
+    RunUntil(loop,
+             [&] { return clients->Unknown().size() <= max_unanswered && CountPendingMessages() == 0; });
     int contradictions = 0;
     for (const auto& [name, statuses] : notified) contradictions += statuses.size() > 1 ? 1 : 0;
-    for (const auto& previous : leaving) {
+    for (const auto& previous : predecessors) {
       WaitUntilEnded(*previous);
       assert(previous->child.Wait() == 0 || previous->child.Wait() == 128 + SIGKILL);
     }
     assert(serving->End(SIGTERM) == 0);
     std::printf(
-        "%d submitted, %zu accepted, %zu delivered, %zu notified; unanswered %zu, contradictory ends %d, "
+        "%d submitted, %zu accepted, %zu delivered, %zu notified; unanswered %zu, contradictory statuses %d, "
         "forbidden retries %d, second copies %d, most calls in flight %d\n",
         clients->posted, clients->Taken().size(), partner.delivered.size(), notified.size(),
         clients->Unknown().size(), contradictions, partner.forbidden_repeats, partner.Broken("second copy"),
         partner.most_out());
     std::fflush(stdout);
-    assert(clients->Unknown().size() <= most_unknown && contradictions == 0 &&
+    assert(clients->Unknown().size() <= max_unanswered && contradictions == 0 &&
            partner.forbidden_repeats == 0);
     assert(partner.Broken("too many attempts") == 0 && partner.Broken("second copy") == 0);
     assert(partner.most_out() <= max_concurrent_calls);
@@ -108,119 +115,128 @@
   const std::string program;
   Partner partner;
   const std::uint64_t seed;
-  int starts = 0;
-  std::map<std::string, std::set<std::string>> notified;
+  int starts = 0;                                         // processes started so far
+  std::map<std::string, std::set<std::string>> notified;  // reported final statuses, by message id
   std::unique_ptr<Process> serving;
-  std::vector<std::unique_ptr<Process>> leaving;
+  std::vector<std::unique_ptr<Process>> predecessors;  // processes that have handed over or were killed
   std::unique_ptr<Clients> clients;
 };
 
-void UpgradesUnderLoadLoseNothing(const std::string& program, int upgrades, std::uint64_t seed) {
-  Upgrades w(program, seed);
+void UpgradesUnderLoadLoseNoMessages(const std::string& program, int upgrades, std::uint64_t seed) {
+  UpgradeScenario scenario(program, seed);
   using Fault = Partner::Fault;
-  w.partner.menu = {Fault::kTooManyRequests,   Fault::kServiceUnavailable, Fault::kError,     Fault::kReset,
-                    Fault::kMalformedResponse, Fault::kLateExecution,      Fault::kNoResponse};
-  w.partner.menu.resize(40, Fault::kNone);
-  w.clients->Start(4ms);
+  scenario.partner.menu = {Fault::kTooManyRequests, Fault::kServiceUnavailable, Fault::kError,
+                           Fault::kReset,           Fault::kMalformedResponse,  Fault::kLateExecution,
+                           Fault::kNoResponse};
+  scenario.partner.menu.resize(40, Fault::kNone);
+  scenario.clients->Start(4ms);
   for (int i = 0; i < upgrades; ++i) {
-    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(300 + 37 * (i % 7));
-    RunUntil(w.loop, [&] { return std::chrono::steady_clock::now() >= until; });
-    w.Upgrade(i % 3 == 0 ? 0 : SIGTERM);  // signalled or left to itself, often before the last one has ended
+    const auto end_time = std::chrono::steady_clock::now() + std::chrono::milliseconds(300 + 37 * (i % 7));
+    RunUntil(scenario.loop, [&] { return std::chrono::steady_clock::now() >= end_time; });
+    // Every third predecessor gets no signal. Often the next upgrade starts before it has ended.
+    scenario.Upgrade(i % 3 == 0 ? 0 : SIGTERM);
   }
-  w.Finish(0);
+  scenario.Finish(0);
 }
 
-// Half a request, and a connection that a client uses for all its messages, continue in the next process.
+// Client connections continue in the successor: one on which half of the body was sent, one on which a part
+// of the request line was sent, and a persistent one that is idle between two requests.
 void ClientConnectionsContinueInTheNextProcess(const std::string& program) {
-  Upgrades w(program, 1);
+  UpgradeScenario scenario(program, 1);
   const auto message = [](const std::string& id) {
     return "POST /aviso HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id +
            "\r\nX-Class: aviso\r\nX-Deadline: 9000m\r\nX-Envelope: dest=7\r\nContent-Length: 4\r\n\r\n";
   };
-  RawClient half(w.loop, w.serving->Port(), message("half") + "ha");
-  RawClient head(w.loop, w.serving->Port(), "POST /aviso HT");
-  RawClient persistent(w.loop, w.serving->Port(), message("first") + "frst");
-  RunUntil(w.loop, [&] { return persistent.received.find(" 202 ") != std::string::npos; });
-  w.Upgrade(SIGTERM);
-  half.Write("lf");
-  head.Write(message("head").substr(14) + "head");
+  RawClient half_body(scenario.loop, scenario.serving->Port(), message("half") + "ha");
+  RawClient partial_request_line(scenario.loop, scenario.serving->Port(), "POST /aviso HT");
+  RawClient persistent(scenario.loop, scenario.serving->Port(), message("first") + "frst");
+  RunUntil(scenario.loop, [&] { return persistent.received.find(" 202 ") != std::string::npos; });
+  scenario.Upgrade(SIGTERM);
+  half_body.Write("lf");
+  partial_request_line.Write(message("head").substr(14) + "head");
   persistent.received.clear();
   persistent.Write(message("second") + "scnd");
   const auto is_accepted = [](const RawClient& client) {
     return client.received.find(" 202 ") != std::string::npos;
   };
-  RunUntil(w.loop, [&] { return is_accepted(half) && is_accepted(head) && is_accepted(persistent); });
-  RunUntil(w.loop, [&] { return w.partner.delivered.size() == 4; });
-  assert(w.partner.delivered.contains("half") && w.partner.delivered.contains("scnd"));
-  // It is idle, and closed by the usual rule, not by the upgrade.
+  RunUntil(scenario.loop, [&] {
+    return is_accepted(half_body) && is_accepted(partial_request_line) && is_accepted(persistent);
+  });
+  RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() == 4; });
+  assert(scenario.partner.delivered.contains("half") && scenario.partner.delivered.contains("scnd"));
+  // The persistent connection is idle now. It is closed by the usual idle rule, not because of the upgrade.
   assert(!persistent.closed && persistent.received.find("Connection: close") == std::string::npos);
-  w.Finish(0);
+  scenario.Finish(0);
 }
 
-// A payment that may have been executed is never sent again, whichever process ends first.
+// A payment that may have been executed is never sent again, whether the predecessor shuts down or is killed.
+// (The class "pagamento" is not idempotent.)
 void InFlightNonIdempotentCallIsNotRepeated(const std::string& program) {
   for (const int signal : {SIGTERM, SIGKILL}) {
-    Upgrades w(program, 2);
-    w.partner.menu = {Partner::Fault::kNoResponse};
-    w.client_requests.push_back(std::make_unique<ClientRequest>(w.loop, w.serving->Port(), "/pagamento",
-                                                                Headers{{"X-Request-Id", "p0"},
-                                                                        {"X-Class", "pagamento"},
-                                                                        {"X-Deadline", "20000m"},
-                                                                        {"X-Envelope", "dest=7"}},
-                                                                "p0"));
-    RunUntil(w.loop, [&] { return w.partner.calls["p0"] == 1; });
-    w.partner.menu = {Partner::Fault::kNone};
-    w.Upgrade(signal);
-    RunUntil(w.loop, [&] { return w.notified["p0"].contains("undeliverable"); });
-    assert(w.partner.calls["p0"] == 1);
-    w.notified.erase("p0");
-    w.Finish(0);
+    UpgradeScenario scenario(program, 2);
+    scenario.partner.menu = {Partner::Fault::kNoResponse};
+    scenario.client_requests.push_back(std::make_unique<ClientRequest>(scenario.loop,
+                                                                       scenario.serving->Port(), "/pagamento",
+                                                                       Headers{{"X-Request-Id", "p0"},
+                                                                               {"X-Class", "pagamento"},
+                                                                               {"X-Deadline", "20000m"},
+                                                                               {"X-Envelope", "dest=7"}},
+                                                                       "p0"));
+    RunUntil(scenario.loop, [&] { return scenario.partner.calls["p0"] == 1; });
+    scenario.partner.menu = {Partner::Fault::kNone};
+    scenario.Upgrade(signal);
+    RunUntil(scenario.loop, [&] { return scenario.notified["p0"].contains("undeliverable"); });
+    assert(scenario.partner.calls["p0"] == 1);
+    scenario.notified.erase("p0");
+    scenario.Finish(0);
   }
 }
 
 void FailedStartsLeaveTheServingProcessUnchanged(const std::string& program) {
-  Upgrades w(program, 3);
-  w.clients->Start(5ms);
-  // A configuration that can't be used, another node's name, an admin address that is in use.
-  std::ofstream(w.folder.path + "/broken.json") << "{";
-  std::string named = w.ConfigText();
-  named.replace(named.find("\"n0\""), 4, "\"n9\"");
-  std::ofstream(w.folder.path + "/named.json") << named;
-  const RawClient unused(w.loop, w.serving->Port(), "");
-  std::string same_admin = w.ConfigText();
-  same_admin.insert(1, R"("admin":"127.0.0.1:)" + std::to_string(w.agent.port()) + R"(",)");
-  std::ofstream(w.folder.path + "/same_admin.json") << same_admin;
+  UpgradeScenario scenario(program, 3);
+  scenario.clients->Start(5ms);
+  // Starts with a malformed configuration, with another node's name, and with an admin address in use.
+  std::ofstream(scenario.folder.path + "/broken.json") << "{";
+  std::string other_name = scenario.ConfigText();
+  other_name.replace(other_name.find("\"n0\""), 4, "\"n9\"");
+  std::ofstream(scenario.folder.path + "/named.json") << other_name;
+  const RawClient idle_client(scenario.loop, scenario.serving->Port(), "");
+  std::string same_admin = scenario.ConfigText();
+  same_admin.insert(1, R"("admin":"127.0.0.1:)" + std::to_string(scenario.agent.port()) + R"(",)");
+  std::ofstream(scenario.folder.path + "/same_admin.json") << same_admin;
   for (const char* config : {"broken.json", "named.json", "same_admin.json"}) {
-    auto next = w.Start(config);
-    w.WaitUntilEnded(*next);
+    auto next = scenario.Start(config);
+    scenario.WaitUntilEnded(*next);
     assert(next->child.Wait() == 1);
   }
-  assert(w.serving->child.Running());
-  // Killed at moments through its start: the process that has the journal then continues, or the next one
-  // does.
-  for (int ms = 0; ms < 40; ms += 4) {
-    auto next = w.Start();
-    RunFor(w.loop, std::chrono::milliseconds(ms));
-    const bool took = ReadFile(next->child.log()).find(" handover.received ") != std::string::npos;
+  assert(scenario.serving->child.Running());
+  // The new process is killed at various times during its start. The old process continues if the new one had
+  // not taken over yet; otherwise another new process takes over the journal.
+  for (int delay_ms = 0; delay_ms < 40; delay_ms += 4) {
+    auto next = scenario.Start();
+    RunFor(scenario.loop, std::chrono::milliseconds(delay_ms));
+    const bool has_received_handover =
+        ReadFile(next->child.log()).find(" handover.received ") != std::string::npos;
     next->End(SIGKILL);
-    RunFor(w.loop, 20ms);
-    if (!took && ReadFile(w.serving->child.log()).find(" handover.completed ") == std::string::npos) {
-      assert(w.serving->child.Running());
+    RunFor(scenario.loop, 20ms);
+    if (!has_received_handover &&
+        ReadFile(scenario.serving->child.log()).find(" handover.completed ") == std::string::npos) {
+      assert(scenario.serving->child.Running());
       continue;
     }
-    w.clients->Pause();
-    w.leaving.push_back(std::exchange(w.serving, w.Start()));
-    RunUntil(w.loop, [&] { return w.serving->Port() != 0; });
-    w.clients->Start(5ms);
+    scenario.clients->Pause();
+    scenario.predecessors.push_back(std::exchange(scenario.serving, scenario.Start()));
+    RunUntil(scenario.loop, [&] { return scenario.serving->Port() != 0; });
+    scenario.clients->Start(5ms);
   }
-  w.Finish(100);  // clients of a process that was killed
+  scenario.Finish(100);  // requests to a killed process may have no response
 }
 
-// This test acts as the new process: it gets the permission, begins an epoch, and dies before it reports
-// that.
-void DeathAfterPermissionToBeginIsSurvived(const std::string& program) {
-  Upgrades w(program, 10);
-  w.clients->Start(5ms);
+// This test acts as the new process: it gets the permission to begin, begins an epoch of the journal, and
+// dies before it reports that. The old process must continue to serve.
+void OldProcessContinuesIfNewOneDiesAfterBeginningAnEpoch(const std::string& program) {
+  UpgradeScenario scenario(program, 10);
+  scenario.clients->Start(5ms);
   struct Host : JournalHost {
     explicit Host(Predecessor& previous) : previous(previous) {}
     void ScheduleTurn(Duration) override {}
@@ -230,9 +246,9 @@
     void OnFenced() override {}
     Predecessor& previous;
   };
-  const Config config = ParseWithoutVariables(w.ConfigText());
+  const Config config = ParseWithoutVariables(scenario.ConfigText());
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    RunFor(w.loop, 100ms);
+    RunFor(scenario.loop, 100ms);
     {
       const auto previous = Predecessor::Find(config);
       assert(previous != nullptr);
@@ -245,127 +261,130 @@
       const SegmentJournal journal(files, MakeJournalSettings(config, {}), messages, clock, log, host);
       assert(journal.epoch() == 2 * i);
     }
-    const std::size_t before = w.partner.delivered.size();
-    RunUntil(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
-    assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
+    const std::size_t delivered_before = scenario.partner.delivered.size();
+    RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() > delivered_before + 20; });
+    assert(scenario.SendAdminRequest(*scenario.serving, "STATUS\n") == "done ready\n");
   }
-  w.Upgrade(SIGTERM);
-  w.Finish(0);
+  scenario.Upgrade(SIGTERM);
+  scenario.Finish(0);
 }
 
-// The next process serves even if this one was paused, and uses the discovery address of the reload just
-// before.
+// The new process serves even if the old one was paused, and it uses the discovery address that the old one
+// got by a reload just before the upgrade.
 void UpgradeOfPausedAndReloadedProcessServesAtNewAddress(const std::string& program) {
-  Upgrades w(program, 5);
-  assert(w.Ask(*w.serving, "PAUSE\n").starts_with("done ") &&
-         w.Ask(*w.serving, "STATUS\n") == "error drained\n");
-  loadtest::Agent moved(w.loop);
-  std::string config = w.ConfigText();
-  const std::string was = At(w.agent.port());
-  config.replace(config.find(was), was.size(), At(moved.port()));
-  std::ofstream(w.folder.path + "/config.json") << config;
-  w.serving->child.Signal(SIGHUP);  // a paused process reloads too, and stays paused
-  RunUntil(w.loop, [&] { return moved.watch != nullptr; });
-  assert(w.Ask(*w.serving, "STATUS\n") == "error drained\n");
-  moved.watch.reset();
-  w.Upgrade(0);
-  assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
-  RunUntil(w.loop, [&] { return moved.watch != nullptr; });
-  w.clients->Start(5ms);
-  RunUntil(w.loop, [&] { return w.partner.delivered.size() > 20; });
-  w.Finish(0);
+  UpgradeScenario scenario(program, 5);
+  assert(scenario.SendAdminRequest(*scenario.serving, "PAUSE\n").starts_with("done ") &&
+         scenario.SendAdminRequest(*scenario.serving, "STATUS\n") == "error drained\n");
+  loadtest::Agent new_agent(scenario.loop);
+  std::string config = scenario.ConfigText();
+  const std::string old_address = At(scenario.agent.port());
+  config.replace(config.find(old_address), old_address.size(), At(new_agent.port()));
+  std::ofstream(scenario.folder.path + "/config.json") << config;
+  scenario.serving->child.Signal(SIGHUP);  // a paused process reloads its configuration too, and stays paused
+  RunUntil(scenario.loop, [&] { return new_agent.watch != nullptr; });
+  assert(scenario.SendAdminRequest(*scenario.serving, "STATUS\n") == "error drained\n");
+  new_agent.watch.reset();
+  scenario.Upgrade(0);
+  assert(scenario.SendAdminRequest(*scenario.serving, "STATUS\n") == "done ready\n");
+  RunUntil(scenario.loop, [&] { return new_agent.watch != nullptr; });
+  scenario.clients->Start(5ms);
+  RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() > 20; });
+  scenario.Finish(0);
 }
 
-// Both processes together stay below the memory limit of one.
-void BothProcessesStayBelowTheMemoryLimit(const std::string& program, std::size_t most_kb) {
-  Upgrades w(program, 6);
-  w.partner.menu = {Partner::Fault::kNoResponse};
-  w.clients->deadline_ms = 20'000;
-  w.clients->Start(2ms);
-  RunUntil(w.loop, [&] { return w.clients->posted > 400; });
-  w.clients->Pause();
-  w.Upgrade(0);
-  std::size_t both = 0;
-  for (const Process* process : {w.serving.get(), w.leaving.back().get()}) {
+// The resident memory of both processes together stays below the limit for one process.
+void BothProcessesStayBelowTheMemoryLimit(const std::string& program, std::size_t max_resident_kb) {
+  UpgradeScenario scenario(program, 6);
+  scenario.partner.menu = {Partner::Fault::kNoResponse};
+  scenario.clients->deadline_ms = 20'000;
+  scenario.clients->Start(2ms);
+  RunUntil(scenario.loop, [&] { return scenario.clients->posted > 400; });
+  scenario.clients->Pause();
+  scenario.Upgrade(0);
+  std::size_t resident_kb = 0;
+  for (const Process* process : {scenario.serving.get(), scenario.predecessors.back().get()}) {
     const std::string status = ReadFile("/proc/" + std::to_string(process->child.pid()) + "/status");
-    both += std::strtoull(status.c_str() + status.find("VmRSS:") + 6, nullptr, 10);
+    resident_kb += std::strtoull(status.c_str() + status.find("VmRSS:") + 6, nullptr, 10);
   }
-  std::printf("resident memory of both: %zu KB\n", both);
-  assert(both > 0 && both < most_kb);
-  w.Finish(0);
+  std::printf("resident memory of both: %zu KB\n", resident_kb);
+  assert(resident_kb > 0 && resident_kb < max_resident_kb);
+  scenario.Finish(0);
 }
 
-// The disk is full: the new process can't begin, and the old one continues.
+// If the disk is full, the new process can't begin an epoch of the journal, and the old process continues.
 void FullDiskAbortsTheHandover(const std::string& program) {
-  Upgrades w(program, 7);
-  w.clients->Start(5ms);
-  RunUntil(w.loop, [&] { return w.partner.delivered.size() > 10; });
+  UpgradeScenario scenario(program, 7);
+  scenario.clients->Start(5ms);
+  RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() > 10; });
   const loadtest::Child next(
       {"/bin/sh", "-c", "trap '' XFSZ; ulimit -f 0; exec \"$0\" \"$@\"", program, "serve", "--config",
-       w.folder.path + "/config.json", "--node-file", w.folder.path + "/node.json"},
-      "", w.folder.path + "/full");
-  RunUntil(w.loop, [&] { return !next.Running(); });
-  assert(next.Wait() == 1 && w.serving->child.Running());
-  assert(ReadFile(w.serving->child.log()).find(" handover.aborted ") != std::string::npos);
-  assert(w.Ask(*w.serving, "STATUS\n") == "done ready\n");
-  const std::size_t before = w.partner.delivered.size();
-  RunUntil(w.loop, [&] { return w.partner.delivered.size() > before + 20; });
-  w.Finish(0);
+       scenario.folder.path + "/config.json", "--node-file", scenario.folder.path + "/node.json"},
+      "", scenario.folder.path + "/full");
+  RunUntil(scenario.loop, [&] { return !next.Running(); });
+  assert(next.Wait() == 1 && scenario.serving->child.Running());
+  assert(ReadFile(scenario.serving->child.log()).find(" handover.aborted ") != std::string::npos);
+  assert(scenario.SendAdminRequest(*scenario.serving, "STATUS\n") == "done ready\n");
+  const std::size_t delivered_before = scenario.partner.delivered.size();
+  RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() > delivered_before + 20; });
+  scenario.Finish(0);
 }
 
-// A journal of format 1 is migrated, and then handed over with its calls in flight. (The programs that wrote
-// it can't hand over: they are stopped first.)
+// A journal of format 1 is migrated, and then handed over with its calls in flight. The programs that wrote
+// format 1 can't hand over, so the serving process is stopped before the old journal is put in place.
 void Format1JournalIsMigratedAndHandedOver(const std::string& program) {
-  Upgrades w(program, 9);
-  assert(w.serving->End(SIGTERM) == 0);
-  std::filesystem::remove_all(w.folder.path + "/journal");
+  UpgradeScenario scenario(program, 9);
+  assert(scenario.serving->End(SIGTERM) == 0);
+  std::filesystem::remove_all(scenario.folder.path + "/journal");
   const Time deadline = SystemClock().Now() + 20s;
-  std::ofstream(w.folder.path + "/log", std::ios::binary) << MakeFormat1Log(30, false, deadline, 0);
-  w.partner.menu = {Partner::Fault::kNoResponse};  // more messages than slots: some wait
-  w.serving = w.Start();
-  RunUntil(w.loop, [&] { return w.serving->Port() != 0; });
-  assert(ReadFile(w.serving->child.log()).find(" journal.migrated ") != std::string::npos);
-  RunUntil(w.loop, [&] { return w.partner.out() == static_cast<std::size_t>(w.max_concurrent_calls); });
-  w.Upgrade(0);
-  w.Upgrade(0);
-  w.partner.menu = {Partner::Fault::kNone};
-  RunUntil(w.loop, [&] { return w.partner.delivered.size() == 30; });
-  w.Finish(0);
+  std::ofstream(scenario.folder.path + "/log", std::ios::binary) << MakeFormat1Log(30, false, deadline, 0);
+  scenario.partner.menu = {Partner::Fault::kNoResponse};  // more messages than concurrent calls, so some wait
+  scenario.serving = scenario.Start();
+  RunUntil(scenario.loop, [&] { return scenario.serving->Port() != 0; });
+  assert(ReadFile(scenario.serving->child.log()).find(" journal.migrated ") != std::string::npos);
+  RunUntil(scenario.loop,
+           [&] { return scenario.partner.out() == static_cast<std::size_t>(scenario.max_concurrent_calls); });
+  scenario.Upgrade(0);
+  scenario.Upgrade(0);
+  scenario.partner.menu = {Partner::Fault::kNone};
+  RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() == 30; });
+  scenario.Finish(0);
 }
 
-// Killed before, during and after the handover: the next process has the journal in each case.
-void OldProcessMayBeKilledDuringTheHandover(const std::string& program) {
-  Upgrades w(program, 8);
-  w.clients->Start(5ms);
-  for (int ms = 0; ms < 36; ms += 4) {
-    RunFor(w.loop, 50ms);
-    auto next = w.Start();
-    RunFor(w.loop, std::chrono::milliseconds(ms));
-    w.clients->Pause();
-    w.serving->End(SIGKILL);
-    RunUntil(w.loop, [&] { return next->Port() != 0; });
-    w.leaving.push_back(std::exchange(w.serving, std::move(next)));
-    w.clients->Start(5ms);
+// The old process is killed before, during and after the handover. In each case the new process gets the
+// journal.
+void NewProcessGetsTheJournalIfOldOneIsKilled(const std::string& program) {
+  UpgradeScenario scenario(program, 8);
+  scenario.clients->Start(5ms);
+  for (int delay_ms = 0; delay_ms < 36; delay_ms += 4) {
+    RunFor(scenario.loop, 50ms);
+    auto next = scenario.Start();
+    RunFor(scenario.loop, std::chrono::milliseconds(delay_ms));
+    scenario.clients->Pause();
+    scenario.serving->End(SIGKILL);
+    RunUntil(scenario.loop, [&] { return next->Port() != 0; });
+    scenario.predecessors.push_back(std::exchange(scenario.serving, std::move(next)));
+    scenario.clients->Start(5ms);
   }
-  w.Finish(60);  // of those who had asked the one that was killed
+  scenario.Finish(60);  // requests to a killed process may have no response
 }
 
-// Two start at once: one after the other takes over, and one serves in the end.
+// Two new processes start at the same time. They take over one after the other, and one of them serves in the
+// end.
 void TwoNewProcessesTakeOverInTurn(const std::string& program) {
-  Upgrades w(program, 4);
-  w.clients->Start(5ms);
-  auto one = w.Start();
-  auto two = w.Start();
-  const auto handed = [](Process& p) {
-    return ReadFile(p.child.log()).find(" handover.completed ") != std::string::npos;
+  UpgradeScenario scenario(program, 4);
+  scenario.clients->Start(5ms);
+  auto first = scenario.Start();
+  auto second = scenario.Start();
+  const auto has_handed_over = [](Process& process) {
+    return ReadFile(process.child.log()).find(" handover.completed ") != std::string::npos;
   };
-  RunUntil(w.loop, [&] { return one->Port() != 0 && two->Port() != 0; });
-  RunUntil(w.loop, [&] { return handed(*one) != handed(*two); });
-  w.leaving.push_back(std::move(w.serving));
-  w.serving = std::move(handed(*one) ? two : one);
-  w.leaving.push_back(std::move(one ? one : two));
-  RunFor(w.loop, 200ms);
-  w.Finish(0);
+  RunUntil(scenario.loop, [&] { return first->Port() != 0 && second->Port() != 0; });
+  RunUntil(scenario.loop, [&] { return has_handed_over(*first) != has_handed_over(*second); });
+  scenario.predecessors.push_back(std::move(scenario.serving));
+  scenario.serving = std::move(has_handed_over(*first) ? second : first);
+  scenario.predecessors.push_back(std::move(first ? first : second));
+  RunFor(scenario.loop, 200ms);
+  scenario.Finish(0);
 }
 
 }  // namespace
@@ -374,16 +393,16 @@
 int main(int argc, char** argv) {
   using namespace sagetally;
   assert(argc == 4);
-  UpgradesUnderLoadLoseNothing(argv[1], std::atoi(argv[2]), std::strtoull(argv[3], nullptr, 10));
+  UpgradesUnderLoadLoseNoMessages(argv[1], std::atoi(argv[2]), std::strtoull(argv[3], nullptr, 10));
   ClientConnectionsContinueInTheNextProcess(argv[1]);
   InFlightNonIdempotentCallIsNotRepeated(argv[1]);
   FailedStartsLeaveTheServingProcessUnchanged(argv[1]);
-  DeathAfterPermissionToBeginIsSurvived(argv[1]);
+  OldProcessContinuesIfNewOneDiesAfterBeginningAnEpoch(argv[1]);
   TwoNewProcessesTakeOverInTurn(argv[1]);
   UpgradeOfPausedAndReloadedProcessServesAtNewAddress(argv[1]);
-  if (kMemoryIsMeaningful) BothProcessesStayBelowTheMemoryLimit(argv[1], 32'000);
+  if (kChecksMemory) BothProcessesStayBelowTheMemoryLimit(argv[1], 32'000);
   FullDiskAbortsTheHandover(argv[1]);
   Format1JournalIsMigratedAndHandedOver(argv[1]);
-  OldProcessMayBeKilledDuringTheHandover(argv[1]);
+  NewProcessGetsTheJournalIfOldOneIsKilled(argv[1]);
   std::puts("11 passed, 0 failed");
 }
--- a/tests/pipeline/durability_test.cpp
+++ b/tests/pipeline/durability_test.cpp
@@ -1,4 +1,4 @@
-// The pipeline over a journal whose disk fills up or is slow: no response, call or notification goes out
+// Tests the pipeline with a journal whose disk is full or slow: no response, call or notification is sent
 // before its record is durable.
 #include <gtest/gtest.h>
 
@@ -7,8 +7,9 @@
 namespace sagetally {
 namespace {
 
-constexpr int kAviso = 0;
-constexpr int kPagamento = 2;
+// Indices of message classes in the configuration.
+constexpr int kAvisoClass = 0;
+constexpr int kPagamentoClass = 2;
 
 struct DurabilityTest : testing::Test {
   std::unique_ptr<PipelineNode> MakeNode(const JournalSettings& settings = SmallJournal()) {
@@ -23,14 +24,14 @@
   TestClock clock;
 };
 
-// The disk is full once message "p" is on record, but not its attempt.
+// The disk fills up after message "p" was recorded and before its attempt can be.
 struct FullDiskTest : DurabilityTest {
   FullDiskTest() {
     files.plan = [this](std::uint64_t, std::string_view operation) {
       const bool fails = is_full && operation == "append" && ++appends > 1;
       return Step{fails ? Fault::kError : Fault::kNone, ENOSPC};
     };
-    node->Submit(kPagamento, "p");
+    node->Submit(kPagamentoClass, "p");
   }
 
   bool is_full = true;
@@ -38,11 +39,11 @@
   const std::unique_ptr<PipelineNode> node = MakeNode();
 };
 
-TEST_F(FullDiskTest, CallWaitsAndNewMessagesAreRejected) {
+TEST_F(FullDiskTest, CallIsDeferredAndNewMessagesAreRejected) {
   EXPECT_TRUE(node->calls.empty());
   EXPECT_FALSE(node->journal.is_writable());
   EXPECT_EQ(node->messages.pending_count(), 1);
-  node->Submit(kPagamento, "later");
+  node->Submit(kPagamentoClass, "later");
   EXPECT_EQ(node->responses.at("later").status, AdmissionStatus::kRejected);
   EXPECT_EQ(node->responses.at("later").retry_after, std::chrono::seconds(1));
   node->AdvanceTime(std::chrono::seconds(2));
@@ -50,8 +51,8 @@
   EXPECT_TRUE(node->notified.empty());
 }
 
-TEST_F(FullDiskTest, DeliveryResumesByItselfOnceThereIsSpace) {
-  node->Submit(kPagamento, "later");
+TEST_F(FullDiskTest, DeliveryResumesOnceTheDiskHasSpaceAgain) {
+  node->Submit(kPagamentoClass, "later");
   node->AdvanceTime(std::chrono::seconds(2));
   is_full = false;
   node->AdvanceTime(std::chrono::seconds(4));
@@ -61,20 +62,20 @@
   EXPECT_EQ(MessageOf(*node, node->calls[0]).first_uncertain_attempt, std::nullopt);
   node->CompleteCall(Outcome::kOk);
   EXPECT_EQ(node->messages.size(), 0U);
-  node->Submit(kPagamento, "again");
+  node->Submit(kPagamentoClass, "again");
   EXPECT_EQ(node->responses.at("again").status, AdmissionStatus::kAccepted);
   EXPECT_EQ(node->calls.size(), 1U);
 }
 
-// A message that expires while the disk is full.
+// A message completes while the disk is full.
 struct FullDiskAtCompletionTest : DurabilityTest {
   void SetUp() override {
-    node->Submit(kPagamento, "p");
+    node->Submit(kPagamentoClass, "p");
     ASSERT_EQ(node->calls.size(), 1U);
     files.plan = [](std::uint64_t, std::string_view operation) {
       return Step{operation == "append" ? Fault::kError : Fault::kNone, ENOSPC};
     };
-    node->CompleteCall(Outcome::kReset);  // may have run, so the client has to be notified
+    node->CompleteCall(Outcome::kReset);  // the call may have run, so the client has to be notified
     node->AdvanceTime(std::chrono::seconds(9));
   }
 
@@ -99,17 +100,17 @@
 }
 
 struct SyncedClassTest : DurabilityTest {
-  SyncedClassTest() { settings.class_durability[kPagamento] = Durability::kSynced; }
+  SyncedClassTest() { settings.class_durability[kPagamentoClass] = Durability::kSynced; }
 
   JournalSettings settings = SmallJournal();
 };
 
-TEST_F(SyncedClassTest, ResponseCallAndNotificationWaitForTheDiskAndOtherClassesDoNot) {
+TEST_F(SyncedClassTest, ResponseCallAndNotificationWaitForTheSyncAndOtherClassesDoNot) {
   const std::unique_ptr<PipelineNode> node = MakeNode(settings);
-  node->Submit(kAviso, "a");
+  node->Submit(kAvisoClass, "a");
   EXPECT_TRUE(node->responses.contains("a"));
   EXPECT_EQ(node->calls.size(), 1U);
-  node->Submit(kPagamento, "p");
+  node->Submit(kPagamentoClass, "p");
   EXPECT_FALSE(node->responses.contains("p"));
   EXPECT_EQ(node->calls.size(), 1U);
 
@@ -129,9 +130,9 @@
   EXPECT_EQ(node->notified.size(), 1U);
 }
 
-TEST_F(SyncedClassTest, AttemptThatWaitedTooLongForTheDiskIsDecidedAnew) {
+TEST_F(SyncedClassTest, PolicyDecidesAgainOnAttemptThatWaitedTooLongForTheSync) {
   const std::unique_ptr<PipelineNode> node = MakeNode(settings);
-  node->Submit(kPagamento, "slow");
+  node->Submit(kPagamentoClass, "slow");
   node->AdvanceTime(settings.group_commit_delay);
   clock.now += std::chrono::milliseconds(80);
   node->CompleteSyncs();
--- a/tests/pipeline/pipeline_node.h
+++ b/tests/pipeline/pipeline_node.h
@@ -1,5 +1,5 @@
-// The real pipeline, dispatch policy and journal as one node, on an in-memory file system and a manual clock.
-// Calls, notifications and disk syncs wait in lists until the test completes them.
+// A node for tests: the real pipeline, dispatch policy and journal on an in-memory file system with a manual
+// clock. Calls, notifications and disk syncs are collected in lists until the test completes them.
 #ifndef SAGETALLY_TESTS_PIPELINE_PIPELINE_NODE_H_
 #define SAGETALLY_TESTS_PIPELINE_PIPELINE_NODE_H_
 
@@ -52,14 +52,14 @@
   }
   void OnFenced() override {}
 
-  // Does all that is due now.
+  // Reports the journal's progress to the pipeline and runs the policy until nothing more is due.
   void RunPending() {
     while (policy_run_due || journal_has_progressed) {
       if (std::exchange(journal_has_progressed, false)) pipeline.OnJournalProgress();
       if (std::exchange(policy_run_due, false)) pipeline.RunPolicy();
     }
   }
-  // Advances the clock by `duration`, firing timers at their times.
+  // Advances the clock by `duration` and fires each timer when it is due.
   void AdvanceTime(Duration duration) {
     const Time end = clock.now + duration;
     for (RunPending(); std::min(policy_timer, journal_timer) <= end; RunPending()) {
@@ -75,7 +75,7 @@
     }
     clock.now = end;
   }
-  // Submits one message; the response goes to `responses`.
+  // Submits one message; the response is stored in `responses`.
   void Submit(int message_class, const std::string& id) {
     Request request;
     request.id = id;
@@ -89,16 +89,17 @@
     });
     RunPending();
   }
-  // Completes the oldest call.
-  void CompleteCall(Outcome outcome, bool completed = false) {
+  // Completes the oldest call. `message_expired`: the endpoint reports that nobody waits for the message.
+  void CompleteCall(Outcome outcome, bool message_expired = false) {
     CallResult result;
     result.message_number = calls.front().message_number;
     result.outcome = outcome;
-    result.message_expired = completed;
+    result.message_expired = message_expired;
     calls.erase(calls.begin());
     pipeline.outcome_handler.OnCallResult(result);
     RunPending();
   }
+  // Syncs the files of all pending syncs and reports the results to the journal.
   void CompleteSyncs() {
     for (const PendingSync& sync : std::exchange(syncs, {})) sync.done(sync.file->Sync());
     RunPending();
@@ -118,7 +119,7 @@
   Time journal_timer = Time::max();
   std::vector<PendingSync> syncs;
   std::vector<CallRequest> calls;
-  std::vector<std::uint64_t> notified;
+  std::vector<std::uint64_t> notified;  // message numbers, in the order of the notifications
   std::function<void(const Message&)> on_notified;
   std::map<std::string, AdmissionResult> responses;  // by request id
   SegmentJournal journal;
@@ -126,8 +127,9 @@
   MessagePipeline pipeline;
 };
 
+// A configuration whose endpoint list has one endpoint, of destination 7.
 inline Config ConfigWithOneEndpoint() {
-  World world(/*endpoints=*/0, /*slots=*/4, /*most_held=*/40);
+  World world(/*endpoint_count=*/0, /*max_concurrent_calls=*/4, /*max_pending_messages=*/40);
   world.ports = {9};
   return ParseConfig(world.ConfigText(), [](const char*) { return nullptr; });
 }
