--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 constexpr Duration kRequestTimeout = std::chrono::seconds(6);
-// After the answer, for it to be read.
+// How long a connection stays open after its answer, so that the client can read it.
 constexpr Duration kLingerTime = std::chrono::milliseconds(200);
-// How long accepting pauses when no descriptor is free.
+// How long accepting pauses when the system is out of file descriptors or memory.
 constexpr Duration kAcceptPause = std::chrono::milliseconds(50);
 
 bool IsOutOfResources(int error_number) {
@@ -32,6 +32,7 @@
 
 }  // namespace
 
+// One admin connection: reads the request, writes the answer, and asks the server to close it afterwards.
 class AdminServer::Client {
  public:
   Client(AdminServer& server, int socket)
@@ -45,7 +46,7 @@
     timer_.Schedule(kRequestTimeout);
   }
 
-  // Safe within the client's own callbacks, unlike its destructor.
+  // Closes the socket. Safe to call within the client's own callbacks, unlike the destructor.
   void Close() {
     buffers_.reset();
     timer_.Stop();
@@ -56,7 +57,7 @@
   void Read() {
     evbuffer* input = bufferevent_get_input(buffers_.get());
     const std::size_t size = evbuffer_get_length(input);
-    if (is_answered_) {  // unread bytes at the close would be a reset that overtakes the answer
+    if (is_answered_) {  // closing with unread bytes sends a reset, which may discard the answer
       evbuffer_drain(input, size);
       return;
     }
@@ -77,10 +78,10 @@
     if (client->is_answered_) ::shutdown(bufferevent_getfd(client->buffers_.get()), SHUT_WR);
   }
 
-  // Closed by the client, or broken.
+  // The client has ended the connection, or it has failed.
   static void OnEvent(bufferevent* buffers, short, void* self) {
     auto* client = static_cast<Client*>(self);
-    // A client that has ended its sending may still read; the timer closes it.
+    // A client that has shut down its sending side may still read the answer. timer_ closes the connection.
     if (client->is_answered_ && evbuffer_get_length(bufferevent_get_output(buffers)) > 0) return;
     client->server_.Close(*client);
   }
@@ -114,7 +115,7 @@
       listener_(std::move(listener)),
       accept_event_(StartReadEvent(loop, listener_.get(), OnAcceptable, this, EventPriority::kUrgent)),
       port_(LocalPort(listener_.get())),
-      accept_again_timer_(loop, [this] { event_add(accept_event_.get(), nullptr); }),
+      accept_retry_timer_(loop, [this] { event_add(accept_event_.get(), nullptr); }),
       closed_clients_(loop) {}
 
 AdminServer::~AdminServer() = default;
@@ -123,21 +124,23 @@
   static_cast<AdminServer*>(self)->AcceptClients();
 }
 
-// Not all at once: admin clients that come by the thousand must not keep the others waiting.
+// Accepts at most `max_connections_` connections per call, so that thousands of admin clients can't keep the
+// other events of the loop waiting.
 void AdminServer::AcceptClients() {
   for (std::size_t accepted = 0; accepted < max_connections_; ++accepted) {
     const int socket = ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (socket < 0) {
       if (!IsOutOfResources(errno)) return;
-      event_del(accept_event_.get());  // the listener stays readable: the loop would call again and again
-      return accept_again_timer_.Schedule(kAcceptPause);
+      event_del(accept_event_.get());  // the listener stays readable, so the loop would spin on it
+      return accept_retry_timer_.Schedule(kAcceptPause);
     }
-    if (clients_.size() >= max_connections_) MakeCapacity();
+    if (clients_.size() >= max_connections_) EvictClient();
     clients_.push_back(std::make_unique<Client>(*this, socket));
   }
 }
 
-void AdminServer::MakeCapacity() {
+// Closes a client that was answered or, if there is none, the client that was accepted first.
+void AdminServer::EvictClient() {
   const auto answered = std::find_if(clients_.begin(), clients_.end(),
                                      [](const auto& client) { return client->is_answered(); });
   Close(answered == clients_.end() ? *clients_.front() : **answered);
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,4 +1,5 @@
-// The operators' TCP interface: one request of one line per connection, apart from the clients' connections.
+// The admin server, the operators' TCP interface. Each connection carries one request of one line and its
+// answer. It has its own listener and its own connection limit, separate from those of the clients.
 #ifndef SAGETALLY_SRC_NET_ADMIN_SERVER_H_
 #define SAGETALLY_SRC_NET_ADMIN_SERVER_H_
 
@@ -14,19 +15,22 @@
 
 namespace sagetally {
 
-// Answers before everything else that the event loop has to do. On the loop's thread, the handlers too.
+// Accepts admin connections and answers their requests. Its events have urgent priority, so it answers before
+// the event loop runs any other event that is due. Runs on the event loop's thread, as do the handlers.
 class AdminServer {
  public:
-  // Opens a listening socket. Throws ListenError.
+  // Opens a listening socket at `address`. Throws ListenError.
   static FileDescriptor Listen(const Address& address);
 
-  // `max_connections`: each takes a descriptor; at least 1. Beyond it, a client that was answered or else the
-  // one that has waited longest without a whole line is closed.
+  // Serves the connections of `listener`, which Listen() returned. Each connection takes one file descriptor;
+  // a `max_connections` of 0 counts as 1. When a connection comes in beyond the limit, a client that was
+  // answered is closed to make room, or else the client that was accepted first.
   AdminServer(EventLoop& loop, FileDescriptor listener, std::size_t max_connections, AdminHandlers handlers);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
+  // The port that the listener is bound to.
   std::uint16_t port() const { return port_; }
 
  private:
@@ -34,7 +38,7 @@
 
   static void OnAcceptable(evutil_socket_t, short, void* self);
   void AcceptClients();
-  void MakeCapacity();
+  void EvictClient();
   void Close(Client& client);
 
   EventLoop& loop_;
@@ -43,8 +47,8 @@
   FileDescriptor listener_;
   EventPtr accept_event_;
   std::uint16_t port_ = 0;
-  std::list<std::unique_ptr<Client>> clients_;  // oldest first
-  Timer accept_again_timer_;
+  std::list<std::unique_ptr<Client>> clients_;  // the one accepted first comes first
+  Timer accept_retry_timer_;
   DeferredDeleter<Client> closed_clients_;
 };
 
--- a/src/net/control_server.cpp
+++ b/src/net/control_server.cpp
@@ -18,15 +18,15 @@
 namespace sagetally {
 namespace {
 
-constexpr timeval kIdleTimeout{30, 0};
+constexpr timeval kIdleTimeout{30, 0};  // seconds, microseconds
 
 }  // namespace
 
 struct ControlServer::Client {
-  ControlServer* server = nullptr;  // null once it is closed
+  ControlServer* server = nullptr;  // null once the connection is closed
   BufferEventPtr buffers;
   std::unique_ptr<TransferResumer> resumer;
-  bool awaits_answer = false;
+  bool awaits_answer = false;  // a request was passed to the handler, which has not responded yet
 };
 
 ControlServer::ControlServer(EventLoop& loop, std::string path, std::size_t max_request_bytes,
@@ -56,7 +56,7 @@
 }
 
 ControlServer::~ControlServer() {
-  // A responder may still hold a client.
+  // A responder that is running may still hold a reference to its client. It does nothing from now on.
   for (const auto& [client, owned] : clients_) {
     client->server = nullptr;
     client->resumer->Stop();
@@ -93,8 +93,9 @@
 void ControlServer::OnEvent(bufferevent*, short events, void* argument) {
   const int error_number = EVUTIL_SOCKET_ERROR();
   auto* client = static_cast<Client*>(argument);
-  if (client->resumer->ResumesAfter(events, error_number)) return;
-  // A client that waits for an answer sends nothing meanwhile, however long the answer takes.
+  if (client->resumer->ResumeIfTransient(events, error_number)) return;
+  // A client that waits for an answer sends nothing, so the idle timeout does not apply to it. libevent has
+  // disabled reading at the timeout.
   if ((events & BEV_EVENT_TIMEOUT) != 0 && client->awaits_answer) {
     bufferevent_enable(client->buffers.get(), EV_READ);
     return;
--- a/src/net/control_server.h
+++ b/src/net/control_server.h
@@ -1,4 +1,5 @@
-// A server on a Unix socket for operators on the same machine: one request a line, one answer a line.
+// A server on a Unix socket for operators on the same machine. Requests and answers are lines of text: each
+// request line gets one answer line.
 #ifndef SAGETALLY_SRC_NET_CONTROL_SERVER_H_
 #define SAGETALLY_SRC_NET_CONTROL_SERVER_H_
 
@@ -15,18 +16,22 @@
 
 namespace sagetally {
 
-// On the event loop's thread, the handler too.
+// Owns the socket and its connections. Runs on the event loop's thread, as does the handler.
 class ControlServer {
  public:
+  // Connections open at the same time. Further ones are closed at once.
   static constexpr std::size_t kMaxConnections = 8;
-  // Sends the answer, without its line's end. Only the first call counts; the client may have gone.
+  // Sends the answer `line`, which has no newline at its end. Only the first call has an effect. Does nothing
+  // if the client has disconnected; may be called after the server was destroyed.
   using Responder = std::function<void(std::string line)>;
-  // Handles a request, without its line's end. A connection's next request waits for the answer.
+  // Handles a request `line`, which has no newline at its end. The connection's next request is not read
+  // before `respond` was called.
   using Handler = std::function<void(std::string_view line, Responder respond)>;
 
-  // Creates the socket with mode 0600, in place of one that a process left behind. Throws ListenError.
+  // Creates the socket at `path` with mode 0600 and replaces one that an earlier process left behind. A
+  // connection that sends a longer line than `max_request_bytes` is closed. Throws ListenError.
   ControlServer(EventLoop& loop, std::string path, std::size_t max_request_bytes, Handler handler);
-  // Removes the socket.
+  // Closes all connections and removes the socket.
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
@@ -46,7 +51,7 @@
   const std::size_t max_request_bytes_;
   Handler handler_;
   EventListenerPtr listener_;
-  std::map<Client*, std::shared_ptr<Client>> clients_;
+  std::map<Client*, std::shared_ptr<Client>> clients_;  // shared with the responders of pending requests
 };
 
 }  // namespace sagetally
--- a/src/net/endpoint_call_codec.cpp
+++ b/src/net/endpoint_call_codec.cpp
@@ -12,21 +12,21 @@
 namespace sagetally {
 namespace {
 
-// Names on the wire. Nothing behind this file knows them.
+// Names on the wire. Only this file uses them.
 constexpr char kCallPath[] = "/hook";
 constexpr char kMessageIdHeader[] = "X-Request-Id";
 constexpr char kIdempotencyKeyHeader[] = "Idempotency-Key";
 constexpr char kDeadlineHeader[] = "X-Deadline";
 constexpr char kLoadHeader[] = "X-Load";
 constexpr char kRetryAfterHeader[] = "X-Retry-In-Ms";
-constexpr char kNotStartedHeader[] = "X-No-Slot";  // "1": the endpoint did not start the call
+constexpr char kNotStartedHeader[] = "X-No-Slot";  // "1" if the endpoint did not start the call
 constexpr std::string_view kQuotaLeftField = "x0=";
 constexpr std::string_view kRateLimitField = "x1=";
 
 constexpr double kMaxRetryAfterMs = 1e9;
 constexpr double kMicrosecondsPerMs = 1000;
 
-// A finite number that is not negative.
+// Parses a finite, non-negative number that takes up the whole text.
 std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const char* const text_end = text.data() + text.size();
--- a/src/net/endpoint_call_codec.h
+++ b/src/net/endpoint_call_codec.h
@@ -1,5 +1,5 @@
-// The HTTP form of calls to endpoints: requests as the platform's protocol wants them, and what its answers
-// mean. No I/O.
+// Encodes calls to endpoints as HTTP requests of the platform's protocol, and decodes the responses. Does no
+// I/O and keeps no state.
 #ifndef SAGETALLY_SRC_NET_ENDPOINT_CALL_CODEC_H_
 #define SAGETALLY_SRC_NET_ENDPOINT_CALL_CODEC_H_
 
@@ -14,16 +14,19 @@
 
 using EndpointResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// The whole request of a call, to an endpoint at `host` ("10.0.0.4:8443").
+// Returns the whole HTTP request of `call`, headers and body. `host` is the value of its Host header, such as
+// "10.0.0.4:8443".
 std::string EncodeCall(const CallRequest& call, const std::string& host);
 
-// The result that a final response (2xx to 5xx) stands for. Its `number` is not set.
+// Returns the result of a call with the final response `response` (status 2xx to 5xx). The result's
+// `message_number` is not set.
 CallResult DecodeCallResult(const EndpointResponse& response);
 
-// Parses an X-Load header ("x0=0.4,x1=25"). Empty report if any part of it is malformed.
+// Parses the value of an X-Load header, such as "x0=0.4,x1=25". Returns an empty report if any part of it is
+// malformed.
 LoadReport ParseLoadReport(std::string_view text);
 
-// Formats the X-Deadline header: whole milliseconds, rounded down, at least 1 ("250m").
+// Formats the value of an X-Deadline header, such as "250m": whole milliseconds, rounded down, at least 1.
 std::string FormatDeadline(Duration time_left);
 
 }  // namespace sagetally
--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -15,14 +15,16 @@
 namespace sagetally {
 namespace {
 
-// The longest time for which a response to an abandoned call is still read; kCloseSettleTime is the shortest.
-constexpr Duration kMaxListenTime = std::chrono::milliseconds(100);
-// Idle connections are closed this much before the endpoint's machine may close them.
-constexpr Duration kIdleMargin = std::chrono::milliseconds(1000);
+// The longest time for which a response to an abandoned call is awaited; kClosePropagationTime is the
+// shortest.
+constexpr Duration kMaxLateResponseTime = std::chrono::milliseconds(100);
+// Idle connections are closed this long before the endpoint's machine may close them.
+constexpr Duration kIdleCloseMargin = std::chrono::milliseconds(1000);
 constexpr unsigned kServiceUnavailable = 503;
 
-// So often this machine's own shortages may keep a connection from being opened; the pause doubles each time.
-constexpr int kMaxConnectTries = 6;
+// How many times opening a connection may fail because this machine lacks a descriptor, a port, memory or a
+// route before the call fails. The delay before the next attempt doubles each time.
+constexpr int kMaxConnectAttempts = 6;
 
 }  // namespace
 
@@ -31,13 +33,13 @@
     : owner_(owner),
       endpoint_(endpoint),
       timeouts_(timeouts),
-      address_text_(endpoint.address_text),
+      opened_address_(endpoint.address_text),
       buffers_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)),
       resumer_(loop, buffers_.get()),
       connect_timer_(loop, [this] { FinishWithoutResponse(Outcome::kConnectFailed); }),
-      connect_again_timer_(loop, [this] { Connect(); }),
+      connect_retry_timer_(loop, [this] { Connect(); }),
       call_timer_(loop, [this] { AbandonCall(Outcome::kTimeout); }),
-      listen_timer_(loop, [this] { FinishWithoutResponse(*abandoned_as_); }),
+      late_response_timer_(loop, [this] { FinishWithoutResponse(*abandoned_as_); }),
       idle_timer_(loop, [this] { owner_.OnUnusable(*this); }),
       write_timer_(loop, [this] { OnWriteDeadline(); }),
       reader_(loop, [this] { OnInvalidResponse(); }) {
@@ -49,29 +51,29 @@
   Connect();
 }
 
-// What this machine lacks for a moment says nothing about the endpoint.
+// Retries if this machine is short of a resource for a moment, which says nothing about the endpoint.
 void EndpointConnection::Connect() {
   const sockaddr_in& address = endpoint_.address;
   if (bufferevent_socket_connect(buffers_.get(), reinterpret_cast<const sockaddr*>(&address),
                                  sizeof address) == 0) {
     return;
   }
-  if (IsTransientConnectError(errno) && ++connect_tries_ < kMaxConnectTries) {
-    connect_again_timer_.Schedule(kSocketRetryDelay * (1 << connect_tries_));
+  if (IsTransientConnectError(errno) && ++connect_attempts_ < kMaxConnectAttempts) {
+    connect_retry_timer_.Schedule(kSocketRetryDelay * (1 << connect_attempts_));
   } else {
     connect_timer_.Schedule(Duration(0));
   }
 }
 
 bool EndpointConnection::IsUsable() const {
-  return address_text_ == endpoint_.address_text && !endpoint_.is_removed && NothingReceived();
+  return opened_address_ == endpoint_.address_text && !endpoint_.is_removed && NothingReceived();
 }
 
 bool EndpointConnection::IsWritten() const {
   return is_connected_ && unsent_call_.empty() && evbuffer_get_length(output()) == 0;
 }
 
-// No byte that was not read, no end, no reset.
+// Returns whether no unread byte, no end of stream and no reset has arrived.
 bool EndpointConnection::NothingReceived() const {
   char byte = 0;
   return evbuffer_get_length(input()) == 0 && ::recv(socket(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
@@ -85,7 +87,7 @@
   responded_early_ = false;
   reader_.ExpectResponse();
   idle_timer_.Stop();
-  unsent_call_ = EncodeCall(call, address_text_);
+  unsent_call_ = EncodeCall(call, opened_address_);
   call_timer_.Schedule(call.timeout);
   write_deadline_ = std::chrono::steady_clock::time_point::max();
   if (call.write_timeout) {
@@ -97,7 +99,7 @@
 
 void EndpointConnection::BecomeIdle() {
   idle_since_ = std::chrono::steady_clock::now();
-  idle_timer_.Schedule(std::max<Duration>(timeouts_.idle - kIdleMargin, timeouts_.idle / 2));
+  idle_timer_.Schedule(std::max<Duration>(timeouts_.idle - kIdleCloseMargin, timeouts_.idle / 2));
 }
 
 void EndpointConnection::AbandonCall(Outcome outcome) {
@@ -107,14 +109,14 @@
   abandoned_as_ = outcome;
   call_timer_.Stop();
   ::shutdown(socket(), SHUT_WR);
-  listen_timer_.Schedule(std::clamp(round_trip_time_, kCloseSettleTime, kMaxListenTime));
+  late_response_timer_.Schedule(std::clamp(round_trip_time_, kClosePropagationTime, kMaxLateResponseTime));
 }
 
 void EndpointConnection::FinishWithoutResponse(Outcome outcome) {
   CallResult result;
-  // A status line with 200 is true, whatever became of the rest.
+  // A status line with 200 means that the call was delivered, even if the rest of the response is missing.
   result.outcome = reader_.has_ok_status() ? Outcome::kOk : outcome;
-  FinishCall(result, {.is_reusable = false, .needs_settling = !abandoned_as_});
+  FinishCall(result, {.is_reusable = false, .needs_report_delay = !abandoned_as_});
 }
 
 void EndpointConnection::Close() {
@@ -123,14 +125,14 @@
   resumer_.Stop();
   buffers_.reset();
   reader_.Stop();
-  for (Timer* timer :
-       {&connect_timer_, &connect_again_timer_, &call_timer_, &listen_timer_, &idle_timer_, &write_timer_}) {
+  for (Timer* timer : {&connect_timer_, &connect_retry_timer_, &call_timer_, &late_response_timer_,
+                       &idle_timer_, &write_timer_}) {
     timer->Stop();
   }
 }
 
-// Writes at once and not in the loop's next round: what was decided for this moment, and about this
-// connection, need not hold later.
+// Writes at once instead of in the loop's next iteration, by which time the decision to send the call and the
+// check that this connection is usable may be out of date.
 void EndpointConnection::WriteCall() {
   if (std::chrono::steady_clock::now() >= write_deadline_) return FinishWithoutResponse(Outcome::kNotSent);
   const std::string text = std::exchange(unsent_call_, {});
@@ -156,25 +158,25 @@
   if (!IsWritten()) FinishWithoutResponse(Outcome::kNotSent);
 }
 
-void EndpointConnection::FinishCall(CallResult result, CallEnd end) {
-  ReportWritten();  // the response may be read before libevent reports the write
+void EndpointConnection::FinishCall(CallResult result, CallCompletion completion) {
+  ReportWritten();  // the response may be read before libevent reports that the call was written
   has_call_ = false;
   reader_.Stop();
-  for (Timer* timer : {&connect_timer_, &call_timer_, &listen_timer_, &write_timer_}) timer->Stop();
+  for (Timer* timer : {&connect_timer_, &call_timer_, &late_response_timer_, &write_timer_}) timer->Stop();
   if (responded_early_ && result.outcome != Outcome::kRejected) result.outcome = Outcome::kConnectFailed;
-  // The endpoint may have given the call up as well, so a response to an abandoned call may count for nothing
-  // there. Only its time to wait is passed on.
+  // The endpoint may have given the call up as well and not count its response as a delivery, so the outcome
+  // of a response to an abandoned call is ignored. Its retry-after time is passed on.
   if (abandoned_as_) result.outcome = *abandoned_as_;
   result.message_number = message_number_;
-  owner_.OnCallFinished(*this, result, end);
+  owner_.OnCallFinished(*this, result, completion);
 }
 
-// The call has run. The connection is of no further use.
+// A response means that the call has run, so the outcome is kError. The connection can't be used any more.
 void EndpointConnection::OnInvalidResponse() { FinishWithoutResponse(Outcome::kError); }
 
 void EndpointConnection::Read() {
-  if (!has_call_) return owner_.OnUnusable(*this);  // no call has asked for it
-  if (!is_connected_) return;                       // read once libevent has reported the connection
+  if (!has_call_) return owner_.OnUnusable(*this);  // the bytes are no response to a call
+  if (!is_connected_) return;                       // OnConnected() reads them
   if (!IsWritten()) {
     responded_early_ = true;
     resumer_.KeepPaused(EV_WRITE);
@@ -196,7 +198,7 @@
   is_accepted_by_endpoint_ = is_accepted_by_endpoint_ || response.result_int() != kServiceUnavailable;
   const bool is_reusable =
       reader_.keep_alive() && is_accepted_by_endpoint_ && !responded_early_ && !abandoned_as_;
-  FinishCall(result, {.is_reusable = is_reusable, .needs_settling = false});
+  FinishCall(result, {.is_reusable = is_reusable, .needs_report_delay = false});
 }
 
 void EndpointConnection::OnReadable(bufferevent*, void* self) {
@@ -211,7 +213,7 @@
   const int error_number = EVUTIL_SOCKET_ERROR();
   auto* connection = static_cast<EndpointConnection*>(self);
   if ((events & BEV_EVENT_CONNECTED) != 0) return connection->OnConnected();
-  if (connection->resumer_.ResumesAfter(events, error_number)) return;
+  if (connection->resumer_.ResumeIfTransient(events, error_number)) return;
   connection->OnClosedByPeer(events);
 }
 
--- a/src/net/endpoint_connection.h
+++ b/src/net/endpoint_connection.h
@@ -1,4 +1,5 @@
-// One connection of the pool to an endpoint: carries one call at a time, and never sends one twice.
+// One connection of the endpoint pool to an endpoint. It carries one call at a time and never sends a call
+// twice. Owned by EndpointPool, used on the event loop's thread.
 #ifndef SAGETALLY_SRC_NET_ENDPOINT_CONNECTION_H_
 #define SAGETALLY_SRC_NET_ENDPOINT_CONNECTION_H_
 
@@ -19,70 +20,81 @@
 
 class EndpointConnection;
 
-// How long a call's end is held back after it was abandoned: the end of its connection must reach the
-// endpoint before the call's place or the message is used again, else the next call counts as one too many,
-// or as a duplicate.
-constexpr Duration kCloseSettleTime = std::chrono::milliseconds(10);
+// The time allowed for the close of a connection to reach the endpoint. The result of a call that ended
+// without a whole response is held back for this long. Otherwise the caller would reuse the call's capacity
+// or retry the message too early, and the endpoint would count the next call as one over its limit, or as a
+// duplicate. It is also the shortest time for which the response to an abandoned call is awaited.
+constexpr Duration kClosePropagationTime = std::chrono::milliseconds(10);
 
-// An endpoint with its connections. Owned by the pool; stays in place while a connection to it is open.
+// An endpoint with its connections. Owned by the pool. Its address in memory does not change while a
+// connection to it is open.
 struct PooledEndpoint {
-  std::string address_text;  // "10.0.0.4:8443"
+  std::string address_text;  // such as "10.0.0.4:8443"
   sockaddr_in address{};
-  std::vector<EndpointConnection*> idle_connections;  // the longest idle first
+  std::vector<EndpointConnection*> idle_connections;  // the one that has been idle longest comes first
   int open_connection_count = 0;
-  bool is_removed = false;  // no endpoint list names it any more
+  bool is_removed = false;  // the current endpoint list does not contain it
 };
 
+// One connection and the call that it carries.
 class EndpointConnection {
  public:
   struct Timeouts {
-    Duration connect{0};
-    Duration idle{0};  // the endpoint's machine closes idle connections after this
+    Duration connect{0};  // from the constructor until the connection is established
+    Duration idle{0};     // after this time the endpoint's machine closes an idle connection
   };
 
-  // What becomes of the connection of a finished call, and when its result may be reported.
-  struct CallEnd {
-    bool is_reusable = false;     // for another call
-    bool needs_settling = false;  // the endpoint may not know yet that the call is over
+  // Tells the owner what to do with the connection of a finished call, and when to report the result.
+  struct CallCompletion {
+    bool is_reusable = false;  // the connection may carry another call
+    // The endpoint may not know yet that the call is over, so its result is to be reported only after
+    // kClosePropagationTime.
+    bool needs_report_delay = false;
   };
 
-  // The pool.
+  // The interface by which a connection reports to the pool that owns it.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // The last byte of a call was written to the socket; once for each call.
+    // Called once for each call, when its last byte was written to the socket.
     virtual void OnCallWritten() = 0;
-    // Once for each call.
-    virtual void OnCallFinished(EndpointConnection& connection, const CallResult& result, CallEnd end) = 0;
-    // The connection is of no further use: Close() it, and free it later.
+    // Called once for each call, with its result.
+    virtual void OnCallFinished(EndpointConnection& connection, const CallResult& result,
+                                CallCompletion completion) = 0;
+    // Called when the connection can't carry another call. The owner must Close() it now and delete it after
+    // this callback has returned.
     virtual void OnUnusable(EndpointConnection& connection) = 0;
   };
 
-  // Starts to connect.
+  // Starts to connect to the endpoint. All references must outlive the connection.
   EndpointConnection(EventLoop& loop, Timeouts timeouts, PooledEndpoint& endpoint, Owner& owner);
   EndpointConnection(const EndpointConnection&) = delete;
   EndpointConnection& operator=(const EndpointConnection&) = delete;
 
   PooledEndpoint& endpoint() { return endpoint_; }
-  // Number of the message whose call it carries or carried last.
+  // The number of the message whose call the connection carries or, when idle, carried last.
   std::uint64_t message_number() const { return message_number_; }
+  // When BecomeIdle() was called last.
   std::chrono::steady_clock::time_point idle_since() const { return idle_since_; }
-  // Whether it may carry another call: it leads to where the endpoint is, and nothing has come that no call
-  // asked for.
+  // Returns whether the connection may carry another call: it was opened to the endpoint's current address,
+  // the endpoint was not removed, and neither bytes nor a close nor a reset have arrived unexpectedly.
   bool IsUsable() const;
-  // Whether the last byte of the call has gone to the socket.
+  // Returns whether the last byte of the call was written to the socket.
   bool IsWritten() const;
 
-  // Writes a call, now or once the connection is up.
+  // Writes a call, at once or when the connection is established.
   void StartCall(const CallRequest& call);
-  // No call uses it from now on.
+  // Marks the connection as idle and starts its idle timer. No call may be in flight.
   void BecomeIdle();
-  // Gives the call up as `outcome`. If it was written, ends our sending and listens for a moment: the
-  // endpoint may have answered already with a time to wait, which binds.
+  // Gives the call up with the result `outcome`, or kConnectFailed if it was not written completely, or kOk
+  // if a status line with 200 was received. If the call was written, shuts down the sending side and reads
+  // for a short time, because the endpoint may already have sent a response whose retry-after time must be
+  // observed.
   void AbandonCall(Outcome outcome);
-  // Ends the call at once, without a whole response.
+  // Ends the call at once with the result `outcome`, or with kOk if a status line with 200 was received.
   void FinishWithoutResponse(Outcome outcome);
-  // Closes the socket. Safe within the connection's own callbacks, unlike its destructor.
+  // Closes the socket and stops all timers. Safe to call within the connection's own callbacks, unlike the
+  // destructor.
   void Close();
 
  private:
@@ -98,7 +110,7 @@
   void ReportWritten();
   void FinishWithResponse();
   void OnInvalidResponse();
-  void FinishCall(CallResult result, CallEnd end);
+  void FinishCall(CallResult result, CallCompletion completion);
   bool NothingReceived() const;
   evbuffer* input() const { return bufferevent_get_input(buffers_.get()); }
   evbuffer* output() const { return bufferevent_get_output(buffers_.get()); }
@@ -107,32 +119,32 @@
   Owner& owner_;
   PooledEndpoint& endpoint_;
   const Timeouts timeouts_;
-  const std::string address_text_;  // where it was opened to
-  BufferEventPtr buffers_;          // null once closed
+  const std::string opened_address_;  // the address to which the connection was opened
+  BufferEventPtr buffers_;            // null once closed
   TransferResumer resumer_;
   Timer connect_timer_;
-  Timer connect_again_timer_;
+  Timer connect_retry_timer_;
   Timer call_timer_;
-  Timer listen_timer_;  // for a response after the call was abandoned
+  Timer late_response_timer_;  // ends the wait for a response after the call was abandoned
   Timer idle_timer_;
-  Timer write_timer_;  // for the time in which the call may be written
+  Timer write_timer_;  // fires at write_deadline_
   ResponseReader reader_;
   std::uint64_t message_number_ = 0;
-  int connect_tries_ = 0;
+  int connect_attempts_ = 0;
   bool has_call_ = false;
   bool is_connected_ = false;
   bool is_write_reported_ = false;
-  // An endpoint may refuse a connection for good with 503, so one that brought no other response is not used
-  // again.
+  // A response other than 503 was received. An endpoint may answer every request on a connection with 503, so
+  // a connection on which only 503 came is not used again.
   bool is_accepted_by_endpoint_ = false;
-  // The endpoint sent something before the call's last byte had left, which never follows then: the call has
-  // not run, and what was sent can only have rejected it.
+  // The endpoint sent bytes before the call's last byte was written. The rest of the call is then never sent,
+  // so the call has not run, and the response can only have rejected it.
   bool responded_early_ = false;
-  std::optional<Outcome> abandoned_as_;
-  Duration round_trip_time_{0};  // as long as the connection took to come up
-  std::string unsent_call_;      // while the connection comes up
+  std::optional<Outcome> abandoned_as_;  // the outcome passed to AbandonCall()
+  Duration round_trip_time_{0};          // estimated by the time in which the connection was established
+  std::string unsent_call_;              // the encoded call, until the connection is established
   std::chrono::steady_clock::time_point opened_at_;
-  std::chrono::steady_clock::time_point write_deadline_;
+  std::chrono::steady_clock::time_point write_deadline_;  // the call's last byte is not written after this
   std::chrono::steady_clock::time_point idle_since_;
 };
 
--- a/src/net/endpoint_list_watcher.cpp
+++ b/src/net/endpoint_list_watcher.cpp
@@ -15,36 +15,42 @@
 
 using std::chrono::milliseconds;
 
-// What discovery has counts as announced after 6 s, and a drain binds 2 s later. A line comes every 2 s, so
-// silence is noticed after 3 s. Until then there is time for one request and, unless hundreds of dispatchers
-// share discovery, for a second one, as the first may be rejected late or never be answered:
-// 3 + 2.2 + 0.6 + 2.2 s.
+// A change counts as announced 6 s after discovery has it, and a drain takes effect 2 s later, so a
+// dispatcher must receive it within 8 s. Discovery sends a line at least every 2 s, so a watch that is silent
+// for 3 s is taken for lost. The remaining time is enough for one request. Unless hundreds of dispatchers
+// share discovery, it is also enough for a second request, which is needed if the first one is rejected late
+// or never answered: 3 s of silence + 2.2 s for a request + 0.6 s of delay + 2.2 s for a request.
 constexpr Duration kMaxSilence = milliseconds(3000);
-constexpr Duration kResponseTimeout = milliseconds(1000);           // the agent answers at once
-constexpr Duration kOnRequestResponseTimeout = milliseconds(2200);  // discovery rejects after up to 2 s
+// Where lists are pushed, an agent on this machine sends them, and it answers a request at once.
+constexpr Duration kResponseTimeout = milliseconds(1000);
+// Where lists are sent on request, discovery may take up to 2 s to reject a request.
+constexpr Duration kOnRequestResponseTimeout = milliseconds(2200);
 constexpr Duration kRetryDelay = milliseconds(200);
-// Where lists are sent on request, discovery itself serves all dispatchers: together they come again no
-// sooner than so many of them would after kRetryDelay.
+// Where lists are sent on request, discovery itself serves all dispatchers. In a larger fleet than this, the
+// bound of the first delay grows with the number of dispatchers, so that all of them together make no more
+// requests than this many with the bound kRetryDelay.
 constexpr int kSmallFleetSize = 4;
 // The longest delay between two requests, however many dispatchers there are and however often discovery has
-// rejected: one that waits for as long when discovery comes back still receives a drain before it binds.
+// rejected requests. A dispatcher that has just begun this delay when discovery becomes available again still
+// receives a drain before the drain takes effect.
 constexpr Duration kMaxBackoff = milliseconds(5000);
-constexpr int kMaxBackoffFactor = 3;  // of the first delay, after failures in a row
-// A revision older than ours may come from another discovery, to which we were moved and which lags behind.
-// If it is still older after this time, discovery has begun to count anew; what it had at the move counts as
-// announced 4 s after it.
-constexpr Duration kOlderRevisionPatience = milliseconds(4000);
+constexpr int kMaxBackoffFactor = 3;  // the bound of the delay grows up to this multiple of its initial value
+// An older revision than the known one may come from another discovery to which the watch was moved and which
+// lags behind. If the revision is still older after this time, discovery has restarted its revision numbers.
+// What discovery had at the time of the move counts as announced 4 s after the move.
+constexpr Duration kOlderRevisionTimeout = milliseconds(4000);
 constexpr std::size_t kMaxListBytes = 4 * 1024 * 1024;
 constexpr std::size_t kMaxReadAheadBytes = 1024 * 1024;
 constexpr int kOk = 200;
 
-Duration FirstBackoff(int dispatcher_count) {
+// Returns the bound of the delay after the first failure.
+Duration InitialBackoff(int dispatcher_count) {
   return std::clamp<Duration>(kRetryDelay * dispatcher_count / kSmallFleetSize, kRetryDelay, kMaxBackoff);
 }
 
 Backoff NewBackoff(int dispatcher_count, std::uint64_t seed) {
-  const Duration first = FirstBackoff(dispatcher_count);
-  return {first, std::min(kMaxBackoffFactor * first, kMaxBackoff), seed};
+  const Duration initial = InitialBackoff(dispatcher_count);
+  return {initial, std::min(kMaxBackoffFactor * initial, kMaxBackoff), seed};
 }
 
 }  // namespace
@@ -80,7 +86,8 @@
   evhttp_request_set_header_cb(request, OnHeaders);
   evhttp_request_set_chunked_cb(request, OnChunkReceived);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", discovery_.host.c_str());
-  // Discovery that serves many dispatchers has a queue: giving up sooner would lose the place in it.
+  // A discovery that serves many dispatchers queues their requests. A shorter timeout would lose the
+  // request's place in the queue.
   silence_timer_.Schedule(site_.policy.endpoint_list_on_request ? kOnRequestResponseTimeout
                                                                 : kResponseTimeout);
   const std::string target = "/v1/servers?watch=1&after=" + std::to_string(revision_);
@@ -95,19 +102,21 @@
   StartWatch();
 }
 
-// Once for each connection.
+// Gives the watch up and schedules the next request. Only the first call for a connection has an effect.
 void EndpointListWatcher::OnWatchLost(const char* reason) {
   if (std::exchange(is_lost_, true)) return;
   log_.Warn("discovery.lost", {{"reason", reason}, {"revision", revision_}});
   silence_timer_.Stop();
   bufferevent_disable(evhttp_connection_get_bufferevent(connection_.get()), EV_READ);
-  // Pushed lists come from an agent on this machine, at no cost. Discovery that hundreds of dispatchers ask
-  // five times a second each rejects nearly all of them for as long as they go on.
+  // Pushed lists come from an agent on this machine, which requests do not burden. A discovery that serves
+  // hundreds of dispatchers would reject nearly all of their requests for as long as each of them sent five a
+  // second.
   retry_timer_.Schedule(site_.policy.endpoint_list_on_request ? backoff_.NextDelay() : kRetryDelay);
 }
 
 int EndpointListWatcher::OnHeaders(evhttp_request* request, void* self) {
-  // Where nothing has changed since our revision, the first line may be an empty one, later.
+  // Headers count as a sign of life. If nothing has changed since the known revision, the first line comes
+  // only later and may be empty.
   if (evhttp_request_get_response_code(request) == kOk) {
     static_cast<EndpointListWatcher*>(self)->OnLineReceived();
   }
@@ -119,7 +128,7 @@
   evbuffer* input = evhttp_request_get_input_buffer(request);
   std::string text(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, text.data(), text.size());
-  const bool is_ok = evhttp_request_get_response_code(request) == kOk;  // else it is the text of an error
+  const bool is_ok = evhttp_request_get_response_code(request) == kOk;  // otherwise it is an error message
   if (is_ok && !watcher->is_lost_) watcher->OnChunk(text);
 }
 
@@ -129,22 +138,22 @@
   };
   const bool is_valid = stream_.Add(text, on_list, [this] { OnLineReceived(); });
   if (is_valid || is_lost_) return;
-  log_.Warn("discovery.unreadable", {{"reason", "no list of endpoints"}});
+  log_.Warn("discovery.unreadable", {{"reason", "not an endpoint list"}});
   OnWatchLost("unreadable");
 }
 
-// The watch is alive.
+// A line or the headers show that the watch is alive.
 void EndpointListWatcher::OnLineReceived() {
   if (!is_lost_) silence_timer_.Schedule(kMaxSilence);
 }
 
-// A list that can't be read changes nothing. What it had counts as announced all the same, so the watch is
-// made again after the revision that we have.
+// A malformed list is not applied. Its changes count as announced all the same, so the watch is requested
+// again from the known revision on.
 void EndpointListWatcher::OnListReceived(const std::string& text) {
   EndpointListUpdate update;
   try {
     json::Value value;
-    if (parser_.parse(text).get(value) != simdjson::SUCCESS) json::Malformed("no JSON");
+    if (parser_.parse(text).get(value) != simdjson::SUCCESS) json::Malformed("not valid JSON");
     update = ReadEndpointList(value, site_);
   } catch (const std::exception& error) {
     log_.Warn("discovery.unreadable", {{"reason", error.what()}});
@@ -152,11 +161,12 @@
   }
   OnLineReceived();
   if (update.revision < revision_ && !accepts_older_revision_) {
-    // It would bring back endpoints that are draining. Its changes up to our revision come by
-    // themselves, or never.
+    // An older list would put draining endpoints back into service. A discovery that lags behind sends the
+    // changes up to the known revision without a further request, and one that has restarted its revision
+    // numbers never does.
     if (older_revision_timer_.is_pending()) return;
     log_.Warn("discovery.behind", {{"revision", update.revision}, {"known_revision", revision_}});
-    return older_revision_timer_.Schedule(kOlderRevisionPatience);
+    return older_revision_timer_.Schedule(kOlderRevisionTimeout);
   }
   older_revision_timer_.Stop();
   accepts_older_revision_ = false;
--- a/src/net/endpoint_list_watcher.h
+++ b/src/net/endpoint_list_watcher.h
@@ -1,4 +1,4 @@
-// Follows the service discovery's list of endpoints.
+// Follows the endpoint list of the service discovery by a watch request. Used on the event loop's thread.
 #ifndef SAGETALLY_SRC_NET_ENDPOINT_LIST_WATCHER_H_
 #define SAGETALLY_SRC_NET_ENDPOINT_LIST_WATCHER_H_
 
@@ -14,22 +14,22 @@
 
 namespace sagetally {
 
-// A watch request that is always open and, when it is lost, is made again after the last revision received.
-// Whatever becomes of one request, a change that discovery has is received before it binds: it counts as
-// announced 6 s after discovery has it, and an endpoint that drains then has a grace period. On the event
-// loop's thread.
+// Keeps a watch request open. When the watch is lost, requests a new one from the last received revision on.
+// A change must be received before it takes effect even if one request fails: it counts as announced 6 s
+// after discovery has it, and an endpoint that drains has a grace period after that.
 class EndpointListWatcher {
  public:
-  // `known_revision`: of the list that the caller has already. `backoff_seed`: for the delays between two
-  // requests. Calls `on_update` for each update, in the order of revisions. `site` must outlive this.
+  // Starts the watch at the address `discovery`. `known_revision` is the revision of the list that the caller
+  // already has. `backoff_seed` seeds the random delays between requests. Calls `on_update` for each update
+  // in the order of receipt. `loop`, `site` and `log` must outlive the watcher.
   EndpointListWatcher(EventLoop& loop, const Address& discovery, const SiteSettings& site,
                       std::int64_t known_revision, std::uint64_t backoff_seed,
                       std::function<void(const EndpointListUpdate&)> on_update, Logger& log);
   ~EndpointListWatcher();
 
-  // Of the last update.
+  // The revision of the last update, or else the known revision.
   std::int64_t revision() const { return revision_; }
-  // Goes on at another address, after the revision received last.
+  // Continues the watch at another address, from the last received revision on.
   void ChangeAddress(const Address& discovery);
 
  private:
@@ -51,8 +51,8 @@
   simdjson::dom::parser parser_;
   JsonStream stream_;
   ConnectionPtr connection_;
-  bool is_lost_ = false;  // what this connection still brings is ignored
-  // Discovery has begun to count its revisions anew.
+  bool is_lost_ = false;  // the watch was lost; further bytes of its connection are ignored
+  // Discovery has restarted its revision numbers, so the next list is accepted whatever its revision.
   bool accepts_older_revision_ = false;
   Backoff backoff_;
   Timer silence_timer_;
--- a/src/net/endpoint_pool.cpp
+++ b/src/net/endpoint_pool.cpp
@@ -13,7 +13,7 @@
       limits_(limits),
       on_result_(std::move(on_result)),
       immediate_timer_(loop, [this] { ReportImmediateResults(); }),
-      settling_timer_(loop, [this] { ReportSettledResults(); }),
+      delayed_timer_(loop, [this] { ReportDelayedResults(); }),
       closed_connections_(loop) {}
 
 EndpointPool::~EndpointPool() = default;
@@ -41,7 +41,8 @@
   }
 }
 
-// A call that is still connecting would be written when the connection comes up, however late.
+// Ends the calls to `endpoint` that were not written completely. A call whose connection is not established
+// yet would otherwise be written when it is, however late that may be.
 void EndpointPool::CancelUnsentCallsTo(const PooledEndpoint& endpoint) {
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, connection] : connections_by_message_) {
@@ -51,24 +52,25 @@
 }
 
 void EndpointPool::StartCall(const CallRequest& call) {
-  CallResult not_started;
-  not_started.message_number = call.message_number;
-  not_started.outcome = Outcome::kConnectFailed;
+  CallResult connect_failed;
+  connect_failed.message_number = call.message_number;
+  connect_failed.outcome = Outcome::kConnectFailed;
   const auto found = endpoints_.find(call.endpoint);
   if (found == endpoints_.end() || connections_by_message_.contains(call.message_number)) {
-    return ReportSoon(not_started);
+    return ReportSoon(connect_failed);
   }
   PooledEndpoint& endpoint = found->second;
   EndpointConnection* connection = TakeIdleConnection(endpoint);
   if (connection == nullptr) {
-    if (!HasCapacity(endpoint)) return ReportSoon(not_started);
+    if (!HasCapacity(endpoint)) return ReportSoon(connect_failed);
     connection = OpenConnection(endpoint);
   }
   connections_by_message_[call.message_number] = connection;
   connection->StartCall(call);
 }
 
-// The one that became idle last, of those that are usable; closes the others that it meets.
+// Returns the usable connection that became idle last, or null if there is none. Closes the unusable ones
+// that it finds on the way.
 EndpointConnection* EndpointPool::TakeIdleConnection(PooledEndpoint& endpoint) {
   while (!endpoint.idle_connections.empty()) {
     EndpointConnection* connection = endpoint.idle_connections.back();
@@ -81,13 +83,15 @@
   return nullptr;
 }
 
-// Whether a connection may be opened to the endpoint; closes an idle one elsewhere if need be.
+// Returns whether a connection may be opened to the endpoint. Closes an idle connection to any endpoint if
+// the limit of all connections is reached.
 bool EndpointPool::HasCapacity(const PooledEndpoint& endpoint) {
-  return endpoint.open_connection_count < limits_.max_connections_per_endpoint && MakeCapacity();
+  return endpoint.open_connection_count < limits_.max_connections_per_endpoint && EnsureConnectionSlot();
 }
 
-// At the limit of all connections, the one that has been idle longest, to any endpoint, gives way.
-bool EndpointPool::MakeCapacity() {
+// At the limit of all connections, closes the one that has been idle longest, to whatever endpoint. Returns
+// false if the limit is reached and none is idle.
+bool EndpointPool::EnsureConnectionSlot() {
   if (connections_.size() < limits_.max_connections) return true;
   EndpointConnection* longest_idle = nullptr;
   for (const auto& [name, endpoint] : endpoints_) {
@@ -144,42 +148,43 @@
 }
 
 void EndpointPool::OnCallFinished(EndpointConnection& connection, const CallResult& result,
-                                  EndpointConnection::CallEnd end) {
+                                  EndpointConnection::CallCompletion completion) {
   connections_by_message_.erase(connection.message_number());
-  if (end.is_reusable && !is_shutting_down_ && connection.IsUsable()) {
+  if (completion.is_reusable && !is_shutting_down_ && connection.IsUsable()) {
     connection.BecomeIdle();
     connection.endpoint().idle_connections.push_back(&connection);
   } else {
     CloseConnection(connection);
   }
-  if (end.needs_settling) {
-    ReportSettled(result);
+  if (completion.needs_report_delay) {
+    ReportDelayed(result);
   } else {
     ReportSoon(result);
   }
 }
 
-// From a timer even though there is nothing to wait for: the caller may be in the middle of its work.
+// Reports the result from a timer although no delay is needed, because the caller may be in the middle of a
+// state change.
 void EndpointPool::ReportSoon(const CallResult& result) {
   immediate_results_.push_back(result);
   immediate_timer_.Schedule(Duration(0));
 }
 
-void EndpointPool::ReportSettled(const CallResult& result) {
-  settling_results_.push_back({std::chrono::steady_clock::now() + kCloseSettleTime, result});
-  if (!settling_timer_.is_pending()) settling_timer_.Schedule(kCloseSettleTime);
+void EndpointPool::ReportDelayed(const CallResult& result) {
+  delayed_results_.push_back({std::chrono::steady_clock::now() + kClosePropagationTime, result});
+  if (!delayed_timer_.is_pending()) delayed_timer_.Schedule(kClosePropagationTime);
 }
 
 void EndpointPool::ReportImmediateResults() {
   for (const CallResult& result : std::exchange(immediate_results_, {})) on_result_(result);
 }
 
-void EndpointPool::ReportSettledResults() {
-  while (!settling_results_.empty()) {
-    const auto wait = settling_results_.front().report_at - std::chrono::steady_clock::now();
-    if (wait > wait.zero()) return settling_timer_.Schedule(std::chrono::ceil<Duration>(wait));
-    const CallResult result = settling_results_.front().result;
-    settling_results_.pop_front();
+void EndpointPool::ReportDelayedResults() {
+  while (!delayed_results_.empty()) {
+    const auto wait = delayed_results_.front().report_at - std::chrono::steady_clock::now();
+    if (wait > wait.zero()) return delayed_timer_.Schedule(std::chrono::ceil<Duration>(wait));
+    const CallResult result = delayed_results_.front().result;
+    delayed_results_.pop_front();
     on_result_(result);
   }
 }
--- a/src/net/endpoint_pool.h
+++ b/src/net/endpoint_pool.h
@@ -1,8 +1,9 @@
-// Calls to endpoints over persistent connections: one call at a time on each, none sent twice.
+// Makes calls to endpoints over persistent connections. Each connection carries one call at a time, and no
+// call is sent twice.
 //
-// evhttp of libevent 2.1 can't serve here: it reports nothing of a response whose status line says 200 and
-// whose rest is malformed, takes any 1xx but 100 for the response, and reads what follows one response as the
-// next.
+// The pool does not use libevent 2.1's evhttp for three reasons. evhttp reports nothing about a response
+// whose status line says 200 and whose rest is malformed. It takes any 1xx response but 100 for the final
+// one. It reads bytes that follow a response as the response to the next request.
 #ifndef SAGETALLY_SRC_NET_ENDPOINT_POOL_H_
 #define SAGETALLY_SRC_NET_ENDPOINT_POOL_H_
 
@@ -22,62 +23,71 @@
 
 namespace sagetally {
 
-// All on the event loop's thread. Results are reported from the loop, never from within a member function.
+// Owns the connections to all endpoints. Used on the event loop's thread only. Results are reported in a
+// later callback of the loop, never within a call of a member function.
 class EndpointPool : public EndpointClient, private EndpointConnection::Owner {
  public:
   struct Limits {
     Duration connect_timeout{0};
-    Duration idle_timeout{0};  // the endpoint's machine closes idle connections after this
+    Duration idle_timeout{0};  // after this time the endpoint's machine closes an idle connection
     int max_connections_per_endpoint = 1;
-    std::size_t max_connections = 64;  // each takes a descriptor
+    std::size_t max_connections = 64;  // of all endpoints; each takes a file descriptor
   };
 
-  // `on_result` is called once for each StartCall().
+  // `on_result` is called once for each StartCall(), with the call's result.
   EndpointPool(EventLoop& loop, Limits limits, std::function<void(const CallResult&)> on_result);
   ~EndpointPool() override;
 
-  // The result is kConnectFailed if the endpoint is unknown, the message already has a call in flight, or all
-  // connections are busy.
+  // Starts a call. The result is kConnectFailed if the endpoint is unknown, the message already has a call in
+  // flight, or all connections are busy.
   void StartCall(const CallRequest& call) override;
-  // Gives a call up as kCancelled, or kConnectFailed if it was not written.
+  // Gives up the call of the message with this number. The result is kCancelled, or kConnectFailed if the
+  // call was not written completely.
   void CancelCall(std::uint64_t number) override;
-  // Ends a call whose last byte was not written as kNotSent; leaves others alone.
+  // Ends the call of the message with this number with the result kNotSent if its last byte was not written.
+  // Does nothing otherwise.
   void CancelCallIfUnsent(std::uint64_t number) override;
+  // Closes the connections to an endpoint that carry no call.
   void CloseIdleConnections(const std::string& endpoint) override;
-  // Adds or changes an endpoint. Throws std::runtime_error if its address is malformed. Calls in flight stay
-  // where they are when it moves; unsent ones end as kNotSent unless it is up.
+  // Adds or changes an endpoint. When its address changes, idle connections to the old address are closed,
+  // and calls in flight stay on theirs. When its state is not up, calls that were not written completely end
+  // with the result kNotSent. Throws std::runtime_error if the address is malformed.
   void UpdateEndpoint(const EndpointUpdate& update) override;
+  // Removes an endpoint. Calls to it that were not written completely end with the result kNotSent; the
+  // others go on.
   void RemoveEndpoint(const std::string& endpoint) override;
-  // The last byte of a call was written; may be empty.
+  // Called when the last byte of a call was written. May be empty.
   std::function<void()> on_call_written;
-  // No calls come any more: connections close as soon as they are idle.
+  // Closes idle connections now, and the others as soon as their calls are finished. To be called when no
+  // further calls are expected.
   void Shutdown();
-  // No result is owed.
+  // Returns whether every call that was started has been reported.
   bool is_idle() const {
-    return connections_by_message_.empty() && immediate_results_.empty() && settling_results_.empty();
+    return connections_by_message_.empty() && immediate_results_.empty() && delayed_results_.empty();
   }
+  // The number of known endpoints, including removed ones with open connections.
   std::size_t endpoint_count() const { return endpoints_.size(); }
 
  private:
-  struct SettlingResult {
+  struct DelayedResult {
     std::chrono::steady_clock::time_point report_at;
     CallResult result;
   };
 
   void OnCallWritten() override;
   void OnCallFinished(EndpointConnection& connection, const CallResult& result,
-                      EndpointConnection::CallEnd end) override;
+                      EndpointConnection::CallCompletion completion) override;
   void OnUnusable(EndpointConnection& connection) override { CloseConnection(connection); }
 
   EndpointConnection* OpenConnection(PooledEndpoint& endpoint);
   EndpointConnection* TakeIdleConnection(PooledEndpoint& endpoint);
   bool HasCapacity(const PooledEndpoint& endpoint);
-  bool MakeCapacity();
+  bool EnsureConnectionSlot();
   void CancelUnsentCallsTo(const PooledEndpoint& endpoint);
   void ReportSoon(const CallResult& result);
-  void ReportSettled(const CallResult& result);
+  void ReportDelayed(const CallResult& result);
   void ReportImmediateResults();
-  void ReportSettledResults();
+  void ReportDelayedResults();
   void CloseConnection(EndpointConnection& connection);
 
   EventLoop& loop_;
@@ -85,12 +95,13 @@
   std::function<void(const CallResult&)> on_result_;
   std::map<std::string, PooledEndpoint> endpoints_;
   std::map<EndpointConnection*, std::unique_ptr<EndpointConnection>> connections_;
-  std::map<std::uint64_t, EndpointConnection*> connections_by_message_;  // by number, of calls in flight
+  std::map<std::uint64_t, EndpointConnection*>
+      connections_by_message_;  // of calls in flight, by message number
   std::vector<CallResult> immediate_results_;
-  std::deque<SettlingResult> settling_results_;  // the earliest first
+  std::deque<DelayedResult> delayed_results_;  // in the order of report_at
   bool is_shutting_down_ = false;
   Timer immediate_timer_;
-  Timer settling_timer_;
+  Timer delayed_timer_;
   DeferredDeleter<EndpointConnection> closed_connections_;
 };
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -8,10 +8,10 @@
 namespace sagetally {
 namespace {
 
-constexpr int kPriorityCount = 2;  // of EventPriority
-// A round of normal events is interrupted after this time, to look for urgent ones.
+constexpr int kPriorityCount = 2;  // the number of values of EventPriority
+// While normal events run, the loop checks for urgent ones after this time (in seconds and microseconds) or
+// after this many callbacks, whichever comes first.
 constexpr timeval kMaxDispatchInterval{0, 20'000};
-// ... and after this many callbacks.
 constexpr int kMaxDispatchCallbacks = 64;
 
 void InvokeFunction(evutil_socket_t, short, void* function) {
@@ -20,7 +20,8 @@
 
 event_base* NewEventBase() {
   const std::unique_ptr<event_config, Free<event_config_free>> config(event_config_new());
-  event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);  // else timers are up to 5 ms late
+  event_config_set_flag(config.get(),
+                        EVENT_BASE_FLAG_PRECISE_TIMER);  // otherwise timers fire up to 5 ms late
   event_config_set_max_dispatch_interval(config.get(), &kMaxDispatchInterval, kMaxDispatchCallbacks,
                                          static_cast<int>(EventPriority::kNormal));
   event_base* base = event_base_new_with_config(config.get());
@@ -31,7 +32,7 @@
 }  // namespace
 
 EventLoop::EventLoop() : base_(NewEventBase()) {
-  if (!base_) throw std::runtime_error("no event loop");
+  if (!base_) throw std::runtime_error("libevent can't create an event loop");
 }
 
 EventPtr StartReadEvent(EventLoop& loop, evutil_socket_t descriptor, event_callback_fn callback,
@@ -46,8 +47,9 @@
     : on_fired_(std::move(on_fired)), event_(evtimer_new(loop.base(), InvokeFunction, &on_fired_)) {}
 
 void Timer::Schedule(Duration delay) {
-  // Counted from now. libevent counts from when this round of the loop began, so that a timer set late in a
-  // long round fires early or, if nothing else wakes the loop, late.
+  // libevent counts a delay from its cached time, which is the beginning of the loop's iteration. Without
+  // this update, a timer scheduled late in a long iteration fires early or, if nothing else wakes the loop,
+  // late.
   event_base_update_cache_time(event_get_base(event_.get()));
   const auto microseconds = std::max<std::int64_t>(0, delay.count());
   const timeval wait{static_cast<time_t>(microseconds / 1'000'000),
--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -16,10 +16,10 @@
 
 constexpr std::size_t kReceiveBufferBytes = 2048;
 
-// Throws std::runtime_error.
+// Parses an address such as "10.0.0.4:8443". Throws std::runtime_error if it is malformed.
 sockaddr_in ParseSocketAddress(const std::string& text) {
   const std::optional<sockaddr_in> address = ToSocketAddress(ParseAddress(text, "peers"));
-  if (!address) json::Malformed("peers: no address");
+  if (!address) json::Malformed("peers: not an IPv4 address");
   return *address;
 }
 
--- a/src/net/gossip_transport.h
+++ b/src/net/gossip_transport.h
@@ -1,4 +1,5 @@
-// Short messages between dispatchers, over UDP.
+// Sends and receives short gossip messages between dispatchers over UDP. Messages may be lost. Used on the
+// event loop's thread.
 #ifndef SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
 #define SAGETALLY_SRC_NET_GOSSIP_TRANSPORT_H_
 
@@ -11,23 +12,25 @@
 
 namespace sagetally {
 
-// Does nothing if the configuration names no address to listen at. Messages may be lost. On the event loop's
-// thread.
+// Owns the UDP socket. Without a `peer_listen` address in the configuration there is no socket, and nothing
+// is sent or received.
 class GossipTransport {
  public:
-  static constexpr std::size_t kMaxMessageBytes = 256;  // of a message; the platform forbids longer ones
+  // The platform forbids longer messages.
+  static constexpr std::size_t kMaxMessageBytes = 256;
 
-  // `inherited`: the bound socket of another process, used if there is one. `config` must outlive this.
+  // Calls `on_message` for each message from a configured peer. `inherited` is the bound socket of another
+  // process; if it is open it is used instead of a new one. `loop` and `config` must outlive the transport.
   // Throws ListenError, or std::runtime_error if an address is malformed.
   GossipTransport(EventLoop& loop, const Config& config,
                   std::function<void(const GossipReceived&)> on_message,
                   FileDescriptor inherited = FileDescriptor());
   ~GossipTransport();
 
-  // Of the socket; -1 without one. Stays this object's.
+  // The socket's file descriptor, which stays owned by this object; -1 without a socket.
   int descriptor() const { return socket_.get(); }
-  // Sends to all dispatchers. False if the message is too long, could not be sent or there is nobody to send
-  // it to.
+  // Sends a message to all dispatchers by the broadcast address. Returns false if the message is longer than
+  // kMaxMessageBytes or could not be sent, or if no broadcast address or socket is configured.
   bool Broadcast(const std::string& body);
 
  private:
--- a/src/net/handover_channel.cpp
+++ b/src/net/handover_channel.cpp
@@ -22,16 +22,17 @@
 namespace sagetally {
 namespace {
 
-// A packet goes in parts: kind, a byte that is 1 if more parts follow, and up to kMaxPartBytes bytes.
+// A packet is sent in parts. Each part has the packet's kind, a byte that is 1 if more parts follow, and up
+// to kMaxPartBytes bytes of data.
 constexpr std::size_t kPartHeadBytes = 2;
 constexpr std::size_t kMaxPartBytes = 32 * 1024;  // well below the size of a socket's buffer
 constexpr std::size_t kMaxPacketBytes = 64 * 1024 * 1024;
-constexpr timeval kSendTimeout{0, 500'000};
+constexpr timeval kSendTimeout{0, 500'000};  // seconds, microseconds
 constexpr int kBacklog = 4;
-constexpr int kMaxSendTries = 20;  // of one part, over errors that pass
+constexpr int kMaxSendAttempts = 20;  // of one part, after transient errors
 
-// The socket's address by the folder's descriptor, as the folder's path may be longer than the 107 bytes of a
-// Unix socket's name.
+// Returns the address of the socket `name` in `folder`. It names the folder by its descriptor, because the
+// folder's path may be longer than the 107 bytes that a Unix socket's address can hold.
 sockaddr_un AddressIn(const FileDescriptor& folder, const std::string& name) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -63,8 +64,9 @@
   std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
 }
 
-// Moves the descriptors that came with a message to `descriptor`; only the last one stays open.
-void TakeDescriptor(msghdr& message, FileDescriptor& descriptor) {
+// Stores the descriptor that came with a message in `descriptor`. If there are several, the last one is kept
+// and the others are closed.
+void ReceiveDescriptor(msghdr& message, FileDescriptor& descriptor) {
   for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
     int received = -1;
@@ -95,7 +97,7 @@
     if (!is_open()) return false;
     const std::string_view part = bytes.substr(0, kMaxPartBytes);
     bytes.remove_prefix(part.size());
-    const int part_descriptor = std::exchange(fd, -1);  // goes with the first part
+    const int part_descriptor = std::exchange(fd, -1);  // sent with the first part only
     if (!SendPart(kind, !bytes.empty(), part, part_descriptor)) {
       Close();
       return false;
@@ -112,8 +114,8 @@
   message.msg_iovlen = std::size(pieces);
   DescriptorMessage control;
   if (fd >= 0) AttachDescriptor(message, control, fd);
-  // EAGAIN is the end of kSendTimeout: the other process does not read.
-  for (int i = 0; i < kMaxSendTries; ++i) {
+  // EAGAIN means that kSendTimeout has passed because the other process does not read.
+  for (int i = 0; i < kMaxSendAttempts; ++i) {
     if (::sendmsg(socket_.get(), &message, MSG_NOSIGNAL) >= 0) return true;
     const bool is_short_of_memory = errno == ENOBUFS || errno == ENOMEM;
     if (errno != EINTR && !is_short_of_memory) return false;
@@ -122,7 +124,7 @@
   return false;
 }
 
-// Appends the part that comes next, if one has come, to `packet`.
+// Appends the next part to `packet` if one has arrived. Does not block.
 HandoverChannel::PartResult HandoverChannel::ReceivePart(Packet& packet) {
   std::vector<char> buffer(kPartHeadBytes + kMaxPartBytes);
   iovec piece{buffer.data(), buffer.size()};
@@ -134,25 +136,25 @@
   message.msg_controllen = sizeof control.bytes;
   const ssize_t size = ::recvmsg(socket_.get(), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
   if (size < 0 && IsTransientSocketError(errno)) return PartResult::kNothing;
-  if (size >= 0) TakeDescriptor(message, packet.fd);
+  if (size >= 0) ReceiveDescriptor(message, packet.fd);
   const auto part_bytes = static_cast<std::size_t>(std::max<ssize_t>(size, 0));
-  if (part_bytes < kPartHeadBytes || (message.msg_flags & MSG_TRUNC) != 0) return PartResult::kEnded;
+  if (part_bytes < kPartHeadBytes || (message.msg_flags & MSG_TRUNC) != 0) return PartResult::kClosed;
   packet.kind = buffer[0];
   const bool has_more = buffer[1] != 0;
   packet.bytes.append(buffer.data() + kPartHeadBytes, part_bytes - kPartHeadBytes);
-  if (packet.bytes.size() > kMaxPacketBytes) return PartResult::kEnded;
+  if (packet.bytes.size() > kMaxPacketBytes) return PartResult::kClosed;
   return has_more ? PartResult::kMoreParts : PartResult::kWholePacket;
 }
 
-std::optional<Packet> HandoverChannel::Receive(Duration within) {
-  const auto deadline = std::chrono::steady_clock::now() + within;
+std::optional<Packet> HandoverChannel::Receive(Duration timeout) {
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
   while (is_open()) {
     switch (ReceivePart(partial_packet_)) {
       case PartResult::kWholePacket:
         return std::exchange(partial_packet_, Packet());
       case PartResult::kMoreParts:
         continue;
-      case PartResult::kEnded:
+      case PartResult::kClosed:
         Close();
         return std::nullopt;
       case PartResult::kNothing:
@@ -168,18 +170,18 @@
 }
 
 void HandoverChannel::StartReceiving(EventLoop& loop, std::function<void(Packet)> on_packet,
-                                     std::function<void()> on_ended) {
+                                     std::function<void()> on_closed) {
   on_packet_ = std::move(on_packet);
-  on_ended_ = std::move(on_ended);
+  on_closed_ = std::move(on_closed);
   read_event_ = StartReadEvent(loop, socket_.get(), OnSocketReadable, this);
 }
 
 void HandoverChannel::OnSocketReadable(evutil_socket_t, short, void* self) {
   auto* channel = static_cast<HandoverChannel*>(self);
   const PartResult result = channel->ReceivePart(channel->partial_packet_);
-  if (result == PartResult::kEnded) {
+  if (result == PartResult::kClosed) {
     channel->Close();
-    channel->on_ended_();
+    channel->on_closed_();
   } else if (result == PartResult::kWholePacket) {
     channel->on_packet_(std::exchange(channel->partial_packet_, Packet()));
   }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -12,7 +12,8 @@
 namespace sagetally {
 namespace {
 
-constexpr std::size_t kMaxResponseBytes = 64 * 1024 * 1024;  // a registry's list of all applications
+constexpr std::size_t kMaxResponseBytes =
+    64 * 1024 * 1024;  // enough for a registry's list of all applications
 
 void ReadResponse(evhttp_request* request, HttpResult& result) {
   evbuffer* input = evhttp_request_get_input_buffer(request);
@@ -26,11 +27,12 @@
 
 }  // namespace
 
+// A request in flight, its connection and its timeout.
 class HttpClient::PendingCall {
  public:
-  PendingCall(HttpClient& client, const Address& address, ResultCallback done)
+  PendingCall(HttpClient& client, const Address& address, ResultCallback on_result)
       : client_(client),
-        done_(std::move(done)),
+        on_result_(std::move(on_result)),
         connection_(OpenHttpConnection(client.loop_, address, {kMaxResponseBytes, kMaxResponseBytes})),
         write_observer_(connection_.get(), [] {}),
         timer_(client.loop_, [this] { OnTimeout(); }) {}
@@ -40,7 +42,7 @@
     evhttp_make_request(connection_.get(), request, method, path.c_str());
   }
 
-  // Null or status code 0: the connection failed.
+  // evhttp's callback. `request` is null or has the status code 0 if the connection failed.
   static void OnResponse(evhttp_request* request, void* self) {
     auto* call = static_cast<PendingCall*>(self);
     HttpResult result;
@@ -63,11 +65,11 @@
     timer_.Stop();
     client_.finished_calls_.Delete(std::move(found->second));
     client_.pending_calls_.erase(found);
-    done_(result);
+    on_result_(result);
   }
 
   HttpClient& client_;
-  ResultCallback done_;
+  ResultCallback on_result_;
   ConnectionPtr connection_;
   WriteObserver write_observer_;
   Timer timer_;
@@ -79,8 +81,8 @@
 
 void HttpClient::Send(const Address& address, evhttp_cmd_type method, const std::string& path,
                       const HttpHeaders& headers, const std::string& body, Duration timeout,
-                      ResultCallback done) {
-  auto owned = std::make_unique<PendingCall>(*this, address, std::move(done));
+                      ResultCallback on_result) {
+  auto owned = std::make_unique<PendingCall>(*this, address, std::move(on_result));
   PendingCall* call = owned.get();
   evhttp_request* request = evhttp_request_new(PendingCall::OnResponse, call);
   evkeyvalq* output_headers = evhttp_request_get_output_headers(request);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-// Single HTTP requests to other processes, each on a connection of its own and sent once.
+// Sends HTTP requests to other processes. Each request has a connection of its own and is sent at most once.
 #ifndef SAGETALLY_SRC_NET_HTTP_CLIENT_H_
 #define SAGETALLY_SRC_NET_HTTP_CLIENT_H_
 
@@ -14,14 +14,16 @@
 
 namespace sagetally {
 
+// The response to a request, or its failure.
 struct HttpResult {
-  int status_code = 0;           // 0: no response
-  bool request_written = false;  // the whole request was written: the peer may have read it
+  int status_code = 0;           // 0 if there was no response
+  bool request_written = false;  // the whole request was written, so the peer may have read it
   std::string body = {};
   HttpHeaders headers = {};
 };
 
-// On the event loop's thread. Its destructor drops the requests that are in flight without a result.
+// Owns the requests in flight and their connections. Used on the event loop's thread. The destructor cancels
+// the requests in flight without reporting a result.
 class HttpClient {
  public:
   using ResultCallback = std::function<void(const HttpResult&)>;
@@ -29,9 +31,10 @@
   explicit HttpClient(EventLoop& loop);
   ~HttpClient();
 
-  // `done` is called once: with the response, or with status code 0 if there is none within `timeout`.
+  // Sends a request and calls `on_result` once: with the response, or with status code 0 if there is none
+  // within `timeout`. Adds the headers Host and "Connection: close".
   void Send(const Address& address, evhttp_cmd_type method, const std::string& path,
-            const HttpHeaders& headers, const std::string& body, Duration timeout, ResultCallback done);
+            const HttpHeaders& headers, const std::string& body, Duration timeout, ResultCallback on_result);
 
  private:
   class PendingCall;
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kMaxResponseHeadBytes = 16 * 1024;
-constexpr int kNoTimeoutSeconds = 24 * 3600;  // evhttp has a timeout of its own unless one is set
+constexpr int kNoTimeoutSeconds = 24 * 3600;  // evhttp applies a default timeout unless one is set
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   if (limits.max_body_bytes > 0) {
     evhttp_connection_set_max_body_size(connection.get(), static_cast<ev_ssize_t>(limits.max_body_bytes));
   }
-  // evhttp gathers a whole chunk, of the length that the peer claims, before it looks at it.
+  // evhttp buffers a whole chunk, whatever length the peer states, before it processes the chunk.
   bufferevent_setwatermark(evhttp_connection_get_bufferevent(connection.get()), EV_READ, 0,
                            std::max(limits.max_read_ahead_bytes, 2 * kMaxResponseHeadBytes));
   return connection;
--- a/src/net/http_exchange.h
+++ b/src/net/http_exchange.h
@@ -1,4 +1,4 @@
-// One request of a client to an HttpServer, and its response.
+// One request of a client to an HttpServer, and its response. Used on the event loop's thread only.
 #ifndef SAGETALLY_SRC_NET_HTTP_EXCHANGE_H_
 #define SAGETALLY_SRC_NET_HTTP_EXCHANGE_H_
 
@@ -12,12 +12,12 @@
 
 class ServerConnection;
 
-// Shared by its connection and by whoever answers it; may outlive the connection. On the loop's thread only.
+// Shared by its connection and by the handler that answers it. May outlive the connection.
 class Exchange {
  public:
   using Headers = HttpHeaders;
 
-  // `path`: the request's target without its query.
+  // `path` is the request's target without its query.
   Exchange(ServerConnection* client, std::string method, std::string path, Headers headers, std::string body)
       : client_(client),
         method_(std::move(method)),
@@ -27,15 +27,16 @@
 
   const std::string& method() const { return method_; }
   const std::string& path() const { return path_; }
-  // The first header of that name, without regard to case; empty if it is absent.
+  // Returns the value of the first header with this name, compared without regard to case, or an empty string
+  // if there is none.
   std::string Header(const char* name) const;
   const Headers& headers() const { return headers_; }
   const std::string& body() const { return body_; }
-  // Of the connection that brought it, in its server.
+  // The number of the request's connection, which is unique within its server.
   std::uint64_t connection_number() const { return connection_number_; }
-  // It was answered, or its connection has closed: nothing can be answered any more.
+  // Returns whether no response can be sent any more, because one was sent or the connection has closed.
   bool is_closed() const { return client_ == nullptr; }
-  // Sends the response; at most once. False if client_gone(). Content-Length and Connection are added to
+  // Sends the response. Returns false and does nothing if is_closed(). Adds Content-Length and Connection to
   // `headers`.
   bool Respond(int code, const std::string& body = "", const Headers& headers = {});
 
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -1,4 +1,4 @@
-// HTTP headers as they pass between the servers, the clients and their callers.
+// The type of HTTP headers that the servers, the clients and their callers exchange.
 #ifndef SAGETALLY_SRC_NET_HTTP_HEADERS_H_
 #define SAGETALLY_SRC_NET_HTTP_HEADERS_H_
 
@@ -8,7 +8,7 @@
 
 namespace sagetally {
 
-// Name and value of each header, in their order on the wire. Names are compared without regard to case.
+// The name and value of each header in the order on the wire. Names are compared without regard to case.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
 }  // namespace sagetally
--- a/src/net/http_parsing.h
+++ b/src/net/http_parsing.h
@@ -1,5 +1,5 @@
-// What the server's request reader and the endpoint client's response reader share: Boost.Beast's HTTP parser
-// fed from a libevent buffer.
+// Feeds Boost.Beast's HTTP parser from a libevent buffer. Shared by the server's RequestReader and the
+// endpoint client's ResponseReader.
 #ifndef SAGETALLY_SRC_NET_HTTP_PARSING_H_
 #define SAGETALLY_SRC_NET_HTTP_PARSING_H_
 
@@ -12,14 +12,14 @@
 
 namespace sagetally {
 
+// The result of one FeedParser() call.
 struct ParseProgress {
-  std::size_t available_bytes = 0;  // in the buffer, before
-  std::size_t consumed_bytes = 0;   // by the parser; still in the buffer
-  boost::system::error_code error = {};
+  std::size_t available_bytes = 0;  // the bytes in the buffer
+  std::size_t consumed_bytes = 0;   // how many of them the parser has consumed; they are still in the buffer
+  boost::system::error_code error = {};  // not set if the parser only needs more bytes
 };
 
-// Hands all that `input` holds to `parser`. The caller drains the consumed bytes. That more bytes are needed
-// is no error.
+// Passes all bytes of `input` to `parser`. The caller drains the consumed bytes.
 template <typename Parser>
 ParseProgress FeedParser(Parser& parser, evbuffer* input) {
   ParseProgress progress;
@@ -30,7 +30,7 @@
   return progress;
 }
 
-// The value of a header; empty if it is absent.
+// Returns the value of the header `name`, or an empty string if it is absent.
 inline std::string_view FieldValue(const boost::beast::http::fields& fields, const char* name) {
   const auto value = fields[name];
   return {value.data(), value.size()};
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -20,37 +20,41 @@
 namespace sagetally {
 namespace {
 
-// Clients that connect to send a request do so at once. One that has sent nothing for longer is closed before
-// all others.
-constexpr auto kExpectedFirstBytes = std::chrono::milliseconds(100);
-// How long accepting pauses when no descriptor is free.
+// Clients that connect to send a request send it at once. A client that has sent nothing for longer than this
+// is the first to be evicted.
+constexpr auto kFirstBytesTimeout = std::chrono::milliseconds(100);
+// How long accepting pauses when it has failed, for instance because no file descriptor is free.
 constexpr Duration kAcceptPause = std::chrono::milliseconds(50);
-// The same while the queue of a listener that closes is emptied, and how often.
-constexpr Duration kQueuePause = std::chrono::milliseconds(10);
-constexpr int kMaxStopListeningTries = 35;
+// While StopListening() accepts the queued connections, it retries this often at this interval after
+// accepting has failed.
+constexpr Duration kAcceptQueueRetryDelay = std::chrono::milliseconds(10);
+constexpr int kMaxStopListeningAttempts = 35;
 constexpr unsigned kListenerFlags =
     LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT;
 
+// Returns whether `listener` is bound to the address `wanted`. The port 0 in `wanted` matches any port.
 bool ListensAt(const FileDescriptor& listener, const sockaddr_in& wanted) {
   const std::optional<sockaddr_in> actual = LocalAddress(listener.get());
   if (!actual || actual->sin_addr.s_addr != wanted.sin_addr.s_addr) return false;
   return wanted.sin_port == 0 || actual->sin_port == wanted.sin_port;
 }
 
-// Which connection gives way to a new one: the least, and of equals the one that has been silent longest.
+// Determines which connection is evicted for a new one: the one with the lowest rank and, of those with the
+// same rank, the one that has been silent longest.
 struct EvictionOrder {
   enum class Rank { kNeverUsed, kIdle, kInFirstRequest, kInLaterRequest };
   Rank rank = Rank::kNeverUsed;
   std::chrono::steady_clock::time_point last_received_at;
 };
 
+// Returns whether the connection of `one` is evicted before that of `other`.
 bool ComesBefore(const EvictionOrder& one, const EvictionOrder& other) {
   return std::tie(one.rank, one.last_received_at) < std::tie(other.rank, other.last_received_at);
 }
 
 EvictionOrder::Rank EvictionRankOf(const ServerConnection& client,
                                    std::chrono::steady_clock::time_point now) {
-  if (client.IsAwaitingFirstRequest() && client.last_received_at() + kExpectedFirstBytes < now) {
+  if (client.IsAwaitingFirstRequest() && client.last_received_at() + kFirstBytesTimeout < now) {
     return EvictionOrder::Rank::kNeverUsed;
   }
   if (client.IsIdle()) return EvictionOrder::Rank::kIdle;
@@ -67,7 +71,7 @@
       handler_(std::move(handler)),
       listener_(OpenListener(address, std::move(inherited))),
       port_(LocalPort(listener_descriptor())),
-      accept_again_timer_(loop,
+      accept_retry_timer_(loop,
                           [this] {
                             if (listener_) evconnlistener_enable(listener_.get());
                           }),
@@ -101,7 +105,7 @@
 
 void HttpServer::OnAccepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
   auto* server = static_cast<HttpServer*>(self);
-  if (server->clients_.size() >= server->limits_.max_connections && !server->MakeCapacity()) {
+  if (server->clients_.size() >= server->limits_.max_connections && !server->EvictClient()) {
     ::close(socket);
     if (server->on_connection_refused) server->on_connection_refused();
     return;
@@ -111,10 +115,10 @@
   server->AddClient(std::make_unique<ServerConnection>(*server, socket));
 }
 
-// Without a free descriptor the listener stays readable: the loop would call again and again.
+// Pauses accepting. Without a free descriptor the listener stays readable, and the loop would spin on it.
 void HttpServer::OnAcceptFailed(evconnlistener* listener, void* self) {
   evconnlistener_disable(listener);
-  static_cast<HttpServer*>(self)->accept_again_timer_.Schedule(kAcceptPause);
+  static_cast<HttpServer*>(self)->accept_retry_timer_.Schedule(kAcceptPause);
 }
 
 void HttpServer::AddClient(std::unique_ptr<ServerConnection> client) {
@@ -122,10 +126,10 @@
   clients_[key] = std::move(client);
 }
 
-// Closes the connection that comes first by EvictionOrder. One whose request is being answered, whose
-// response is not yet written, or from which bytes have come that were not read yet, stays. False if all
-// stay.
-bool HttpServer::MakeCapacity() {
+// Closes the connection that comes first by EvictionOrder. Does not close one whose request is being
+// answered, whose response is not completely written, or from which bytes have arrived that were not read.
+// Returns false if there is no connection to close.
+bool HttpServer::EvictClient() {
   const auto now = std::chrono::steady_clock::now();
   ServerConnection* first = nullptr;
   EvictionOrder first_order;
@@ -190,14 +194,17 @@
   AddClient(std::move(client));
 }
 
-// Clients in the listener's queue have connected, and may have sent a request: closing it would reset them.
+// Accepts the queued connections first, because closing the listener would reset them although their clients
+// are connected and may have sent a request.
 void HttpServer::StopListening() {
-  if (!listener_ || stop_listening_tries_ > 0) return;
+  if (!listener_ || stop_listening_attempts_ > 0) return;
   evconnlistener_disable(listener_.get());
-  accept_again_timer_.Stop();
+  accept_retry_timer_.Stop();
   AcceptQueue();
 }
 
+// Accepts the queued connections and closes the listener. If accepting fails, schedules another attempt, and
+// closes the listener after the last one.
 void HttpServer::AcceptQueue() {
   if (!listener_) return;
   int error_number = 0;
@@ -207,8 +214,8 @@
     if (socket >= 0) OnAccepted(listener_.get(), socket, nullptr, 0, this);
   }
   const bool is_empty = error_number == EAGAIN || error_number == EWOULDBLOCK;
-  if (is_empty || ++stop_listening_tries_ >= kMaxStopListeningTries) return listener_.reset();
-  stop_listening_timer_.Schedule(kQueuePause);
+  if (is_empty || ++stop_listening_attempts_ >= kMaxStopListeningAttempts) return listener_.reset();
+  stop_listening_timer_.Schedule(kAcceptQueueRetryDelay);
 }
 
 }  // namespace sagetally
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,6 @@
-// An HTTP/1.1 server: hands each request to a handler, and limits every connection from its accept on: how
-// many there are, how long a request may take, and how long a connection may be idle.
+// An HTTP/1.1 server that passes each request to a handler. It limits the number of connections and, from the
+// moment a connection is accepted, how long a request may take to arrive and how long the connection may be
+// idle.
 #ifndef SAGETALLY_SRC_NET_HTTP_SERVER_H_
 #define SAGETALLY_SRC_NET_HTTP_SERVER_H_
 
@@ -20,27 +21,29 @@
 
 namespace sagetally {
 
-// All on the event loop's thread, the handler too.
+// Owns the listener and the clients' connections. Used on the event loop's thread only, and the handler is
+// called on that thread.
 class HttpServer {
  public:
   // Why a connection was closed, for the log.
   enum class CloseReason {
-    kEndedByClient,     // its end of input, with nothing owed
-    kFailed,            // by an error of the socket
-    kEvicted,           // gave way to a new connection, between requests
-    kEvictedInRequest,  // the same, amid a request, which got 503
-    kResponseRead,      // after its last response, or after the idle timeout
-    kTooMuchInput,      // the client sent on and on after its last response
+    kEndedByClient,     // the client ended its input when no response was pending
+    kFailed,            // a socket error occurred
+    kEvicted,           // closed between requests to make room for a new connection
+    kEvictedInRequest,  // the same within a request, which was answered with 503
+    kResponseRead,      // closed after the last response was written, or after the idle timeout
+    kTooMuchInput,      // the client kept sending after its last response
     kResponseNotRead,   // the client did not read its last response in time
-    kTransferred,       // to another process
-    kServerStopped
+    kTransferred,       // transferred to another process
+    kServerStopped      // the server was destroyed
   };
+  // The state of a connection when it was closed, for the log.
   struct ClosedConnection {
     CloseReason reason = CloseReason::kServerStopped;
-    int error_number = 0;             // kFailed only
-    std::uint64_t number = 0;         // of the connection, in this server
-    std::uint64_t request_count = 0;  // that it brought
-    bool has_open_request = false;    // one that was read and not answered
+    int error_number = 0;             // errno; for kFailed only
+    std::uint64_t number = 0;         // the connection's number, which is unique within this server
+    std::uint64_t request_count = 0;  // the whole requests that the connection carried
+    bool has_open_request = false;    // a request was read and not answered
     std::size_t unwritten_bytes = 0;  // of responses
     std::size_t unparsed_bytes = 0;   // of requests
   };
@@ -50,18 +53,19 @@
 
   struct Limits {
     std::size_t max_body_bytes = 64 * 1024;  // of one request
-    std::size_t max_connections = 64;        // at once
-    std::size_t max_head_bytes = 16 * 1024;  // of one request
+    std::size_t max_connections = 64;        // open at the same time
+    std::size_t max_head_bytes = 16 * 1024;  // of one request: its request line and headers
   };
 
-  // A connection that goes to another process: between requests, or within one of which `bytes` have come.
+  // A connection to be transferred to another process. It is either between two requests or within a request
+  // whose first bytes have arrived.
   struct ClientToTransfer {
-    int fd = -1;  // still this process's
-    bool has_sent_requests = false;
-    Duration age{0};  // since it was accepted, or last answered
-    std::string bytes = {};
+    int fd = -1;                     // owned by this process's server
+    bool has_sent_requests = false;  // at least one whole request was read
+    Duration age{0};                 // since the connection was accepted or last answered
+    std::string bytes = {};          // the bytes that were received and belong to no answered request
   };
-  // The same as the other process receives it.
+  // A ClientToTransfer as the other process receives it.
   struct TransferredClient {
     FileDescriptor fd = FileDescriptor();
     bool has_sent_requests = false;
@@ -69,36 +73,41 @@
     std::string bytes = {};
   };
 
-  // `inherited`: a listening socket of another process, used if it listens at that address. Throws
-  // ListenError.
+  // Listens at `address`; port 0 selects a free port. `inherited` is a listening socket of another process,
+  // which is used instead of a new one if it listens at that address. Throws ListenError.
   HttpServer(EventLoop& loop, const Address& address, Limits limits, Handler handler,
              FileDescriptor inherited = FileDescriptor());
   ~HttpServer();
 
+  // The port that the listener is bound to.
   std::uint16_t port() const { return port_; }
   std::size_t connection_count() const { return clients_.size(); }
-  // Every response from now on ends its connection, and idle connections are closed;
-  // `include_unused`: also those that have sent nothing.
+  // Closes idle connections and makes every response from now on end its connection. With `include_unused`,
+  // also closes connections on which no byte was received.
   void CloseBetweenRequests(bool include_unused = false);
-  // Every response from now on ends its connection, or no longer does.
+  // Sets whether every response from now on ends its connection.
   void SetClosing(bool closing) { is_closing_ = closing; }
-  // Accepts what has connected already, then closes the listener; if no descriptor is free for them, a
-  // moment later.
+  // Accepts the connections in the listener's queue and closes the listener. If no descriptor is free for
+  // them, retries for a short time first.
   void StopListening();
-  std::function<void()> on_closed;  // after each connection; may be empty
-  // With each response, before it is written; may be empty.
+  // Called after a connection was closed. May be empty.
+  std::function<void()> on_closed;
+  // Called with each response before it is written. May be empty.
   std::function<void(const Exchange&, int status, const std::string& body)> on_responded;
-  std::function<void(const ClosedConnection&)> on_connection_closed;  // before on_closed; may be empty
-  std::function<void()> on_connection_refused;  // a new one was closed unread, for want of room; may be empty
-  // Descriptor of the listener, -1 without one; stays the server's.
+  // Called when a connection was closed, before on_closed. May be empty.
+  std::function<void(const ClosedConnection&)> on_connection_closed;
+  // Called when a new connection was closed at once because the server is full. May be empty.
+  std::function<void()> on_connection_refused;
+  // The listener's descriptor, which stays owned by the server; -1 if the listener is closed.
   int listener_descriptor() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
-  // No response is owed to a client, or still to be written.
+  // Returns whether no response is pending or still to be written on any connection.
   bool IsSettled() const;
-  // The connections that another process can go on with.
+  // Returns the connections that another process can take over.
   std::vector<ClientToTransfer> ClientsToTransfer() const;
-  // ClientsToTransfer() and the listener have been passed on: closes this process's descriptors of them.
+  // Closes this process's descriptors of the listener and of ClientsToTransfer(). To be called after they
+  // were sent to the other process.
   void ReleaseTransferred();
-  // Goes on with a connection of another process.
+  // Takes over a connection of another process.
   void Adopt(TransferredClient client);
 
  private:
@@ -108,7 +117,7 @@
   static void OnAcceptFailed(evconnlistener*, void* self);
   EventListenerPtr OpenListener(const Address& address, FileDescriptor inherited);
   void AddClient(std::unique_ptr<ServerConnection> client);
-  bool MakeCapacity();
+  bool EvictClient();
   void Close(ServerConnection& client, CloseReason reason, int error_number = 0);
   void AcceptQueue();
 
@@ -120,9 +129,9 @@
   std::uint64_t next_connection_number_ = 1;
   bool is_closing_ = false;
   std::map<ServerConnection*, std::unique_ptr<ServerConnection>> clients_;
-  Timer accept_again_timer_;
+  Timer accept_retry_timer_;
   Timer stop_listening_timer_;
-  int stop_listening_tries_ = 0;
+  int stop_listening_attempts_ = 0;
   DeferredDeleter<ServerConnection> closed_clients_;
 };
 
--- a/src/net/libevent_ptr.h
+++ b/src/net/libevent_ptr.h
@@ -1,4 +1,4 @@
-// Owning pointers for libevent's and the C library's objects.
+// Owning pointers to objects of libevent and the C library.
 #ifndef SAGETALLY_SRC_NET_LIBEVENT_PTR_H_
 #define SAGETALLY_SRC_NET_LIBEVENT_PTR_H_
 
--- a/src/net/listen_error.h
+++ b/src/net/listen_error.h
@@ -1,4 +1,4 @@
-// The error of a server or transport that can't open its socket.
+// The exception of a server or transport that can't open its listening socket.
 #ifndef SAGETALLY_SRC_NET_LISTEN_ERROR_H_
 #define SAGETALLY_SRC_NET_LISTEN_ERROR_H_
 
@@ -8,11 +8,11 @@
 
 namespace sagetally {
 
-// Thrown where a listening socket can't be opened. what() is meant for operators.
+// Thrown if a listening socket can't be opened. what() is a text for operators.
 class ListenError : public std::runtime_error {
  public:
-  // `address`: "host:port", or the path of a Unix socket. `error_number`: errno of the call that failed, 0 if
-  // the address itself is unusable.
+  // `address` is "host:port", or the path of a Unix socket. `error_number` is the errno of the call that
+  // failed, or 0 if the address is invalid.
   ListenError(const std::string& message, std::string address, int error_number)
       : std::runtime_error(message), address_(std::move(address)), error_number_(error_number) {}
 
--- a/src/net/notification_client.cpp
+++ b/src/net/notification_client.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr Duration kRetryDelay = std::chrono::milliseconds(50);
-constexpr Duration kResponseTimeout = std::chrono::milliseconds(500);  // the agent answers at once
-constexpr std::size_t kMaxBatchSize = 200;                             // notifications
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(500);  // the platform's agent answers at once
+constexpr std::size_t kMaxBatchNotifications = 200;
 constexpr std::size_t kMaxResponseBytes = 64 * 1024;
 constexpr int kBadRequest = 400;
 
-// A line of the platform's protocol: {"id":..,"status":"undeliverable"}, or "deferred" with the time after
-// which the message may come again.
+// Returns a notice in the platform's protocol: {"id":..,"status":"undeliverable"}, or the status "deferred"
+// with the time in milliseconds after which the client may submit the message again.
 std::string EncodePlatformNotice(const Message& message) {
   std::string line = "{\"id\":" + json::Quote(message.request.id) + ",\"status\":";
   if (message.final_status != FinalStatus::kRejected) return line + "\"undeliverable\"}\n";
@@ -34,13 +34,13 @@
   Encoding encoding;
   encoding.path = "/v1/notices";
   encoding.content_type = "application/json";
-  encoding.line = EncodePlatformNotice;
+  encoding.encode_message = EncodePlatformNotice;
   return encoding;
 }
 
 NotificationClient::Encoding NotificationClient::BatchEncoding(
-    std::string path, std::function<std::string(const Message&)> event) {
-  return {std::move(path), "application/cloudevents-batch+json", "[", ",", "]", std::move(event)};
+    std::string path, std::function<std::string(const Message&)> encode_event) {
+  return {std::move(path), "application/cloudevents-batch+json", "[", ",", "]", std::move(encode_event)};
 }
 
 NotificationClient::NotificationClient(EventLoop& loop, const Address& address, Encoding encoding,
@@ -51,12 +51,12 @@
       on_acknowledged_(std::move(on_acknowledged)),
       log_(log),
       post_timer_(loop, [this] { PostBatch(); }),
-      response_timer_(loop, [this] { OnBatchFailed("no answer"); }) {}
+      response_timer_(loop, [this] { OnBatchFailed("no response in time"); }) {}
 
 NotificationClient::~NotificationClient() = default;
 
 void NotificationClient::Notify(const Message& message) {
-  pending_[message.number] = encoding_.line(message);
+  pending_[message.number] = encoding_.encode_message(message);
   if (in_flight_.empty() && !post_timer_.is_pending()) post_timer_.Schedule(Duration(0));
 }
 
@@ -78,8 +78,8 @@
 
 void NotificationClient::PostBatch() {
   if (pending_.empty()) return;
-  // After a failure the old connection may have fallen silent, or still bring the response to the batch that
-  // was given up, which would be taken for the response to this one.
+  // After a failure, the old connection may be dead, or may still deliver the response to the batch that was
+  // given up, which would be taken for the response to this batch.
   if (is_failing_) connection_.reset();
   if (!connection_) {
     connection_ = OpenHttpConnection(loop_, address_, {kMaxResponseBytes, kMaxResponseBytes});
@@ -94,16 +94,16 @@
   evhttp_make_request(connection_.get(), request, EVHTTP_REQ_POST, encoding_.path.c_str());
 }
 
-// The body of the next batch, whose numbers go to in_flight_.
+// Returns the body of the next batch and stores its message numbers in in_flight_.
 std::string NotificationClient::TakeBatch() {
-  std::string body = encoding_.open;
+  std::string body = encoding_.prefix;
   for (const auto& [number, notification] : pending_) {
-    if (in_flight_.size() >= kMaxBatchSize) break;
-    if (!in_flight_.empty()) body += encoding_.between;
+    if (in_flight_.size() >= kMaxBatchNotifications) break;
+    if (!in_flight_.empty()) body += encoding_.separator;
     in_flight_.push_back(number);
     body += notification;
   }
-  return body + encoding_.close;
+  return body + encoding_.suffix;
 }
 
 void NotificationClient::OnBatchFailed(const char* reason) {
@@ -116,13 +116,13 @@
 
 void NotificationClient::OnResponse(evhttp_request* request, void* self) {
   auto* client = static_cast<NotificationClient*>(self);
-  if (!client->response_timer_.is_pending()) return;  // the batch was given up
+  if (!client->response_timer_.is_pending()) return;  // the batch was given up before
   client->OnStatus(request == nullptr ? 0 : evhttp_request_get_response_code(request));
 }
 
-// `status`: 0 if the connection failed.
+// Handles the HTTP status of the response; 0 means that the connection failed.
 void NotificationClient::OnStatus(int status) {
-  if (status == 0) return OnBatchFailed("no connection");
+  if (status == 0) return OnBatchFailed("connection failed");
   if (status == kBadRequest) log_.Error("notifications.rejected", {{"status", status}});
   if (status < 200 || status > 299) return OnBatchFailed("not acknowledged");
   if (is_failing_) log_.Info("notifications.recovered");
--- a/src/net/notification_client.h
+++ b/src/net/notification_client.h
@@ -1,5 +1,5 @@
-// Reports to their senders the messages that ended undelivered: to the platform as notices, to the event sink
-// as result events.
+// Notifies clients of messages that could not be delivered. Clients of the platform's protocol are notified
+// by notices to the platform, clients of CloudEvents by result events to the event sink.
 #ifndef SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
 #define SAGETALLY_SRC_NET_NOTIFICATION_CLIENT_H_
 
@@ -16,37 +16,39 @@
 
 namespace sagetally {
 
-// Posts notifications in batches, one batch at a time, and again until they were acknowledged (2xx). On the
-// event loop's thread.
+// Posts notifications in batches, one batch at a time. A batch that is not acknowledged (by a 2xx response)
+// is posted again. Used on the event loop's thread.
 class NotificationClient : public Notifier {
  public:
-  // How a batch is written.
+  // The HTTP form of a batch.
   struct Encoding {
     std::string path;
     std::string content_type;
-    std::string open;                                 // before the first notification
-    std::string between;                              // between two
-    std::string close;                                // after the last
-    std::function<std::string(const Message&)> line;  // one notification
+    std::string prefix;                                         // precedes the first notification
+    std::string separator;                                      // stands between two notifications
+    std::string suffix;                                         // follows the last notification
+    std::function<std::string(const Message&)> encode_message;  // returns one notification
   };
-  // JSON lines, to the platform's own address.
+  // Returns the platform's encoding: JSON lines, posted to a fixed path.
   static Encoding PlatformEncoding();
-  // A batch of CloudEvents.
-  static Encoding BatchEncoding(std::string path, std::function<std::string(const Message&)> event);
+  // Returns the encoding of a batch of CloudEvents. `encode_event` returns the event for one message.
+  static Encoding BatchEncoding(std::string path, std::function<std::string(const Message&)> encode_event);
 
-  // `on_acknowledged` is called with the number of each message whose notification was acknowledged.
+  // Posts to `address`. Calls `on_acknowledged` with the number of each message whose notification was
+  // acknowledged. `loop` and `log` must outlive the client.
   NotificationClient(EventLoop& loop, const Address& address, Encoding encoding,
                      std::function<void(std::uint64_t)> on_acknowledged, Logger& log);
   ~NotificationClient() override;
 
+  // Queues a notification of the message's final status.
   void Notify(const Message& message) override;
-  // Drops the notification of a message, if it is pending.
-  void Forget(std::uint64_t number) { pending_.erase(number); }
-  // Everything was acknowledged.
+  // Drops the notification of the message with this number, if it is pending.
+  void CancelNotification(std::uint64_t number) { pending_.erase(number); }
+  // Returns whether all notifications were acknowledged.
   bool is_idle() const { return pending_.empty(); }
-  // What was not acknowledged yet goes to another address.
+  // Posts the notifications that are still pending, and all later ones, to another address.
   void ChangeAddress(const Address& address);
-  // Drops what is pending: another process sends it.
+  // Drops the pending notifications, which another process posts instead.
   void Shutdown();
 
  private:
@@ -61,8 +63,8 @@
   const Encoding encoding_;
   std::function<void(std::uint64_t)> on_acknowledged_;
   Logger& log_;
-  std::map<std::uint64_t, std::string> pending_;  // by number of the message, encoded
-  std::vector<std::uint64_t> in_flight_;          // numbers in the batch that is being posted
+  std::map<std::uint64_t, std::string> pending_;  // encoded notifications by message number
+  std::vector<std::uint64_t> in_flight_;          // the message numbers of the batch that is being posted
   bool is_failing_ = false;                       // the last batch failed
   ConnectionPtr connection_;
   Timer post_timer_;
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -14,9 +14,9 @@
 constexpr int kPayloadTooLarge = 413;
 constexpr int kHeaderFieldsTooLarge = 431;
 
-// Whether exactly one header, or none, says where the body ends, in a form that every reader understands the
-// same way. Otherwise another request could hide in the body (request smuggling): the parser lets a length be
-// repeated, and accepts other codings than chunked.
+// Returns whether at most one header states where the body ends, in a form that every HTTP implementation
+// understands alike. Otherwise the body could hide another request (request smuggling). The parser alone does
+// not prevent that: it accepts a repeated length, and other transfer codings than chunked.
 bool HasUnambiguousLength(const http::fields& fields) {
   static constexpr std::string_view kDigits = "0123456789";
   int length_count = 0;
@@ -53,7 +53,7 @@
   const ParseProgress progress = FeedParser(*parser_, input);
   if (progress.error) return Reject(StatusOf(progress.error));
   const std::size_t consumed = progress.consumed_bytes;
-  // A request that another process may have to read on with.
+  // Keeps the bytes of an incomplete request, because another process may have to continue reading it.
   if (!parser_->is_done()) {
     consumed_bytes_.append(reinterpret_cast<char*>(evbuffer_pullup(input, consumed)), consumed);
   }
@@ -61,13 +61,13 @@
   if (parser_->is_header_done() && !std::exchange(head_checked_, true)) {
     if (!HasUnambiguousLength(parser_->get())) return Reject(kBadRequest);
     parser_->eager(true);
-    const bool body_has_come = evbuffer_get_length(input) > 0 || parser_->is_done();
+    const bool body_has_begun = evbuffer_get_length(input) > 0 || parser_->is_done();
     const auto expectation = parser_->get()[http::field::expect];
-    if (!body_has_come && boost::beast::iequals(expectation, "100-continue")) return Step::kExpectsContinue;
+    if (!body_has_begun && boost::beast::iequals(expectation, "100-continue")) return Step::kExpectsContinue;
   }
   if (parser_->is_done()) return Step::kComplete;
   if (consumed > 0) return Step::kParsed;
-  // A line that is too long never gets whole.
+  // If the buffer is full and the parser consumes nothing, a line is too long and can never be complete.
   return progress.available_bytes >= max_unparsed_bytes() ? Reject(kBadRequest) : Step::kBlocked;
 }
 
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -1,4 +1,5 @@
-// Reads the HTTP requests of one client's connection.
+// Reads the HTTP requests of one client's connection. Owned by a ServerConnection and used on the event
+// loop's thread.
 #ifndef SAGETALLY_SRC_NET_REQUEST_READER_H_
 #define SAGETALLY_SRC_NET_REQUEST_READER_H_
 
@@ -12,7 +13,7 @@
 
 namespace sagetally {
 
-// Bounds the size of a request, and rejects one whose end is ambiguous. Owned by a ServerConnection.
+// Parses requests one after another. Limits their size, and rejects a request whose end is ambiguous.
 class RequestReader {
  public:
   using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
@@ -22,30 +23,31 @@
     std::size_t max_body_bytes = 0;
   };
 
+  // The result of one Read().
   enum class Step {
-    kParsed,           // read on: some bytes were consumed
+    kParsed,           // some bytes were consumed; Read() may be called again
     kBlocked,          // more bytes are needed
-    kExpectsContinue,  // the client waits for a 100 before it sends the body
-    kComplete,         // TakeRequest() has it
-    kRejected          // answer with rejection_status() and read no further
+    kExpectsContinue,  // the client waits for a 100 response before it sends the body
+    kComplete,         // a request is complete; TakeRequest() returns it
+    kRejected          // the request is to be answered with rejection_status(); nothing more may be read
   };
 
   explicit RequestReader(Limits limits) : limits_(limits) {}
 
-  // Bytes that may wait in front of the parser; a connection reads no further ahead.
+  // The limit of bytes that are received and not yet parsed. A connection stops reading beyond it.
   std::size_t max_unparsed_bytes() const { return 2 * limits_.max_head_bytes; }
-  // A request has begun and is not complete.
+  // Returns whether a request has begun and is not complete.
   bool is_reading() const { return parser_.has_value(); }
-  // The bytes of the request that is being read which have left the buffer.
+  // The bytes of the request being read that were removed from the buffer.
   const std::string& consumed_bytes() const { return consumed_bytes_; }
-  // HTTP status for a request that was rejected.
+  // The HTTP status of the response to a rejected request.
   int rejection_status() const { return rejection_status_; }
 
-  // Consumes bytes of `input`, which is not empty.
+  // Parses and consumes bytes of `input`, which must not be empty.
   Step Read(evbuffer* input);
-  // The request that is complete; the next Read() begins another.
+  // Returns the complete request. The next Read() begins another one.
   HttpRequest TakeRequest();
-  // Forgets a request that has begun.
+  // Discards the request being read.
   void Reset();
 
  private:
@@ -55,7 +57,7 @@
   Step Reject(int status);
 
   const Limits limits_;
-  std::optional<Parser> parser_;  // of the request that is being read
+  std::optional<Parser> parser_;  // of the request being read
   bool head_checked_ = false;
   std::string consumed_bytes_;
   int rejection_status_ = 0;
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -11,10 +11,11 @@
 namespace sagetally {
 namespace {
 
-// From the first byte of a response to its last.
+// The time from the first byte of a response to its last.
 constexpr Duration kResponseTimeout = std::chrono::milliseconds(1000);
-// Once the status line says 200, only the connection depends on the rest, while the call holds its place: the
-// rest may take about as long as a new connection does.
+// The same after a status line with 200. The call is then delivered and waits only for the connection to
+// become reusable, while it still counts as in flight. So the rest may take about as long as opening a new
+// connection.
 constexpr Duration kOkResponseTimeout = std::chrono::milliseconds(100);
 constexpr std::uint32_t kMaxHeadBytes = 16 * 1024;
 constexpr std::uint64_t kMaxBodyBytes = 64 * 1024;
@@ -22,14 +23,14 @@
 constexpr unsigned kFirstFinalStatus = 200;
 
 constexpr std::string_view kProtocol = "HTTP/1.";
-// What is looked at before the parser: "HTTP/1.1 200 ".
+// The beginning of a response, such as "HTTP/1.1 200 ", which is checked before the parser reads it.
 constexpr std::size_t kStatusPrefixBytes = 13;
 constexpr std::size_t kStatusOffset = 8;
 constexpr std::string_view kOkStatus = " 200";
 
 static_assert(ResponseReader::kMaxUnparsedBytes == 2 * kMaxHeadBytes);
 
-// Whether fewer than kStatusPrefixBytes may be the beginning of a status line.
+// Returns whether `input`, which holds fewer than kStatusPrefixBytes, may be the beginning of a status line.
 bool MayBecomeStatusLine(evbuffer* input) {
   char bytes[kStatusPrefixBytes] = {};
   const auto size = static_cast<std::size_t>(evbuffer_copyout(input, bytes, sizeof bytes));
@@ -58,7 +59,7 @@
   return State::kIncomplete;
 }
 
-// Consumes what the parser takes at once. None: read on.
+// Passes the bytes of `input` to the parser once. Returns nothing if there may be more to read.
 std::optional<ResponseReader::State> ResponseReader::ReadStep(evbuffer* input) {
   if (!response_timer_.is_pending()) response_timer_.Schedule(kResponseTimeout);
   if (!parser_) {
@@ -77,7 +78,7 @@
     return std::nullopt;
   }
   if (progress.consumed_bytes > 0) return std::nullopt;
-  // A line that is too long never gets whole.
+  // If the buffer is full and the parser consumes nothing, a line is too long and can never be complete.
   return progress.available_bytes >= kMaxUnparsedBytes ? State::kInvalid : State::kIncomplete;
 }
 
@@ -88,6 +89,7 @@
   return !error && parser_->is_done() && parser_->get().result_int() >= kFirstFinalStatus;
 }
 
+// Starts a parser for the response at the beginning of `input`, and determines whether its status is 200.
 void ResponseReader::StartResponse(evbuffer* input) {
   char bytes[kStatusPrefixBytes] = {};
   evbuffer_copyout(input, bytes, sizeof bytes);
@@ -100,8 +102,8 @@
   parser_->body_limit(kMaxBodyBytes);
 }
 
-// Lets the parser go on to the body. False if the body claims to be too long: the parser would allocate it
-// before it looks at its limit.
+// Lets the parser continue with the body once the head is complete. Returns false if the head states a length
+// above the limit, because the parser would allocate that length before it checks its limit.
 bool ResponseReader::AcceptHead() {
   if (!parser_->is_header_done() || parser_->eager()) return true;
   if (parser_->content_length().value_or(0) > kMaxBodyBytes) return false;
@@ -109,7 +111,7 @@
   return true;
 }
 
-// The final response is still to come. False after too many.
+// Discards an interim response. Returns false if there were more than kMaxInterimResponses.
 bool ResponseReader::SkipInterimResponse() {
   parser_.reset();
   response_timer_.Stop();
--- a/src/net/response_reader.h
+++ b/src/net/response_reader.h
@@ -1,4 +1,5 @@
-// Reads the HTTP responses to calls on one connection.
+// Reads the HTTP responses to the calls on one connection. Owned by an EndpointConnection and used on the
+// event loop's thread.
 #ifndef SAGETALLY_SRC_NET_RESPONSE_READER_H_
 #define SAGETALLY_SRC_NET_RESPONSE_READER_H_
 
@@ -14,32 +15,38 @@
 
 namespace sagetally {
 
-// Bounds the size, the number of interim (1xx) responses and the time of a response. Owned by an
-// EndpointConnection.
+// Parses one response after another. Limits the size of a response, the number of interim (1xx) responses
+// before it, and the time from its first byte to its last.
 class ResponseReader {
  public:
-  enum class State { kIncomplete, kComplete, kInvalid };
+  // The result of one Read().
+  enum class State {
+    kIncomplete,  // more bytes are needed
+    kComplete,    // response() is the final response
+    kInvalid      // the response is malformed or exceeds a limit
+  };
 
-  // Bytes that may wait in front of the parser; a connection reads no further ahead.
+  // The limit of bytes that are received and not yet parsed. A connection stops reading beyond it.
   static constexpr std::size_t kMaxUnparsedBytes = 32 * 1024;
 
-  // `on_timed_out`: a response has begun and was not complete in time.
+  // Calls `on_timed_out` if a response has begun and is not complete in time.
   ResponseReader(EventLoop& loop, std::function<void()> on_timed_out);
 
-  // A new call was made: its response is the next to come.
+  // To be called when a new call is made, to which the next response belongs.
   void ExpectResponse();
-  // The call is over. Forgets the response and stops its timer, but not whether it began with a 200.
+  // To be called when the call is over. Discards the response and stops its timer, but keeps has_ok_status().
   void Stop();
 
-  // Consumes bytes until a final response is complete. kIncomplete: more bytes are needed.
+  // Consumes bytes until a final response is complete.
   State Read(evbuffer* input);
-  // The peer has ended the connection, which may be what ends the body. False if that completes no response.
+  // To be called when the peer has ended the connection, which may mark the end of the body. Returns whether
+  // this completes a final response.
   bool ReadEndOfStream();
 
-  // Whether the status line that came last says 200. The call has been delivered then, whatever becomes of
-  // the rest.
+  // Returns whether the last status line received says 200. The call was then delivered, even if the rest of
+  // the response is missing or malformed.
   bool has_ok_status() const { return has_ok_status_; }
-  // These two only after kComplete, and before Stop().
+  // response() and keep_alive() may be called only after kComplete or ReadEndOfStream(), and before Stop().
   const EndpointResponse& response() const { return parser_->get(); }
   bool keep_alive() const { return parser_->keep_alive(); }
 
@@ -52,7 +59,7 @@
   bool SkipInterimResponse();
 
   Timer response_timer_;
-  std::optional<Parser> parser_;  // of the response that is coming
+  std::optional<Parser> parser_;  // of the response being read
   bool has_ok_status_ = false;
   int interim_response_count_ = 0;
 };
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -18,15 +18,17 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-// A client is owed an error or a close within 3 s of connecting, whatever it sends or does not send.
+// A client must get an error or a close within 3 s of connecting, whatever it sends or does not send.
 constexpr Duration kFirstRequestTimeout = milliseconds(2500);
-constexpr Duration kNextRequestTimeout = milliseconds(1500);  // from its first byte to its last
+constexpr Duration kNextRequestTimeout = milliseconds(1500);  // from a request's first byte to its last
 constexpr Duration kIdleTimeout = milliseconds(4000);
-constexpr std::size_t kMaxUnwrittenBytes = 64 * 1024;  // of responses that the client doesn't read
-// After the last response, what the client sends is discarded for a moment, so that it reads the response.
+// No further request is read while the client has left more bytes of responses than this unread.
+constexpr std::size_t kMaxUnwrittenBytes = 64 * 1024;
+// After the last response, what the client sends is discarded for a short time. Closing the socket with
+// unread bytes would reset the connection before the client has read the response.
 constexpr Duration kLingerTime = milliseconds(200);
 constexpr std::size_t kMaxLingerBytes = 128 * 1024;
-constexpr Duration kLastResponseTimeout = milliseconds(3000);  // for the client to read it
+constexpr Duration kLastResponseTimeout = milliseconds(3000);  // for the client to read the last response
 constexpr std::size_t kDiscardBufferBytes = 4096;
 
 constexpr int kNoContent = 204;
@@ -35,11 +37,11 @@
 constexpr const char* kRejectionHeaders = "Connection: close\r\nContent-Length: 0\r\n\r\n";
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
-// recv() that is not disturbed by a signal or a shortage of memory.
+// Calls recv() without blocking, and again if a signal or a shortage of memory has interrupted it.
 ssize_t Receive(int socket, char* bytes, std::size_t size, int flags) {
-  static constexpr int kMaxTries = 8;
+  static constexpr int kMaxAttempts = 8;
   ssize_t received = -1;
-  for (int i = 0; i < kMaxTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     received = ::recv(socket, bytes, size, flags | MSG_DONTWAIT);
     if (received >= 0 || errno == EAGAIN || errno == EWOULDBLOCK || !IsTransientSocketError(errno)) break;
   }
@@ -81,7 +83,7 @@
       idle_since_(std::chrono::steady_clock::now()),
       last_received_at_(idle_since_) {
   bufferevent_setcb(buffers_.get(), OnReadable, OnOutputDrained, OnEvent, this);
-  // Bounds what is read while a request is answered, or while a line has no end.
+  // Limits what is buffered while a request is being answered, or while a line without an end is received.
   bufferevent_setwatermark(buffers_.get(), EV_READ, 0, reader_.max_unparsed_bytes());
   bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
   timer_.Schedule(kFirstRequestTimeout);
@@ -105,8 +107,10 @@
 
 void ServerConnection::Close(HttpServer::CloseReason reason) {
   if (const auto exchange = open_exchange()) exchange->client_ = nullptr;
-  // A close with unread bytes is a reset, which would overtake the last response. Between requests it is what
-  // a client needs whose next request has just come: it sees that nobody has read it.
+  // Closing a socket with unread bytes sends a reset, which may discard the last response, so unread bytes
+  // are read and discarded first. There are two exceptions. If a connection between two requests is evicted
+  // when the client's next request has just arrived, the reset tells the client that the request was not
+  // read. If the connection was transferred, the other process reads the bytes.
   const bool discards =
       reason != HttpServer::CloseReason::kTransferred && reason != HttpServer::CloseReason::kEvicted;
   char bytes[kDiscardBufferBytes];
@@ -160,7 +164,8 @@
   if (const auto exchange = exchange_.lock(); exchange && server_.on_responded) {
     server_.on_responded(*exchange, status, body);
   }
-  // Requests that were read with this one are answered too, unless it asked for the end itself.
+  // Further requests that are already in the buffer are answered, too, unless this request itself asked to
+  // close the connection.
   const bool is_last = !keep_alive_ || ((server_.is_closing_ || client_has_ended_) && !HasUnparsedBytes());
   std::string text = StatusLine(status);
   for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append("\r\n");
@@ -207,7 +212,7 @@
   if (is_closing_) DiscardInput();
 }
 
-// False if there is nothing more to do before something else happens.
+// Reads one step of a request. Returns false if nothing more can be read before another event occurs.
 bool ServerConnection::ReadStep() {
   if (UnwrittenBytes() > kMaxUnwrittenBytes) return false;
   if (!reader_.is_reading() && has_sent_requests_) timer_.Schedule(kNextRequestTimeout);
@@ -234,7 +239,7 @@
   discarded_bytes_ += size;
   evbuffer_drain(input(), size);
   if (discarded_bytes_ <= kMaxLingerBytes) return;
-  // The last response goes first: until it is written, nothing more is read.
+  // Nothing more is read until the last response is written.
   if (UnwrittenBytes() > 0) {
     bufferevent_disable(buffers_.get(), EV_READ);
   } else {
@@ -268,11 +273,11 @@
   if (is_closing_) return CloseAfterLinger();
   if (reader_.is_reading()) return RejectRequest(kRequestTimeout);
   if (CloseGracefully()) return;
-  timer_.Schedule(kNextRequestTimeout);  // the request that has come is read in this round
+  timer_.Schedule(kNextRequestTimeout);  // a request has arrived and is read in this iteration of the loop
   if (HasUnparsedBytes()) ReadSoon();
 }
 
-// A client may be slow to read its last response, and is waited for.
+// Closes the connection once the client has read its last response, or after kLastResponseTimeout.
 void ServerConnection::CloseAfterLinger() {
   if (UnwrittenBytes() == 0) return server_.Close(*this, HttpServer::CloseReason::kResponseRead);
   if (std::chrono::steady_clock::now() >= write_deadline_) {
@@ -281,7 +286,7 @@
   timer_.Schedule(kLingerTime);
 }
 
-// Reads what is in the buffer already: libevent reports only what is new there.
+// Schedules OnReadable() for the bytes that are already in the buffer. libevent reports only new bytes.
 void ServerConnection::ReadSoon() { bufferevent_trigger(buffers_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS); }
 
 void ServerConnection::Write(std::string_view text) {
@@ -293,7 +298,7 @@
 void ServerConnection::OnOutputDrained(bufferevent*, void* self) {
   auto* connection = static_cast<ServerConnection*>(self);
   if (!connection->is_closing_) return connection->Read();
-  // The client's end closes it, or the timer does.
+  // The connection is closed when the client closes its side, or by timer_.
   ::shutdown(connection->socket(), SHUT_WR);
   if (!connection->client_has_ended_) return connection->timer_.Schedule(kLingerTime);
   connection->server_.Close(*connection, HttpServer::CloseReason::kEndedByClient);
@@ -305,12 +310,12 @@
 
 void ServerConnection::OnSocketEvent(short events) {
   const int error_number = EVUTIL_SOCKET_ERROR();
-  if (resumer_.ResumesAfter(events, error_number)) return;
+  if (resumer_.ResumeIfTransient(events, error_number)) return;
   if ((events & BEV_EVENT_EOF) != 0) return OnEndOfInput();
   server_.Close(*this, HttpServer::CloseReason::kFailed, error_number);
 }
 
-// A client that has ended its sending may still read the responses to its whole requests.
+// A client that has shut down its sending side may still read the responses to its complete requests.
 void ServerConnection::OnEndOfInput() {
   client_has_ended_ = true;
   if (IsSettled()) Read();
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -1,4 +1,5 @@
-// One client's connection to an HttpServer: request by request, each answered before the next is read.
+// One client's connection to an HttpServer. Reads one request after another and answers each before it reads
+// the next. Owned by the server and used on the event loop's thread.
 #ifndef SAGETALLY_SRC_NET_SERVER_CONNECTION_H_
 #define SAGETALLY_SRC_NET_SERVER_CONNECTION_H_
 
@@ -14,48 +15,53 @@
 
 namespace sagetally {
 
-// Owned by the server, on the loop's thread.
+// Reads, limits and answers the requests of one client, and closes the connection when it is time to.
 class ServerConnection {
  public:
-  // Takes over `socket`. `transferred`: what another process knew of the connection; null for a new one.
+  // Takes over `socket`. `transferred` is the state of a connection that another process has transferred, and
+  // null for a new connection.
   ServerConnection(HttpServer& server, evutil_socket_t socket,
                    const HttpServer::TransferredClient* transferred = nullptr);
   ~ServerConnection();
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
-  // Closes this process's socket; the exchange that is open can't be answered any more. Safe within the
-  // connection's own callbacks, unlike its destructor.
+  // Closes this process's socket. The open exchange can't be answered any more. Safe to call within the
+  // connection's own callbacks, unlike the destructor.
   void Close(HttpServer::CloseReason reason);
-  // What the log says of a connection that is about to be closed.
+  // Returns what is logged about the connection, which is about to be closed.
   HttpServer::ClosedConnection Describe(HttpServer::CloseReason reason, int error_number) const;
-  // Amid a request: answers it with 503, as far as that can be written at once, and returns true.
+  // If a request is being read, answers it with 503, as far as the socket takes the response at once, and
+  // returns true. Otherwise returns false.
   bool RejectPartialRequest();
-  // Between requests: ends our side, and discards for a moment what the client has sent meanwhile. The client
-  // sees its request unread and may send it again. False, and nothing is done, if a request has come already:
-  // that is answered first.
+  // Ends this side of a connection that is between two requests, and for a short time discards what the
+  // client sends. The client learns that a request sent meanwhile was not read and may send it again. If
+  // bytes of a request have already arrived, does nothing and returns false, so that the request is answered
+  // first.
   bool CloseGracefully();
-  // The response to the request that is open.
+  // Sends the response to the open exchange.
   void SendResponse(int status, const std::string& body, const HttpHeaders& headers);
 
-  // The request that waits for its response, if there is one.
+  // Returns the request that waits for its response, or null.
   std::shared_ptr<Exchange> open_exchange() const;
-  // Bytes have arrived that the parser has not seen. It has seen those of a request that is being read and
-  // are in the buffer still.
+  // Returns whether bytes have arrived that were not passed to the parser. Bytes that are still in the buffer
+  // while a request is being read were passed to it.
   bool HasUnreadBytes() const;
-  // A whole request has come here, or one was rejected.
+  // Returns whether a whole request was received or a request was rejected on this connection.
   bool has_sent_requests() const { return has_sent_requests_; }
-  // Between two requests.
+  // Returns whether the connection is between two requests.
   bool IsIdle() const {
     return has_sent_requests_ && !is_closing_ && !reader_.is_reading() && !open_exchange();
   }
-  // No byte of a first request was read.
+  // Returns whether no byte of a first request was read.
   bool IsAwaitingFirstRequest() const { return !has_sent_requests_ && !is_closing_ && !reader_.is_reading(); }
-  // No response is owed or still to be written.
+  // Returns whether no response is pending or still to be written.
   bool IsSettled() const { return !open_exchange() && UnwrittenBytes() == 0; }
-  // Another process can go on with it.
+  // Returns whether another process can take over the connection.
   bool IsTransferable() const { return !is_closing_ && !client_has_ended_ && IsSettled(); }
+  // Returns the connection's state for the process that takes it over.
   HttpServer::ClientToTransfer DescribeForTransfer() const;
+  // When bytes were received last or, if that is later, when the connection was accepted or last answered.
   std::chrono::steady_clock::time_point last_received_at() const { return last_received_at_; }
 
  private:
@@ -85,17 +91,17 @@
   const std::uint64_t number_;
   BufferEventPtr buffers_;  // null once closed
   TransferResumer resumer_;
-  Timer timer_;  // for the request that is awaited or being read, or for the end
+  Timer timer_;  // limits the time for the request that is awaited or being read, or for the close
   RequestReader reader_;
-  std::weak_ptr<Exchange> exchange_;  // the last one handed to the server's handler
+  std::weak_ptr<Exchange> exchange_;  // the last one that was passed to the server's handler
   bool has_sent_requests_ = false;
-  bool is_closing_ = false;  // no further request is read
-  bool keep_alive_ = true;   // as the open request asks
-  bool client_has_ended_ = false;
+  bool is_closing_ = false;        // no further request is read
+  bool keep_alive_ = true;         // the open request allows further requests on the connection
+  bool client_has_ended_ = false;  // the client has shut down its sending side
   std::uint64_t request_count_ = 0;
   std::size_t discarded_bytes_ = 0;
-  std::chrono::steady_clock::time_point write_deadline_;  // for the last response
-  std::chrono::steady_clock::time_point idle_since_;      // accepted, or last answered
+  std::chrono::steady_clock::time_point write_deadline_;  // for writing the last response
+  std::chrono::steady_clock::time_point idle_since_;      // when the connection was accepted or last answered
   std::chrono::steady_clock::time_point last_received_at_;
 };
 
--- a/src/net/socket_address.h
+++ b/src/net/socket_address.h
@@ -1,4 +1,5 @@
-// Conversions between configured addresses and the system's IPv4 socket addresses.
+// Converts between configured addresses and the system's IPv4 socket addresses. No state; usable from any
+// thread.
 #ifndef SAGETALLY_SRC_NET_SOCKET_ADDRESS_H_
 #define SAGETALLY_SRC_NET_SOCKET_ADDRESS_H_
 
@@ -12,16 +13,16 @@
 
 namespace sagetally {
 
-// None if the host is not an IPv4 address in numbers.
+// Returns the socket address, or nothing if the host is not a numeric IPv4 address.
 std::optional<sockaddr_in> ToSocketAddress(const Address& address);
 
-// The address a socket is bound to; none if it is not an IPv4 socket.
+// Returns the address that a socket is bound to, or nothing if the descriptor is invalid.
 std::optional<sockaddr_in> LocalAddress(int socket);
 
-// The port a socket is bound to; 0 if it is not bound.
+// Returns the port that a socket is bound to, or 0 if it is not bound.
 std::uint16_t LocalPort(int socket);
 
-// "10.0.0.4:8443".
+// Return an address as "HOST:PORT", such as "10.0.0.4:8443".
 std::string FormatAddress(const Address& address);
 std::string FormatSocketAddress(const sockaddr_in& address);
 
--- a/src/net/transfer_resumer.cpp
+++ b/src/net/transfer_resumer.cpp
@@ -7,9 +7,9 @@
 TransferResumer::TransferResumer(EventLoop& loop, bufferevent* buffers)
     : buffers_(buffers), timer_(loop, [this] { Resume(); }) {}
 
-bool TransferResumer::ResumesAfter(short events, int error_number) {
+bool TransferResumer::ResumeIfTransient(short events, int error_number) {
   if ((events & BEV_EVENT_ERROR) == 0 || !IsTransientSocketError(error_number)) return false;
-  // Without a direction it is the connection attempt that has failed.
+  // An error without a direction means that connecting has failed.
   const int failed =
       ((events & BEV_EVENT_READING) != 0 ? EV_READ : 0) | ((events & BEV_EVENT_WRITING) != 0 ? EV_WRITE : 0);
   if (failed == 0) return false;
@@ -24,7 +24,7 @@
   buffers_ = nullptr;
 }
 
-// libevent has disabled the direction that failed, and has kept the bytes.
+// Enables the directions that libevent has disabled after the error. libevent has kept the buffered bytes.
 void TransferResumer::Resume() {
   if (buffers_ == nullptr) return;
   const short paused = paused_;
--- a/src/net/transfer_resumer.h
+++ b/src/net/transfer_resumer.h
@@ -1,5 +1,5 @@
-// Lets a bufferevent go on after errors that pass. libevent takes every error but EAGAIN and EINTR for the
-// end of the connection.
+// Lets a bufferevent continue after transient errors. libevent alone treats every error but EAGAIN and EINTR
+// as the end of the connection. Used on the event loop's thread.
 #ifndef SAGETALLY_SRC_NET_TRANSFER_RESUMER_H_
 #define SAGETALLY_SRC_NET_TRANSFER_RESUMER_H_
 
@@ -11,27 +11,27 @@
 
 namespace sagetally {
 
-// Belongs to the owner of one bufferevent, which it must not outlive unless Stop() was called.
+// Resumes reading and writing on one bufferevent, which it must not outlive unless Stop() was called.
 class TransferResumer {
  public:
   TransferResumer(EventLoop& loop, bufferevent* buffers);
 
-  // To be called first in the bufferevent's event callback, while errno still is that of the failed call.
-  // Returns true if reading or writing failed with an error that passes: nothing has been lost, and it
-  // resumes in a moment by itself.
-  bool ResumesAfter(short events, int error_number);
-  // `direction` (EV_READ or EV_WRITE) is not to resume.
+  // Returns whether reading or writing failed with a transient error. If so, no bytes are lost, and the
+  // transfer resumes after kSocketRetryDelay. To be called at the beginning of the bufferevent's event
+  // callback with the callback's `events`; `error_number` is the errno of the failed call.
+  bool ResumeIfTransient(short events, int error_number);
+  // Cancels resuming in `direction`, which is EV_READ or EV_WRITE.
   void KeepPaused(short direction) { paused_ = static_cast<short>(paused_ & ~direction); }
-  // The bufferevent is about to be freed.
+  // To be called before the bufferevent is freed. Nothing is resumed any more.
   void Stop();
-  // How often it has resumed.
+  // The number of transient errors so far.
   std::int64_t resumed_count() const { return resumed_count_; }
 
  private:
   void Resume();
 
   bufferevent* buffers_;
-  short paused_ = 0;  // EV_READ, EV_WRITE
+  short paused_ = 0;  // the directions to resume: a combination of EV_READ and EV_WRITE
   std::int64_t resumed_count_ = 0;
   Timer timer_;
 };
--- a/src/net/unix_socket.h
+++ b/src/net/unix_socket.h
@@ -1,4 +1,4 @@
-// Unix sockets that only the process's own user may connect to.
+// Unix sockets to which only the process's own user may connect.
 #ifndef SAGETALLY_SRC_NET_UNIX_SOCKET_H_
 #define SAGETALLY_SRC_NET_UNIX_SOCKET_H_
 
@@ -8,8 +8,9 @@
 
 namespace sagetally {
 
-// Binds `socket` and creates its file with mode 0600 from the first moment on. Returns 0, or errno. Changes
-// the process's umask meanwhile, so no other thread may create files at the same time.
+// Binds `socket` to `address`. The socket's file has mode 0600 from its creation on. Returns 0, or the errno
+// of the failure. Changes the process's umask during the call, so no other thread may create files at that
+// time.
 int BindForOwnerOnly(const FileDescriptor& socket, const sockaddr_un& address);
 
 }  // namespace sagetally
--- a/src/net/wakeup_descriptor.h
+++ b/src/net/wakeup_descriptor.h
@@ -1,4 +1,4 @@
-// Wakes the event loop from another thread.
+// A wakeup descriptor, by which other threads wake the event loop.
 #ifndef SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
 #define SAGETALLY_SRC_NET_WAKEUP_DESCRIPTOR_H_
 
@@ -15,10 +15,12 @@
 
 namespace sagetally {
 
-// An eventfd that any thread may notify, and that calls back on the loop's thread. Notifications that come
-// before the loop wakes give one callback together. Constructed and destroyed on the loop's thread.
+// Owns an eventfd. Any thread may notify it, and it then calls a function on the loop's thread. Notifications
+// that arrive before the loop wakes up result in a single call. Constructed and destroyed on the loop's
+// thread.
 class WakeupDescriptor {
  public:
+  // Calls `on_notified` on the loop's thread after Notify().
   WakeupDescriptor(EventLoop& loop, std::function<void()> on_notified)
       : on_notified_(std::move(on_notified)),
         descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
@@ -26,14 +28,14 @@
   WakeupDescriptor(const WakeupDescriptor&) = delete;
   WakeupDescriptor& operator=(const WakeupDescriptor&) = delete;
 
-  // From any thread. Does not block.
+  // Wakes the loop. May be called from any thread. Does not block.
   void Notify() const {
     const std::uint64_t increment = 1;
     ssize_t written = -1;
     do {
       written = ::write(descriptor_.get(), &increment, sizeof increment);
     } while (written < 0 && errno == EINTR);
-    // Else it fails only where the counter is full, and then the loop is due to wake anyway.
+    // Any other failure means that the counter is full, in which case the loop is about to wake up anyway.
   }
 
  private:
--- a/tests/net/client_connection_faults_test.cpp
+++ b/tests/net/client_connection_faults_test.cpp
@@ -1,5 +1,6 @@
-// A request that the server has read gets its whole response: over a full server, errors of system calls that
-// pass, an end of input behind pipelined requests, and clients that read late.
+// A request that the server has read gets its whole response, even if the server has to evict connections,
+// system calls fail with transient errors, the client closes its sending side after pipelined requests, or
+// the client reads late.
 #include <gtest/gtest.h>
 #include <sys/eventfd.h>
 
@@ -9,10 +10,11 @@
 namespace sagetally {
 namespace {
 
-constexpr std::size_t kLargeBody = 16 << 20;  // more than the system holds for a client that reads nothing
-constexpr auto kLongestWait = 3s;
+// More than the socket buffers hold while the client does not read.
+constexpr std::size_t kLargeBodyBytes = 16 << 20;
+constexpr auto kMaxWait = 3s;
 
-// System calls fail by a specification until the end of the scope.
+// Injects faults into system calls until the end of the scope. fault_shim.h describes the specification.
 class FaultScope {
  public:
   explicit FaultScope(const char* specification) {
@@ -23,40 +25,42 @@
   FaultScope& operator=(const FaultScope&) = delete;
 };
 
-// Runs the loop until `is_done()`, or gives up.
+// Runs the loop until `is_done()` returns true, but not longer than kMaxWait.
 template <typename Condition>
 void RunAtMost(EventLoop& loop, Condition is_done) {
-  const auto give_up_at = std::chrono::steady_clock::now() + kLongestWait;
+  const auto give_up_at = std::chrono::steady_clock::now() + kMaxWait;
   RunUntil(loop, [&] { return is_done() || std::chrono::steady_clock::now() > give_up_at; });
 }
 
+// Waits until the client has received `count` responses or the connection is closed.
 void AwaitResponsesOrEnd(ServerFixture& fixture, Client& client, int count) {
   RunAtMost(fixture.loop,
             [&] { return client.ResponseCount() >= count || client.has_ended || client.was_reset; });
 }
 
-// The response is given, and a new connection accepted, in one round of the loop: the response is not written
-// yet when one of them has to give way.
-TEST(ClientConnectionFaults, AResponseNotYetWrittenSurvivesANewConnection) {
+// A response is given and a new connection is accepted in the same iteration of the loop, so the response is
+// not written yet when the full server looks for a connection to evict.
+TEST(ClientConnectionFaults, DoesNotEvictConnectionWithUnwrittenResponse) {
   ServerFixture fixture(1);
-  fixture.hold_requests = true;
+  fixture.defer_responses = true;
   Client& first = fixture.Connect(kRequest);
-  RunAtMost(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
-  ASSERT_EQ(fixture.held_exchanges.size(), 1U);
+  RunAtMost(fixture.loop, [&] { return fixture.pending_exchanges.size() == 1; });
+  ASSERT_EQ(fixture.pending_exchanges.size(), 1U);
   const FileDescriptor wakeup(::eventfd(1, EFD_NONBLOCK | EFD_CLOEXEC));
   const auto respond = [](evutil_socket_t descriptor, short, void* exchange) {
     eventfd_t count = 0;
     EXPECT_EQ(::eventfd_read(descriptor, &count), 0);
     static_cast<Exchange*>(exchange)->Respond(200);
   };
-  const EventPtr before_the_listener = StartReadEvent(
-      fixture.loop, wakeup.get(), respond, fixture.held_exchanges[0].get(), EventPriority::kUrgent);
+  // The event's priority makes it run before the listener's.
+  const EventPtr respond_event = StartReadEvent(fixture.loop, wakeup.get(), respond,
+                                                fixture.pending_exchanges[0].get(), EventPriority::kUrgent);
   fixture.Connect();
   AwaitResponsesOrEnd(fixture, first, 1);
   EXPECT_EQ(first.ResponseCount(), 1);
 }
 
-TEST(ClientConnectionFaults, ErrorsThatPassDoNotEndAConnection) {
+TEST(ClientConnectionFaults, TransientErrorsDoNotCloseAConnection) {
   for (const char* specification :
        {"writev:ENOBUFS=0.5", "writev:ENOMEM=0.5", "readv:ENOMEM=0.5", "readv:EINTR=0.5,writev:EINTR=0.5",
         "writev:short=0.5,readv:short=0.5", "accept:EMFILE=0.5", "epoll_wait:EINTR=0.3"}) {
@@ -71,26 +75,26 @@
   }
 }
 
-TEST(ClientConnectionFaults, RequestsBeforeTheEndOfInputAreAnswered) {
-  for (const bool holds : {false, true}) {
+TEST(ClientConnectionFaults, AnswersPipelinedRequestsBeforeTheEndOfInput) {
+  for (const bool defers_responses : {false, true}) {
     ServerFixture fixture;
-    fixture.hold_requests = holds;
+    fixture.defer_responses = defers_responses;
     Client& client = fixture.Connect(kRequest + kRequest + kRequest);
     client.EndSending();
-    for (std::size_t i = 0; holds && i < 3; ++i) {
-      RunAtMost(fixture.loop, [&] { return fixture.held_exchanges.size() > i; });
-      ASSERT_EQ(fixture.held_exchanges.size(), i + 1);
-      fixture.held_exchanges[i]->Respond(200);
+    for (std::size_t i = 0; defers_responses && i < 3; ++i) {
+      RunAtMost(fixture.loop, [&] { return fixture.pending_exchanges.size() > i; });
+      ASSERT_EQ(fixture.pending_exchanges.size(), i + 1);
+      fixture.pending_exchanges[i]->Respond(200);
     }
     AwaitResponsesOrEnd(fixture, client, 3);
-    EXPECT_EQ(client.ResponseCount(), 3) << "answered later: " << holds;
+    EXPECT_EQ(client.ResponseCount(), 3) << "answered later: " << defers_responses;
     RunAtMost(fixture.loop, [&] { return fixture.server.connection_count() == 0; });
     EXPECT_EQ(fixture.server.connection_count(), 0U);
   }
 }
 
-// Half a request behind them will never be whole.
-TEST(ClientConnectionFaults, HalfARequestBeforeTheEndOfInputEndsTheConnection) {
+// The client closes its sending side within its second request, which can never be complete.
+TEST(ClientConnectionFaults, ClosesConnectionAfterHalfARequest) {
   ServerFixture fixture;
   Client& client = fixture.Connect(kRequest + kRequest.substr(0, 10));
   client.EndSending();
@@ -100,26 +104,26 @@
   EXPECT_EQ(fixture.request_count, 1);
 }
 
-// Requests that were read before the shutdown are answered, however many came at once.
-TEST(ClientConnectionFaults, PipelinedRequestsAreAnsweredThroughAShutdown) {
+// Requests that were read before the shutdown are answered, however many arrived at once.
+TEST(ClientConnectionFaults, AnswersPipelinedRequestsDuringShutdown) {
   ServerFixture fixture;
-  fixture.hold_requests = true;
+  fixture.defer_responses = true;
   Client& client = fixture.Connect(kRequest + kRequest + kRequest);
-  RunAtMost(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
-  ASSERT_EQ(fixture.held_exchanges.size(), 1U);
-  fixture.hold_requests = false;
+  RunAtMost(fixture.loop, [&] { return fixture.pending_exchanges.size() == 1; });
+  ASSERT_EQ(fixture.pending_exchanges.size(), 1U);
+  fixture.defer_responses = false;
   fixture.server.CloseBetweenRequests(true);
-  fixture.held_exchanges[0]->Respond(200);
+  fixture.pending_exchanges[0]->Respond(200);
   AwaitResponsesOrEnd(fixture, client, 3);
   EXPECT_EQ(client.ResponseCount(), 3);
   fixture.WaitForEnd(client);
 }
 
-TEST(ClientConnectionFaults, APartOfARequestThatGivesWayGetsAnError) {
+TEST(ClientConnectionFaults, RespondsWith503WhenEvictingWithinARequest) {
   ServerFixture fixture(1);
   Client& first = fixture.Connect(kRequest.substr(0, 10));
   RunAtMost(fixture.loop, [&] { return fixture.server.connection_count() == 1; });
-  RunFor(fixture.loop, 20ms);  // it is read
+  RunFor(fixture.loop, 20ms);  // the server reads the part of the request
   fixture.Connect();
   RunAtMost(fixture.loop, [&] {
     first.Received();
@@ -129,35 +133,36 @@
   EXPECT_NE(first.Received().find("HTTP/1.1 503 "), std::string::npos);
 }
 
-// The rest of the request has come already when a new connection needs the place.
-TEST(ClientConnectionFaults, AWholeRequestThatIsReadInPartDoesNotGiveWay) {
+// The rest of a partly read request has already arrived when a new connection makes the full server look for
+// a connection to evict.
+TEST(ClientConnectionFaults, DoesNotEvictConnectionWithUnreadRestOfARequest) {
   ServerFixture fixture(1);
   Client& first = fixture.Connect(kRequest.substr(0, 10));
   RunAtMost(fixture.loop, [&] { return fixture.server.connection_count() == 1; });
   RunFor(fixture.loop, 20ms);
-  fixture.Connect();  // the listener is ready before the rest of the request
+  fixture.Connect();  // the listener becomes readable before the rest of the request arrives
   ASSERT_TRUE(first.Send(kRequest.substr(10)));
   AwaitResponsesOrEnd(fixture, first, 1);
   EXPECT_NE(first.Received().find("HTTP/1.1 200 "), std::string::npos);
 }
 
-TEST(ClientConnectionFaults, AClientThatReadsLateGetsItsLastResponse) {
-  for (const std::string& behind : {std::string(), kRequest}) {
+TEST(ClientConnectionFaults, SendsWholeLastResponseToAClientThatReadsLate) {
+  for (const std::string& extra_bytes : {std::string(), kRequest}) {
     ServerFixture fixture;
-    fixture.response_body = std::string(kLargeBody, 'x');
-    Client& client = fixture.Connect("GET / HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n" + behind);
+    fixture.response_body = std::string(kLargeBodyBytes, 'x');
+    Client& client = fixture.Connect("GET / HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n" + extra_bytes);
     RunAtMost(fixture.loop, [&] { return fixture.request_count == 1; });
     RunFor(fixture.loop, 500ms);
     RunAtMost(fixture.loop, [&] {
       client.Received();
       return client.has_ended || client.was_reset;
     });
-    EXPECT_GT(client.Received().size(), kLargeBody) << "bytes behind the request: " << behind.size();
+    EXPECT_GT(client.Received().size(), kLargeBodyBytes) << "bytes after the request: " << extra_bytes.size();
   }
 }
 
-// accept() reports errors of single connections, and of descriptors that are short for a moment.
-TEST(ClientConnectionFaults, TheQueueOfAClosingListenerSurvivesErrorsOfAccept) {
+// accept() also reports errors of single connections, and temporary shortages of descriptors.
+TEST(ClientConnectionFaults, StopListeningServesQueuedConnectionsDespiteAcceptErrors) {
   for (const char* specification :
        {"accept:ECONNABORTED=0.5", "accept:EINTR=0.5", "accept:EMFILE=0.5", "accept:ENOBUFS=0.5"}) {
     ServerFixture fixture;
--- a/tests/net/discovery_races_test.cpp
+++ b/tests/net/discovery_races_test.cpp
@@ -1,5 +1,6 @@
-// Races between this process's requests to the platform and what the platform does: endpoint lists and
-// notifications. Many watches run side by side, so that the protocol's seconds pass only once.
+// Races between this process's requests to the platform (for endpoint lists, and with notifications) and the
+// platform's responses. Many watches run at the same time, so that the protocol's timeouts of seconds are
+// waited for only once.
 #include <sys/socket.h>
 
 #include "../app/world.h"
@@ -11,13 +12,14 @@
 
 using Clock = std::chrono::steady_clock;
 
-std::string List(int revision, const std::string& state, bool whole = false) {
-  return R"({"rev":)" + std::to_string(revision) + R"(,"all":)" + (whole ? "true" : "false") +
+// Returns a list with one endpoint in `state`.
+std::string List(int revision, const std::string& state, bool is_full_snapshot = false) {
+  return R"({"rev":)" + std::to_string(revision) + R"(,"all":)" + (is_full_snapshot ? "true" : "false") +
          R"(,"targets":[{"uid":"s","endpoint":"127.0.0.1:9","pod_group":7,"state":")" + state +
          R"(","capacity_hint":5,"boot_ms":0}]})";
 }
 
-// A discovery whose requests the test answers, and a watcher of it that knows revision 41.
+// A stub of discovery whose requests the test answers, and a watcher that already has revision 41.
 struct WatcherFixture {
   WatcherFixture(EventLoop& loop, bool on_request, int dispatcher_count = 3, std::uint64_t seed = 1)
       : discovery(loop, {"127.0.0.1", 0}, [this](const std::shared_ptr<loadtest::Call>& request) {
@@ -40,18 +42,18 @@
   std::function<void(loadtest::Call&)> respond;
   std::vector<std::shared_ptr<loadtest::Call>> requests;
   std::vector<EndpointRecord::State> states;  // in the order of the updates
-  Clock::time_point updated_at;               // the last one
-  Clock::time_point silent_at;
+  Clock::time_point updated_at;               // when the last update was received
+  Clock::time_point silent_at;                // when discovery sent its last line before it became silent
   SiteSettings site;
   Logger log;
   loadtest::Listener discovery;
   std::unique_ptr<EndpointListWatcher> watcher;
 };
 
-// The watch falls silent after a line, then a drain is listed. The next request is never answered, rejected
-// late, reset, ended or answered with a malformed list: the drain is received before it binds, 6 + 2 s later,
-// all the same.
-void ADrainIsReceivedBeforeItBindsAfterSilence() {
+// The watch becomes silent after a line, and then discovery has a drain. The next request is never answered,
+// rejected late, reset, ended, or answered with a malformed list. The drain must still be received before it
+// takes effect, which is 6 + 2 s later.
+void ADrainIsReceivedInTimeAfterASilentWatch() {
   EventLoop loop;
   std::vector<std::unique_ptr<WatcherFixture>> all;
   std::vector<std::unique_ptr<Timer>> late_responses;
@@ -92,9 +94,10 @@
   }
 }
 
-// Discovery is down, then back: whomever it has rejected for long asks again in time, in a small fleet and in
-// a large one, and none of them more often than a large fleet may.
-void DiscoveryThatComesBackIsAskedInTime() {
+// Discovery rejects requests for a long time and then becomes available again. All dispatchers then request
+// their lists in time, in a small fleet and in a large one. Before that, none in the large fleet makes more
+// requests than it may.
+void ListsAreRequestedInTimeAfterAnOutage() {
   EventLoop loop;
   std::vector<std::unique_ptr<WatcherFixture>> all;
   for (int i = 0; i < 60; ++i) {
@@ -102,8 +105,8 @@
         std::make_unique<WatcherFixture>(loop, true, i < 30 ? 3 : 300, static_cast<std::uint64_t>(i)));
     all.back()->respond = [](loadtest::Call& call) { call.Answer(503); };
   }
-  RunFor(loop, 6s);  // the protocol's own time
-  const auto back_at = Clock::now();
+  RunFor(loop, 6s);  // real time, in which the watchers' delays pass
+  const auto available_at = Clock::now();
   for (int i = 0; i < 60; ++i) {
     assert(i < 30 ? all[static_cast<std::size_t>(i)]->requests.size() >= 6
                   : all[static_cast<std::size_t>(i)]->requests.size() <= 12);
@@ -115,10 +118,11 @@
   RunUntil(loop, [&] {
     return std::ranges::all_of(all, [](const auto& fixture) { return fixture->HasDrained(); });
   });
-  assert(Clock::now() - back_at < 6s);
+  assert(Clock::now() - available_at < 6s);
 }
 
-// As some discoveries write them, in any pieces; an empty line between two shows that the watch is alive.
+// Some discoveries send indented lists. They may arrive in any pieces, and an empty line between two lists is
+// a sign of life.
 void ListsMayBeIndented() {
   EventLoop loop;
   WatcherFixture fixture(loop, false);
@@ -138,7 +142,8 @@
   assert(fixture.HasDrained() && fixture.watcher->revision() == 44 && fixture.requests.size() == 1);
 }
 
-// Nothing has changed: the headers come at once, and the first line only with the next keep-alive.
+// If nothing has changed, discovery sends the headers at once, and the first line only with its next
+// keep-alive.
 void AWatchWithoutChangesIsNotLost() {
   EventLoop loop;
   WatcherFixture pushed(loop, false);
@@ -147,14 +152,14 @@
     each->respond = [](loadtest::Call& call) { call.StartChunks(); };
   }
   RunUntil(loop, [&] { return !pushed.requests.empty() && !polled.requests.empty(); });
-  RunFor(loop, 2500ms);  // longer than a request may stay without a response
+  RunFor(loop, 2500ms);  // longer than the response timeout
   for (WatcherFixture* each : {&pushed, &polled}) {
     assert(each->requests.size() == 1 && each->last_request().Chunk("\n"));
   }
 }
 
-// A malformed list is one log line and a new watch after the known revision, whose response brings what was
-// in the list.
+// A malformed list is logged, and the watch is requested again from the known revision on. The response then
+// contains what was in the malformed list.
 void AMalformedListIsRequestedAgain() {
   const std::string malformed[] = {"this is no list\n",
                                    List(42, "resting") + "\n",
@@ -168,7 +173,7 @@
     RunUntil(loop, [&] { return !fixture.requests.empty(); });
     fixture.last_request().StartChunks();
     fixture.last_request().Chunk(text);
-    fixture.last_request().Chunk(List(43, "in_service") + "\n");  // nothing after it is trusted
+    fixture.last_request().Chunk(List(43, "in_service") + "\n");  // ignored after the malformed list
     RunUntil(loop, [&] { return fixture.requests.size() == 2; });
     assert(fixture.requests[1]->target.ends_with("after=41") && fixture.states.empty());
     fixture.last_request().StartChunks();
@@ -177,56 +182,58 @@
   }
 }
 
-// SIGHUP during a watch: what the old address still sends is ignored.
+// The address of discovery changes during a watch, as by SIGHUP. What the old address still sends is ignored.
 void AResponseFromTheOldAddressIsIgnored() {
   EventLoop loop;
   WatcherFixture fixture(loop, false);
   RunUntil(loop, [&] { return !fixture.requests.empty(); });
-  std::shared_ptr<loadtest::Call> at_new;
-  loadtest::Listener other(loop, {"127.0.0.1", 0}, [&](const auto& call) { at_new = call; });
+  std::shared_ptr<loadtest::Call> new_request;
+  loadtest::Listener other(loop, {"127.0.0.1", 0}, [&](const auto& call) { new_request = call; });
   fixture.last_request().StartChunks();
-  fixture.last_request().Chunk(List(99, "in_service", true) + "\n");  // on its way
+  fixture.last_request().Chunk(List(99, "in_service", true) + "\n");  // in transit when the address changes
   fixture.watcher->ChangeAddress({"127.0.0.1", other.port()});
-  RunUntil(loop, [&] { return at_new != nullptr; });
+  RunUntil(loop, [&] { return new_request != nullptr; });
   fixture.last_request().Chunk(List(100, "in_service", true) + "\n");
-  at_new->StartChunks();
-  at_new->Chunk(List(42, "terminating") + "\n");
+  new_request->StartChunks();
+  new_request->Chunk(List(42, "terminating") + "\n");
   RunUntil(loop, [&] { return !fixture.states.empty(); });
   assert(fixture.states.size() == 1 && fixture.HasDrained() && fixture.watcher->revision() == 42);
 }
 
-// A discovery that lags behind does not bring back what is draining; one that counts anew is followed.
-void AnOlderRevisionIsFollowedOnlyIfNothingNewerComes() {
+// A list of an older revision from a discovery that lags behind must not put draining endpoints back into
+// service. If no newer list arrives in time, discovery has restarted its revision numbers, and the older
+// revision is accepted.
+void AnOlderRevisionIsAcceptedOnlyAfterATimeout() {
   EventLoop loop;
-  WatcherFixture lags(loop, false);
-  WatcherFixture anew(loop, false);
-  for (WatcherFixture* fixture : {&lags, &anew}) {
+  WatcherFixture lagging(loop, false);
+  WatcherFixture restarted(loop, false);
+  for (WatcherFixture* fixture : {&lagging, &restarted}) {
     RunUntil(loop, [&] { return !fixture->requests.empty(); });
     fixture->last_request().StartChunks();
     fixture->last_request().Chunk(List(40, "in_service", true) + "\n");
   }
-  lags.last_request().Chunk(List(41, "terminating") + "\n");
+  lagging.last_request().Chunk(List(41, "terminating") + "\n");
   const auto started_at = Clock::now();
-  RunUntil(loop, [&] { return !lags.states.empty(); });
-  assert(lags.HasDrained() && lags.states.size() == 1);
-  const std::size_t requests_before = anew.requests.size();
-  anew.respond = [](loadtest::Call& call) {
+  RunUntil(loop, [&] { return !lagging.states.empty(); });
+  assert(lagging.HasDrained() && lagging.states.size() == 1);
+  const std::size_t requests_before = restarted.requests.size();
+  restarted.respond = [](loadtest::Call& call) {
     call.StartChunks();
     call.Chunk(List(2, "terminating", true) + "\n");
   };
   Timer keep_alive(loop, [&] {
-    anew.requests[0]->Chunk("\n");
-    lags.requests[0]->Chunk("\n");
+    restarted.requests[0]->Chunk("\n");
+    lagging.requests[0]->Chunk("\n");
     keep_alive.Schedule(1s);
   });
   keep_alive.Schedule(1s);
-  RunUntil(loop, [&] { return !anew.states.empty(); });
-  // It counts as announced 4 s after a move, and binds 2 s later.
-  assert(Clock::now() - started_at < 6s && anew.HasDrained() && anew.watcher->revision() == 2);
-  assert(anew.requests.size() > requests_before && lags.requests.size() == 1);
+  RunUntil(loop, [&] { return !restarted.states.empty(); });
+  // The list counts as announced 4 s after the watch was moved, and a drain takes effect 2 s later.
+  assert(Clock::now() - started_at < 6s && restarted.HasDrained() && restarted.watcher->revision() == 2);
+  assert(restarted.requests.size() > requests_before && lagging.requests.size() == 1);
 }
 
-// Bounds memory: a response that claims to be endless is not gathered.
+// A response that states a huge length, or has no end, is not buffered. This limits the use of memory.
 void AnEndlessResponseIsNotBuffered() {
   for (const std::string& head :
        {std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffff0\r\n"),
@@ -256,14 +263,14 @@
     RunUntil(loop, [&] {
       const ssize_t size = ::send(peer.fds[0].get(), more.data(), more.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
       sent_bytes += size > 0 ? static_cast<std::size_t>(size) : 0;
-      return peer.fds.size() > 1;  // it was given up and requested again
+      return peer.fds.size() > 1;  // the watcher has given the response up and requested the list again
     });
     assert(sent_bytes < 32 * 1024 * 1024 && update_count == 0);
   }
 }
 
-// The response to a batch that was given up comes after the next batch was posted: it acknowledges only what
-// it was sent for.
+// The response to a batch that was given up arrives after the next batch was posted. It must not acknowledge
+// the notifications in the next batch.
 void ALateResponseAcknowledgesNoOtherNotification() {
   EventLoop loop;
   std::vector<std::shared_ptr<loadtest::Call>> posts;
@@ -283,11 +290,12 @@
   notify(1);
   RunUntil(loop, [&] { return posts.size() == 1; });
   notify(2);
-  // The agent does nothing until the batch is given up and the next one, with both, was posted.
+  // The agent does not respond until the batch was given up and the next one, with both notifications, was
+  // posted.
   RunUntil(loop, [&] { return posts.size() == 2; });
   posts[0]->Answer(204);
   notify(3);
-  RunFor(loop, 50ms);  // nothing can come of it, so there is nothing to wait for
+  RunFor(loop, 50ms);  // the late response has no effect that the test could wait for
   assert(acknowledged.empty() && posts[1]->body.find("m2") != std::string::npos);
   posts[1]->Answer(204);
   RunUntil(loop, [&] { return posts.size() == 3; });
@@ -303,13 +311,13 @@
 int main() {
   using namespace sagetally;
   std::signal(SIGPIPE, SIG_IGN);
-  ADrainIsReceivedBeforeItBindsAfterSilence();
-  DiscoveryThatComesBackIsAskedInTime();
+  ADrainIsReceivedInTimeAfterASilentWatch();
+  ListsAreRequestedInTimeAfterAnOutage();
   ListsMayBeIndented();
   AWatchWithoutChangesIsNotLost();
   AMalformedListIsRequestedAgain();
   AResponseFromTheOldAddressIsIgnored();
-  AnOlderRevisionIsFollowedOnlyIfNothingNewerComes();
+  AnOlderRevisionIsAcceptedOnlyAfterATimeout();
   AnEndlessResponseIsNotBuffered();
   ALateResponseAcknowledgesNoOtherNotification();
   std::puts("9 passed, 0 failed");
--- a/tests/net/endpoint_list_watcher_test.cpp
+++ b/tests/net/endpoint_list_watcher_test.cpp
@@ -1,5 +1,5 @@
-// Requests for endpoint lists: one dispatcher comes back soon, and hundreds don't keep discovery too busy to
-// serve any.
+// The rate of requests for endpoint lists. A single dispatcher retries soon, and hundreds of dispatchers do
+// not overload discovery so much that it serves none of them.
 #undef NDEBUG
 #include "net/endpoint_list_watcher.h"
 
@@ -15,9 +15,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kWatcherCount = 20;  // run side by side
+constexpr int kWatcherCount = 20;  // how many watchers run at the same time
 
-void EachDelayIsBelowABoundThatDoubles() {
+void BackoffDelaysStayBelowADoublingBound() {
   for (const std::uint64_t seed : {1, 2, 3}) {
     Backoff backoff(100ms, 700ms, seed);
     for (int round = 0; round < 2; ++round) {
@@ -29,17 +29,19 @@
     }
   }
   Backoff constant(200ms, 0ms, 1);
-  Backoff huge_fleet(150s, 10s, 1);  // thousands of dispatchers must not stay away for minutes
+  Backoff huge_fleet(150s, 10s, 1);  // thousands of dispatchers must not wait for minutes
   for (int i = 0; i < 5; ++i) assert(constant.NextDelay() <= 200ms && huge_fleet.NextDelay() <= 10s);
 }
 
-// In virtual time: discovery serves `max_per_second` requests in any second, rejected ones counted, and each
-// of the dispatchers comes again until it has been served. Returns how many were served after 60 s.
-int CountServed(int dispatcher_count, std::size_t max_per_second, Duration first, Duration longest) {
+// Simulates, in virtual time, a discovery that serves at most `max_per_second` requests in any second and
+// rejects the others; rejected requests count as well. Each dispatcher retries until it is served, with a
+// backoff from `initial_bound` to `max_bound`. Returns how many dispatchers are served after 60 s.
+int CountServed(int dispatcher_count, std::size_t max_per_second, Duration initial_bound,
+                Duration max_bound) {
   std::vector<Backoff> backoffs;
   std::priority_queue<std::pair<Duration, int>, std::vector<std::pair<Duration, int>>, std::greater<>> due;
   for (int i = 0; i < dispatcher_count; ++i) {
-    backoffs.emplace_back(first, longest, static_cast<std::uint64_t>(i));
+    backoffs.emplace_back(initial_bound, max_bound, static_cast<std::uint64_t>(i));
     due.emplace(backoffs.back().NextDelay(), i);
   }
   std::deque<Duration> recent_requests;
@@ -57,16 +59,16 @@
   return served;
 }
 
-void HundredsOfDispatchersAreServedInTurn() {
+void BackoffLetsDiscoveryServeHundredsOfDispatchers() {
   for (const int dispatcher_count : {100, 300}) {
     assert(CountServed(dispatcher_count, 40, 200ms, 10s) == dispatcher_count);
     assert(CountServed(dispatcher_count, 40, 200ms, 200ms) <
-           dispatcher_count);  // without doubling they are not
+           dispatcher_count);  // without a growing bound, some are not served
   }
 }
 
-// How many requests each of kWatcherCount watchers, in a fleet of that size, makes in `time` of a discovery
-// that rejects all of them; the mean.
+// Runs kWatcherCount watchers for `time` against a discovery that rejects all requests. The watchers are
+// configured for a fleet of `dispatcher_count`. Returns the mean number of requests per watcher.
 double RequestsPerWatcher(bool on_request, int dispatcher_count, Duration time) {
   EventLoop loop;
   int request_count = 0;
@@ -90,18 +92,19 @@
   return static_cast<double>(request_count) / kWatcherCount;
 }
 
-void ALargeFleetRequestsListsSeldom() {
-  // Each waits up to 5 s, to receive a drain before it binds: 1.3 requests are to be expected.
+void LargeFleetLimitsItsRequestRate() {
+  // Each watcher waits at most 5 s, so that it receives a drain before it takes effect. The expected mean
+  // is 1.3 requests.
   assert(RequestsPerWatcher(true, 300, 1500ms) <= 2);
   assert(RequestsPerWatcher(true, 3, 1500ms) >= 3);
-  assert(RequestsPerWatcher(false, 300, 1500ms) >= 5);  // pushed lists cost discovery nothing
+  assert(RequestsPerWatcher(false, 300, 1500ms) >= 5);  // requests for pushed lists do not burden discovery
 }
 
 }  // namespace
 }  // namespace sagetally
 
 int main() {
-  sagetally::EachDelayIsBelowABoundThatDoubles();
-  sagetally::HundredsOfDispatchersAreServedInTurn();
-  sagetally::ALargeFleetRequestsListsSeldom();
+  sagetally::BackoffDelaysStayBelowADoublingBound();
+  sagetally::BackoffLetsDiscoveryServeHundredsOfDispatchers();
+  sagetally::LargeFleetLimitsItsRequestRate();
 }
--- a/tests/net/endpoint_pool_races_test.cpp
+++ b/tests/net/endpoint_pool_races_test.cpp
@@ -1,4 +1,4 @@
-// Races at the endpoint pool: two events that happen before the pool learns of either.
+// Races at the endpoint pool. In each test, two events happen before the pool is notified of either.
 #include "../app/world.h"
 #include "raw_socket.h"
 
@@ -7,7 +7,8 @@
 
 const std::string kOkResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-// A listening socket whose accept queue holds one connection: while that place is taken, no other comes up.
+// A listening socket whose accept queue holds one connection. While the queue is full, no further connection
+// is established.
 class RawEndpoint {
  public:
   RawEndpoint() : listener_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
@@ -17,32 +18,32 @@
     getsockname(listener_.get(), reinterpret_cast<sockaddr*>(&address_), &size);
   }
   std::uint16_t port() const { return ntohs(address_.sin_port); }
-  // From now on connections wait to come up, until ResumeConnects().
+  // Fills the accept queue, so that new connections are not established until ResumeConnects().
   void StallConnects() { blocker_ = ConnectToLoopback(port()); }
   void ResumeConnects() {
     const FileDescriptor first(Accept());
     assert(first.get() >= 0);
     blocker_ = FileDescriptor();
   }
-  // -1: none has come.
+  // Returns the descriptor of the next connection, or -1 if there is none.
   int Accept() { return ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK); }
 
  private:
   sockaddr_in address_ = LoopbackAddress(0);
   FileDescriptor listener_;
-  FileDescriptor blocker_;  // holds the place in the queue
+  FileDescriptor blocker_;  // the connection that fills the queue
 };
 
 void MustSend(const FileDescriptor& fd, const std::string& text) { assert(SendAll(fd, text)); }
 
-// What has come; empty if nothing has, or the other side has ended.
+// Returns the bytes that have arrived, or an empty string if there are none or the peer has closed.
 std::string Receive(const FileDescriptor& fd) {
   char text[kRawReadBytes];
   const ssize_t size = ::recv(fd.get(), text, sizeof text, MSG_DONTWAIT);
   return size > 0 ? std::string(text, static_cast<std::size_t>(size)) : "";
 }
 
-// A pool with one endpoint, and the outcomes of its calls: one for each, or the test fails.
+// A pool with one endpoint, and the outcomes of its calls. Asserts that each call has only one outcome.
 struct PoolFixture {
   PoolFixture() {
     std::signal(SIGPIPE, SIG_IGN);
@@ -90,28 +91,29 @@
   Request request;
 };
 
-// A response that no call has asked for would count a message as delivered that never left.
-void BytesBeforeTheCallAreNoDelivery() {
+// A response that arrives before the call was written must not count as a delivery of a message that was
+// never sent.
+void BytesReceivedBeforeACallAreNotADelivery() {
   PoolFixture fixture;
   fixture.Call(1);
-  FileDescriptor fd(fixture.endpoint.Accept());  // connected, and the pool does not know it yet
+  FileDescriptor fd(fixture.endpoint.Accept());  // the pool is not notified of the connection yet
   assert(fd.get() >= 0);
   MustSend(fd, kOkResponse);
   assert(fixture.WaitForOutcome(1) == Outcome::kConnectFailed && Receive(fd).empty());
   fixture.Call(2);
   fd = FileDescriptor(fixture.endpoint.Accept());
-  // An endpoint that takes no further connection need not read a call.
+  // An endpoint that accepts no further connection may reject the call without reading it.
   MustSend(fd, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
   assert(fixture.WaitForOutcome(2) == Outcome::kRejected && Receive(fd).empty());
   fixture.Call(3);
   fd = FileDescriptor(fixture.endpoint.Accept());
-  MustSend(fd, "HTTP/1.1 200");  // half a line, and then nothing
+  MustSend(fd, "HTTP/1.1 200");  // a part of the status line, then the end of the connection
   fd = FileDescriptor();
   assert(fixture.WaitForOutcome(3) == Outcome::kConnectFailed);
 }
 
-// The endpoint ends an idle connection, or sends something on it, just before it would be used.
-void AnIdleConnectionThatHasEndedIsNotUsed() {
+// The endpoint closes or resets an idle connection, or sends bytes on it, just before a call would use it.
+void AClosedIdleConnectionIsNotReused() {
   enum class Change { kClosed, kReset, kBytes };
   for (const Change change : {Change::kClosed, Change::kReset, Change::kBytes}) {
     PoolFixture fixture;
@@ -121,7 +123,7 @@
     if (change == Change::kClosed) fd = FileDescriptor();
     if (change == Change::kReset) ResetConnection(fd);
     if (change == Change::kBytes) MustSend(fd, "HTTP/1.1 20");
-    fixture.Call(2);  // before the pool knows
+    fixture.Call(2);  // before the pool is notified of the change
     FileDescriptor next = fixture.WaitForConnection();
     fixture.WaitForCall(next);
     MustSend(next, kOkResponse);
@@ -129,22 +131,23 @@
   }
 }
 
-// It ends the connection just after: the call may have run, whether it was read there or not.
-void AnIdleConnectionThatEndsDuringACallIsAReset() {
-  for (const bool read : {false, true}) {
+// The endpoint closes the connection just after a call was written on it. The call may have run, whether the
+// endpoint has read it or not.
+void AConnectionClosedDuringACallIsAReset() {
+  for (const bool endpoint_reads_call : {false, true}) {
     PoolFixture fixture;
     FileDescriptor fd = fixture.CallOnNewConnection(1);
     MustSend(fd, kOkResponse);
     assert(fixture.WaitForOutcome(1) == Outcome::kOk);
     fixture.Call(2);
-    if (read) assert(Receive(fd).starts_with("POST"));
+    if (endpoint_reads_call) assert(Receive(fd).starts_with("POST"));
     fd = FileDescriptor();
     assert(fixture.WaitForOutcome(2) == Outcome::kReset);
   }
 }
 
-// The connection breaks within a response, at once and after other calls have come and gone.
-void ABrokenResponseIsClassifiedByItsStatusLine() {
+// The connection is reset within a response, either at once or after another call was completed.
+void ATruncatedResponseIsClassifiedByItsStatusLine() {
   struct Case {
     const char* response;
     Outcome outcome;
@@ -155,11 +158,11 @@
                         {"HTTP/1.1 503 Fu", Outcome::kReset},
                         {"HTTP/1.1 500 Oops\r\n", Outcome::kReset}};
   for (const auto& [response, outcome] : cases) {
-    for (const bool later : {false, true}) {
+    for (const bool reset_after_other_call : {false, true}) {
       PoolFixture fixture;
       FileDescriptor fd = fixture.CallOnNewConnection(1);
       MustSend(fd, response);
-      if (later) {
+      if (reset_after_other_call) {
         FileDescriptor second = fixture.CallOnNewConnection(2);
         MustSend(second, kOkResponse);
         assert(fixture.WaitForOutcome(2) == Outcome::kOk);
@@ -170,20 +173,21 @@
   }
 }
 
-// The response is there, or on its way, when the call is abandoned: its Retry-After counts, and nothing else
-// of it. The endpoint may have given the call up as well and count no delivery, so a message that was taken
-// for delivered would be lost. What comes later belongs to no other call. One result in each case.
-void AnAbandonedCallStillReadsItsRetryAfter() {
+// The response has arrived, or is on its way, when the call is abandoned. Its retry-after time is observed,
+// but its status is not: the endpoint may have given the call up as well and not count a delivery, so a
+// message that is taken for delivered would be lost. Bytes that arrive later are not taken for the response
+// to another call. Each call has exactly one result.
+void RetryAfterOfAnAbandonedCallIsObserved() {
   PoolFixture fixture;
   for (const std::uint64_t number : {11, 12}) {
     FileDescriptor fd = fixture.CallOnNewConnection(number);
-    const std::string wait = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 400\r\nContent-Length: 0\r\n\r\n";
-    if (number == 11) MustSend(fd, wait);
+    const std::string retry_later = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 400\r\nContent-Length: 0\r\n\r\n";
+    if (number == 11) MustSend(fd, retry_later);
     fixture.pool.CancelCall(number);
-    std::string end = "-";
-    if (number == 12) {  // written when the endpoint sees that the call was abandoned
-      RunUntil(fixture.loop, [&] { return ::recv(fd.get(), end.data(), 1, MSG_DONTWAIT) == 0; });
-      MustSend(fd, wait);
+    std::string byte = "-";
+    if (number == 12) {  // the endpoint responds when it learns that the call was abandoned
+      RunUntil(fixture.loop, [&] { return ::recv(fd.get(), byte.data(), 1, MSG_DONTWAIT) == 0; });
+      MustSend(fd, retry_later);
     }
     assert(fixture.WaitForOutcome(number) == Outcome::kCancelled && fixture.last_retry_after == 400ms);
   }
@@ -194,7 +198,7 @@
     fixture.pool.CancelCall(number);
     assert(fixture.WaitForOutcome(number) == Outcome::kCancelled);
   }
-  {  // its first line was read before, as another call shows that came and went since
+  {  // the status line was read before the call is abandoned, which the result of a later call shows
     FileDescriptor fd = fixture.CallOnNewConnection(15);
     MustSend(fd, "HTTP/1.1 200 OK\r\nContent-");
     FileDescriptor other = fixture.CallOnNewConnection(16);
@@ -220,31 +224,31 @@
   assert(fixture.WaitForOutcome(4) == Outcome::kOk && fixture.outcomes.size() == 10);
 }
 
-// A call whose connection comes up late sends no byte once the time in which it may be written is over, or
-// its endpoint drains or was removed; else it is sent, however late.
-void ACallThatConnectsLateIsWrittenOnlyWhileAllowed() {
+// A call whose connection is established late is not written if its write timeout has passed, or if its
+// endpoint drains or was removed in the meantime. Otherwise it is written, however late.
+void ACallOnALateConnectionIsWrittenOnlyWhileAllowed() {
   enum class Change { kWriteDeadline, kDraining, kRemoved, kNone };
   for (const Change change : {Change::kWriteDeadline, Change::kDraining, Change::kRemoved, Change::kNone}) {
     PoolFixture fixture;
     fixture.endpoint.StallConnects();
     fixture.Call(1, 5s, change == Change::kWriteDeadline ? std::optional<Duration>(300ms) : std::nullopt);
-    RunFor(fixture.loop, 1ms);  // it has begun to connect
+    RunFor(fixture.loop, 1ms);  // the pool begins to connect
     if (change == Change::kDraining) fixture.SetState(EndpointRecord::State::kDraining);
     if (change == Change::kRemoved) fixture.pool.RemoveEndpoint("s");
     if (change != Change::kNone) assert(fixture.WaitForOutcome(1) == Outcome::kNotSent);
     fixture.endpoint.ResumeConnects();
     if (change != Change::kNone) continue;
-    FileDescriptor fd =
-        fixture.WaitForConnection();  // as the system connects again, a second after the first time
+    // The system retries the connection a second after its first attempt.
+    FileDescriptor fd = fixture.WaitForConnection();
     fixture.WaitForCall(fd);
     MustSend(fd, kOkResponse);
     assert(fixture.WaitForOutcome(1) == Outcome::kOk);
   }
 }
 
-// The same through the whole dispatcher: the retry of a message with an idempotency key is still connecting
-// when its window ends. In the simulator, two runs in fifty broke the rule, one of them with a retry chosen
-// 7,233 ms after the first attempt and written at 8,233 ms.
+// The same with a whole dispatcher: the retry of a message with an idempotency key is still connecting when
+// its deduplication window ends. In the simulator, two runs in fifty broke the rule because of this: one
+// retry was chosen 7,233 ms after the first attempt and written at 8,233 ms.
 void ARetryIsNotWrittenAfterItsDeduplicationWindow() {
   RawEndpoint endpoint;
   World world;
@@ -259,7 +263,7 @@
            [&] { return (received += Receive(fd)).find("X-Request-Id: late\r\n") != received.npos; });
   const auto first = std::chrono::steady_clock::now();
   endpoint.StallConnects();
-  ResetConnection(fd);  // it may have run: the retry waits for its connection
+  ResetConnection(fd);  // the call may have run, and the retry waits for a connection
   RunUntil(world.loop, [&] { return std::chrono::steady_clock::now() > first + 650ms; });
   endpoint.ResumeConnects();
   std::string second;
@@ -276,12 +280,12 @@
 
 int main() {
   using namespace sagetally;
-  BytesBeforeTheCallAreNoDelivery();
-  AnIdleConnectionThatHasEndedIsNotUsed();
-  AnIdleConnectionThatEndsDuringACallIsAReset();
-  ABrokenResponseIsClassifiedByItsStatusLine();
-  AnAbandonedCallStillReadsItsRetryAfter();
-  ACallThatConnectsLateIsWrittenOnlyWhileAllowed();
+  BytesReceivedBeforeACallAreNotADelivery();
+  AClosedIdleConnectionIsNotReused();
+  AConnectionClosedDuringACallIsAReset();
+  ATruncatedResponseIsClassifiedByItsStatusLine();
+  RetryAfterOfAnAbandonedCallIsObserved();
+  ACallOnALateConnectionIsWrittenOnlyWhileAllowed();
   ARetryIsNotWrittenAfterItsDeduplicationWindow();
   std::puts("7 passed, 0 failed");
 }
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -1,4 +1,5 @@
-// A timer never fires early, however long the round of the loop takes that schedules it.
+// A timer never fires early, even if it is scheduled late in a long iteration of the loop. libevent by itself
+// counts the delay from the beginning of the iteration.
 #undef NDEBUG
 #include "net/event_loop.h"
 
@@ -11,7 +12,7 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-void ATimerCountsFromItsSchedule() {
+void TimerDelayStartsAtSchedule() {
   EventLoop loop;
   Clock::time_point scheduled_at;
   Clock::time_point fired_at;
@@ -19,7 +20,7 @@
     fired_at = Clock::now();
     loop.Break();
   });
-  Timer other(loop, [] {});  // wakes the loop meanwhile
+  Timer other(loop, [] {});  // wakes the loop up before `timer` is due
   Timer busy(loop, [&] {
     const auto busy_until = Clock::now() + milliseconds(30);
     while (Clock::now() < busy_until) {
@@ -36,4 +37,4 @@
 }  // namespace
 }  // namespace sagetally
 
-int main() { sagetally::ATimerCountsFromItsSchedule(); }
+int main() { sagetally::TimerDelayStartsAtSchedule(); }
--- a/tests/net/http_server_races_test.cpp
+++ b/tests/net/http_server_races_test.cpp
@@ -1,12 +1,14 @@
-// Races at the HTTP server: a request, a response and a close that happen before the other side learns of it.
+// Races at the HTTP server. In each test, a request, a response or a close happens before the other side
+// learns of it.
 #include "../app/world.h"
 #include "http_server_fixture.h"
 
 namespace sagetally {
 namespace {
 
-// The shutdown comes in the round in which a response was given and not yet written.
-void AResponseNotYetWrittenSurvivesTheShutdown() {
+// The server shuts down in the same iteration of the loop in which a response was given and is not written
+// yet.
+void AResponseNotYetWrittenIsSentAtShutdown() {
   ServerFixture fixture;
   fixture.after_request = [&] { fixture.server.CloseBetweenRequests(); };
   Client& client = fixture.Connect(kRequest);
@@ -14,21 +16,22 @@
   assert(client.ResponseCount() == 1);
 }
 
-// A request is unread in the socket, whole or in part, at the shutdown: it is answered, as the last one.
+// At the shutdown, a request or a part of it is unread in the socket. It is answered, as the connection's
+// last request.
 void AnUnreadRequestIsAnsweredAtShutdown() {
-  for (const std::size_t first : {kRequest.size(), std::size_t{1}, kRequest.size() - 1}) {
+  for (const std::size_t first_bytes : {kRequest.size(), std::size_t{1}, kRequest.size() - 1}) {
     ServerFixture fixture;
     Client& client = fixture.ConnectAnswered();
-    assert(client.Send(kRequest.substr(0, first)));
+    assert(client.Send(kRequest.substr(0, first_bytes)));
     fixture.server.CloseBetweenRequests(true);  // before the server has read it
-    assert(client.Send(kRequest.substr(first)));
+    assert(client.Send(kRequest.substr(first_bytes)));
     fixture.WaitForEnd(client);
     assert(client.ResponseCount() == 2 && client.Received().find("Connection: close") != std::string::npos);
   }
 }
 
-// The server has ended its side when an idle client's next request arrives: the client sees an end and no
-// reset, so that it may send the request elsewhere, and the request is not handled.
+// The server has closed its side when an idle client's next request arrives. The request is not handled, and
+// the client sees an end of stream and no reset, so that it may send the request elsewhere.
 void ARequestSentAfterTheShutdownIsNotHandled() {
   ServerFixture fixture;
   Client& client = fixture.ConnectAnswered();
@@ -39,16 +42,17 @@
   assert(client.ResponseCount() == 1 && fixture.request_count == 1);
 }
 
-// The same after the idle timeout; a connection whose request has come is not idle.
-void AnIdleConnectionEndsWithoutAReset() {
+// An idle connection is closed without a reset after the idle timeout. A connection on which a request has
+// arrived by then is not idle.
+void AnIdleConnectionTimesOutWithoutAReset() {
   ServerFixture fixture;
   Client& idle = fixture.ConnectAnswered();
   Client& active = fixture.ConnectAnswered();
-  const auto begun = std::chrono::steady_clock::now();
+  const auto idle_since = std::chrono::steady_clock::now();
   RunUntil(fixture.loop, [&] {
-    // Just before the timeout, without a round of the loop until after it.
-    if (std::chrono::steady_clock::now() < begun + 3900ms) return false;
-    while (std::chrono::steady_clock::now() < begun + 4100ms) continue;
+    // Blocks the loop from just before the idle timeout of 4 s until just after it.
+    if (std::chrono::steady_clock::now() < idle_since + 3900ms) return false;
+    while (std::chrono::steady_clock::now() < idle_since + 4100ms) continue;
     return active.Send(kRequest);
   });
   RunUntil(fixture.loop, [&] { return active.ResponseCount() == 2; });
@@ -56,8 +60,8 @@
   assert(idle.ResponseCount() == 1 && !active.has_ended);
 }
 
-// Clients in the queue of a listener that closes are served, not reset.
-void TheQueueOfAClosingListenerIsServed() {
+// Clients in the accept queue of a listener that closes are served and not reset.
+void StopListeningServesQueuedConnections() {
   ServerFixture fixture;
   for (int i = 0; i < 5; ++i) fixture.Connect(i < 4 ? kRequest : "");
   fixture.server.StopListening();
@@ -66,41 +70,43 @@
     return std::all_of(fixture.clients.begin(), fixture.clients.end() - 1,
                        [](const auto& client) { return client->ResponseCount() == 1; });
   });
-  Client& late = *fixture.clients.back();  // it has sent nothing yet, and does now
+  Client& late = *fixture.clients.back();  // has sent nothing so far
   assert(!late.has_ended && late.Send(kRequest));
   RunUntil(fixture.loop, [&] { return late.ResponseCount() == 1; });
   for (const auto& client : fixture.clients) fixture.WaitForEnd(*client);
 }
 
-// What a client sends after its last request must not reset the connection before the response is read.
-void BytesAfterTheLastRequestDoNotResetTheResponse() {
+// Bytes that a client sends after its last request must not cause a reset before the client reads the
+// response.
+void BytesAfterTheLastRequestDoNotCauseAReset() {
   ServerFixture fixture;
-  fixture.hold_requests = true;
+  fixture.defer_responses = true;
   Client& client = fixture.Connect("GET /healthz HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
-  RunUntil(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
+  RunUntil(fixture.loop, [&] { return fixture.pending_exchanges.size() == 1; });
   assert(client.Send(kRequest + kRequest));
-  fixture.held_exchanges[0]->Respond(200);
+  fixture.pending_exchanges[0]->Respond(200);
   fixture.WaitForEnd(client);
   assert(client.ResponseCount() == 1 && fixture.request_count == 1);
 }
 
-// It has left, in order or by a reset, when its response is given: the exchange knows, and nothing is
-// left.
-void AClientThatLeavesAsItIsAnswered() {
+// The client has closed or reset its connection when its response is given. The connection is removed, and
+// the exchange accepts no further response.
+void ResponseToADisconnectedClientClosesTheExchange() {
   for (const bool resets : {false, true}) {
     ServerFixture fixture;
-    fixture.hold_requests = true;
+    fixture.defer_responses = true;
     Client& client = fixture.Connect(kRequest);
-    RunUntil(fixture.loop, [&] { return fixture.held_exchanges.size() == 1; });
+    RunUntil(fixture.loop, [&] { return fixture.pending_exchanges.size() == 1; });
     if (resets) client.Reset();
     if (!resets) fixture.clients.clear();
-    fixture.held_exchanges[0]->Respond(200, std::string(100, 'x'));  // before the server knows
+    fixture.pending_exchanges[0]->Respond(200, std::string(100, 'x'));  // before the server is notified
     RunUntil(fixture.loop, [&] { return fixture.server.connection_count() == 0; });
-    assert(!fixture.held_exchanges[0]->Respond(200));
+    assert(!fixture.pending_exchanges[0]->Respond(200));
   }
 }
 
-// What comes after the timeout is not read as another request.
+// An incomplete request is answered with 408 after the timeout. Bytes that arrive later are not read as
+// another request.
 void AnIncompleteRequestTimesOutWith408() {
   ServerFixture fixture;
   Client& client = fixture.ConnectAnswered();
@@ -112,8 +118,9 @@
   assert(fixture.request_count == 1);
 }
 
-// SIGTERM to a whole dispatcher with an idle client, one in the middle of a request, one unread, one in the
-// listener's queue and an endpoint that hangs. Every request that was read is answered, in time.
+// A whole dispatcher shuts down, as on SIGTERM. One client is idle, one is in the middle of a request, one
+// has sent a request that is unread, one is in the listener's queue, and the endpoint does not respond. Every
+// request of which at least a part was sent before the shutdown is answered in time.
 void ShutdownAnswersEveryRequestReceived() {
   World world;
   world.endpoints[0]->default_status = 0;
@@ -133,20 +140,20 @@
   assert(unread.Send(message("unread")));
   Client queued(world.dispatcher->port());
   assert(queued.Send(message("queued")));
-  const auto begun = std::chrono::steady_clock::now();
+  const auto shutdown_at = std::chrono::steady_clock::now();
   world.dispatcher->Shutdown();
   assert(half.Send(message("half").substr(40)) && idle.Send(message("late")));
   event_base_dispatch(world.loop.base());
-  assert(std::chrono::steady_clock::now() - begun < 3700ms);
+  assert(std::chrono::steady_clock::now() - shutdown_at < 3700ms);
   world.Kill();
   for (Client* client : {&idle, &half, &unread, &queued}) {
     client->Received();
     assert(client->has_ended && !client->was_reset);
   }
-  assert(idle.ResponseCount() == 1 && world.CountCallsOf("late") == 0);  // it came after the end, unread
+  assert(idle.ResponseCount() == 1 && world.CountCallsOf("late") == 0);  // sent after the close, and not read
   assert(half.ResponseCount() == 1 && unread.ResponseCount() == 2 && queued.ResponseCount() == 1);
   world.endpoints[0]->Release();
-  world.Start();  // accepted messages are in the journal
+  world.Start();  // replays the accepted messages from the journal
   RunUntil(world.loop, [&] {
     return world.CountCallsOf("half") > 0 && world.CountCallsOf("unread") > 0 &&
            world.CountCallsOf("queued") > 0;
@@ -159,13 +166,13 @@
 int main() {
   using namespace sagetally;
   std::signal(SIGPIPE, SIG_IGN);
-  AResponseNotYetWrittenSurvivesTheShutdown();
+  AResponseNotYetWrittenIsSentAtShutdown();
   AnUnreadRequestIsAnsweredAtShutdown();
   ARequestSentAfterTheShutdownIsNotHandled();
-  AnIdleConnectionEndsWithoutAReset();
-  TheQueueOfAClosingListenerIsServed();
-  BytesAfterTheLastRequestDoNotResetTheResponse();
-  AClientThatLeavesAsItIsAnswered();
+  AnIdleConnectionTimesOutWithoutAReset();
+  StopListeningServesQueuedConnections();
+  BytesAfterTheLastRequestDoNotCauseAReset();
+  ResponseToADisconnectedClientClosesTheExchange();
   AnIncompleteRequestTimesOutWith408();
   ShutdownAnswersEveryRequestReceived();
   std::puts("9 passed, 0 failed");
--- a/tests/net/raw_socket.h
+++ b/tests/net/raw_socket.h
@@ -1,5 +1,6 @@
-// Bare sockets for tests that need to say when each byte is sent, read or reset. They run on the loop's own
-// thread: what they do between two rounds of the loop has happened before the code under test learns of it.
+// Plain sockets for tests that control when each byte is sent and read and when a connection is reset. They
+// are used on the event loop's thread, so what a test does between two iterations of the loop has happened
+// before the code under test is notified of it.
 #ifndef SAGETALLY_TESTS_NET_RAW_SOCKET_H_
 #define SAGETALLY_TESTS_NET_RAW_SOCKET_H_
 
@@ -15,6 +16,7 @@
 
 namespace sagetally {
 
+// The size of the buffer for one read.
 constexpr std::size_t kRawReadBytes = 4096;
 
 inline sockaddr_in LoopbackAddress(std::uint16_t port) {
@@ -25,7 +27,7 @@
   return address;
 }
 
-// A blocking socket, connected to a port of this machine.
+// Returns a blocking socket that is connected to a port of this machine.
 inline FileDescriptor ConnectToLoopback(std::uint16_t port) {
   FileDescriptor socket(::socket(AF_INET, SOCK_STREAM, 0));
   const sockaddr_in address = LoopbackAddress(port);
@@ -34,15 +36,15 @@
   return socket;
 }
 
-// False if not all of it could be sent.
+// Sends `text`. Returns false if not all of it could be sent.
 inline bool SendAll(const FileDescriptor& socket, const std::string& text) {
   return ::send(socket.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
 }
 
-// Closes with a reset.
+// Closes the connection with a reset.
 inline void ResetConnection(FileDescriptor& socket) {
-  const linger at_once{1, 0};
-  ::setsockopt(socket.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger no_linger{1, 0};
+  ::setsockopt(socket.get(), SOL_SOCKET, SO_LINGER, &no_linger, sizeof no_linger);
   socket = FileDescriptor();
 }
 
