--- a/src/frontend/cloudevents/cloud_event.cpp
+++ b/src/frontend/cloudevents/cloud_event.cpp
@@ -23,7 +23,7 @@
   return lower;
 }
 
-// The type without its parameters.
+// Returns the media type in lower case, without its parameters and spaces.
 std::string MediaType(std::string_view content_type) {
   std::string type = ToLower(content_type.substr(0, content_type.find(';')));
   type.erase(std::remove(type.begin(), type.end(), ' '), type.end());
@@ -55,7 +55,7 @@
   }
 }
 
-// Reads a member of a structured event that is not its data.
+// Reads a member of a structured event that is a context attribute.
 void ReadAttribute(std::string_view name, json::Value value, CloudEvent& event) {
   const std::string key(name);
   if (!IsAttributeName(name)) {
@@ -70,7 +70,8 @@
   }
 }
 
-// Reads the member `data`: a text as it is where the content type is not JSON, otherwise as JSON.
+// Reads the member `data` of a structured event. If the content type is not JSON and the member is a string,
+// the string itself is the data. Otherwise the data is the member's JSON text.
 void ReadData(json::Value data, CloudEvent& event) {
   if (!event.data.empty()) Malformed("both data and data_base64");
   const auto [type, is_default] =
--- a/src/frontend/cloudevents/cloudevents_frontend.cpp
+++ b/src/frontend/cloudevents/cloudevents_frontend.cpp
@@ -9,7 +9,8 @@
 namespace sagetally {
 namespace {
 
-// The JSON string of an attribute that travels as a header; an absent one is empty.
+// Returns the attribute that `message` carries as the header `header`, as a quoted JSON string. An absent
+// attribute is an empty string.
 std::string QuotedAttribute(const Message& message, const char* header) {
   const auto attribute = message.request.attributes.find(header);
   if (attribute == message.request.attributes.end()) return json::Quote("");
--- a/src/frontend/cloudevents/cloudevents_frontend.h
+++ b/src/frontend/cloudevents/cloudevents_frontend.h
@@ -1,5 +1,5 @@
-// CloudEvents over HTTP: the frontend that accepts them, and the events that report results back. Called on
-// the event loop's thread.
+// The frontend that accepts CloudEvents over HTTP, and the result events that report undelivered messages.
+// Called on the event loop's thread.
 #ifndef SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
 #define SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_CLOUDEVENTS_FRONTEND_H_
 
@@ -13,10 +13,10 @@
 
 namespace sagetally {
 
-// Accepts events in all content modes; a batch is accepted as a whole or not at all.
+// Accepts events in all content modes. A batch is accepted as a whole or not at all.
 class CloudEventsFrontend : public Frontend {
  public:
-  // Limit of a request's head, in which attributes travel.
+  // The limit of a request's head, which contains the attributes in binary mode.
   static constexpr std::size_t kMaxHeadBytes = 32 * 1024;
 
   using Frontend::Frontend;
@@ -25,8 +25,8 @@
   std::vector<Request> ParseRequests(const Exchange& exchange) const override;
 };
 
-// Returns the result event (structured JSON) that reports the final status of an undelivered event's message.
-// `node` is the name of this process.
+// Returns the result event, as JSON in structured mode, that reports the final status of an undelivered
+// message that came in as an event. `node` is the name of this process.
 std::string MakeResultEvent(const Message& message, const std::string& node);
 
 }  // namespace sagetally
--- a/src/frontend/cloudevents/event_mapping.cpp
+++ b/src/frontend/cloudevents/event_mapping.cpp
@@ -12,7 +12,7 @@
 
 constexpr char kContentTypeHeader[] = "Content-Type";
 
-// An attribute's value; empty if it is absent.
+// Returns an attribute's value, or an empty string if it is absent.
 std::string GetAttribute(const CloudEvent& event, const char* name) {
   const auto attribute = event.attributes.find(name);
   return attribute == event.attributes.end() ? "" : attribute->second;
@@ -38,7 +38,7 @@
   return *message_class;
 }
 
-// The attributes travel on as the headers of binary mode.
+// Stores the event's context attributes in `request` as the headers of binary mode.
 void SetAttributes(const CloudEvent& event, Request& request) {
   for (const auto& [name, value] : BinaryHeaders(event)) {
     if (value.find_first_of("\r\n") != std::string::npos) {
@@ -48,7 +48,7 @@
   }
 }
 
-// The context attributes of a request that came as an event.
+// Sets the context attributes of `event` for a request that came in as an event.
 void RestoreAttributes(const Request& request, CloudEvent& event) {
   for (const auto& [name, value] : request.attributes) {
     if (name == kContentTypeHeader) {
@@ -59,7 +59,7 @@
   }
 }
 
-// The context attributes of a request that came in the platform's protocol.
+// Sets the context attributes of `event` for a request that came in by the platform's protocol.
 void MakeAttributes(const Request& request, const SiteSettings& site, CloudEvent& event) {
   event.attributes = {{cloudevents::kSpecVersion, cloudevents::kSupportedSpecVersion},
                       {cloudevents::kId, request.id},
@@ -86,7 +86,8 @@
     request.time_left = std::chrono::milliseconds(GetWholeNumber(event, cloudevents::kDeadline));
   }
   request.idempotency_key = EncodeHeader(GetAttribute(event, cloudevents::kIdempotencyKey));
-  // Source and id identify an event together; the bar between them is encoded in both.
+  // An event is identified by its source and id together. The "|" that separates them is percent-encoded
+  // within both.
   request.id = EncodeHeader(GetAttribute(event, cloudevents::kSource), "|") + "|" +
                EncodeHeader(GetAttribute(event, cloudevents::kId), "|");
   request.body = event.data;
--- a/src/frontend/cloudevents/event_mapping.h
+++ b/src/frontend/cloudevents/event_mapping.h
@@ -1,4 +1,4 @@
-// Translation between CloudEvents and core requests. No I/O.
+// Converts between CloudEvents and core requests. Does no I/O and keeps no state.
 #ifndef SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_EVENT_MAPPING_H_
 #define SAGETALLY_SRC_FRONTEND_CLOUDEVENTS_EVENT_MAPPING_H_
 
@@ -8,10 +8,11 @@
 
 namespace sagetally {
 
-// Returns the core request that an event asks for. Throws FormatError.
+// Returns the core request that an event describes. Throws FormatError if an extension attribute is missing
+// or invalid, or if an attribute contains a line break.
 Request ToRequest(const CloudEvent& event, const SiteSettings& site);
-// Returns the event that carries a core request to another process. A request in the platform's protocol gets
-// context attributes of its own.
+// Returns the event by which a core request is passed to another process. For a request that came in by the
+// platform's protocol, the context attributes are generated.
 CloudEvent ToCloudEvent(const Request& request, const SiteSettings& site);
 
 }  // namespace sagetally
--- a/src/frontend/cloudevents/text_encoding.cpp
+++ b/src/frontend/cloudevents/text_encoding.cpp
@@ -9,11 +9,11 @@
 namespace sagetally {
 namespace {
 
-bool IsPlainInHeader(unsigned char byte) {
+bool IsUnreservedInHeader(unsigned char byte) {
   return byte >= 0x21 && byte <= 0x7e && byte != '"' && byte != '%';
 }
 
-// The byte that two hexadecimal digits write.
+// Returns the byte that two hexadecimal digits represent, or nothing if they are not hexadecimal.
 std::optional<char> ParseHexByte(std::string_view digits) {
   unsigned byte = 0;
   const char* end = digits.data() + digits.size();
@@ -21,6 +21,7 @@
   return static_cast<char>(byte);
 }
 
+// Returns the value of a base64 digit, 0 to 63.
 std::optional<unsigned> Base64Digit(char c) {
   if (c >= 'A' && c <= 'Z') return c - 'A';
   if (c >= 'a' && c <= 'z') return c - 'a' + 26;
@@ -30,18 +31,18 @@
   return std::nullopt;
 }
 
-[[noreturn]] void ThrowNoBase64() {
+[[noreturn]] void ThrowInvalidBase64() {
   throw FormatError("data_base64 is no base64", {"data_base64", "base64", ""});
 }
 
 }  // namespace
 
-std::string EncodeHeader(std::string_view value, std::string_view also) {
+std::string EncodeHeader(std::string_view value, std::string_view extra_reserved) {
   static constexpr char kHexDigits[] = "0123456789ABCDEF";
   std::string encoded;
   for (const char c : value) {
     const auto byte = static_cast<unsigned char>(c);
-    if (IsPlainInHeader(byte) && also.find(c) == std::string_view::npos) {
+    if (IsUnreservedInHeader(byte) && extra_reserved.find(c) == std::string_view::npos) {
       encoded += c;
     } else {
       encoded += {'%', kHexDigits[byte >> 4], kHexDigits[byte & 15]};
@@ -64,14 +65,14 @@
 std::string DecodeBase64(std::string_view text) {
   static constexpr int kBitsPerDigit = 6;
   static constexpr int kBitsPerByte = 8;
-  if (text.size() % 4 != 0) ThrowNoBase64();
+  if (text.size() % 4 != 0) ThrowInvalidBase64();
   while (!text.empty() && text.back() == '=') text.remove_suffix(1);
   std::string decoded;
   unsigned bits = 0;
-  int pending_bits = 0;  // the lowest ones of `bits`, which have not made a byte yet
+  int pending_bits = 0;  // the number of lowest bits of `bits` that were not written to `decoded` yet
   for (const char c : text) {
     const std::optional<unsigned> digit = Base64Digit(c);
-    if (!digit) ThrowNoBase64();
+    if (!digit) ThrowInvalidBase64();
     bits = bits << kBitsPerDigit | *digit;
     pending_bits += kBitsPerDigit;
     if (pending_bits >= kBitsPerByte) {
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -1,5 +1,6 @@
-// What all frontends do with an HTTP request: it becomes core requests, which are submitted together, or is
-// answered as malformed. Frontends differ in how they parse. Called on the event loop's thread.
+// The part of the frontends that does not depend on their protocol. A frontend converts an HTTP request to
+// core requests and submits them together, or responds that the HTTP request is malformed. Called on the
+// event loop's thread.
 #ifndef SAGETALLY_SRC_FRONTEND_FRONTEND_H_
 #define SAGETALLY_SRC_FRONTEND_FRONTEND_H_
 
@@ -14,24 +15,25 @@
 
 namespace sagetally {
 
-// Base of the frontends.
+// Base class of the frontends, which implement ParseRequests() for their protocols.
 class Frontend {
  public:
-  // All three must outlive the frontend.
+  // The arguments must outlive the frontend.
   Frontend(const SiteSettings& site, RequestValidator& validator, const Readiness& readiness)
       : site_(site), validator_(validator), readiness_(readiness) {}
   virtual ~Frontend() = default;
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
-  // Takes one HTTP request; its response may follow later.
+  // Handles one HTTP request. The response may be sent after this function has returned.
   void Handle(const std::shared_ptr<Exchange>& exchange);
 
  protected:
   const SiteSettings& site() const { return site_; }
 
  private:
-  // Returns the requests of an exchange. Throws FormatError that says what is wrong with it.
+  // Returns the core requests that the HTTP request of `exchange` contains. Throws FormatError with a text
+  // for the client if it is malformed.
   virtual std::vector<Request> ParseRequests(const Exchange& exchange) const = 0;
 
   const SiteSettings& site_;
--- a/src/frontend/http_response.cpp
+++ b/src/frontend/http_response.cpp
@@ -27,7 +27,7 @@
   return kBadRequest;
 }
 
-// Seconds with three decimals, rounded up.
+// Returns the time in seconds with three decimals, rounded up.
 std::string FormatRetryAfter(Duration retry_after) {
   const auto milliseconds = (retry_after.count() + 999) / 1000;
   const std::string fraction = std::to_string(milliseconds % 1000);
@@ -36,9 +36,9 @@
 
 void Respond(Exchange& exchange, const AdmissionResult& result) {
   Exchange::Headers headers;
-  const bool may_come_again =
+  const bool may_be_resubmitted =
       result.status == AdmissionStatus::kRejected || result.status == AdmissionStatus::kShuttingDown;
-  if (may_come_again && result.retry_after > Duration(0)) {
+  if (may_be_resubmitted && result.retry_after > Duration(0)) {
     headers.emplace_back("Retry-After", FormatRetryAfter(result.retry_after));
   }
   exchange.Respond(StatusCode(result.status), result.reason.empty() ? "" : result.reason + "\n", headers);
--- a/src/frontend/http_response.h
+++ b/src/frontend/http_response.h
@@ -1,4 +1,4 @@
-// The HTTP responses that all frontends give alike. Called on the event loop's thread.
+// The HTTP responses that all frontends share. Called on the event loop's thread.
 #ifndef SAGETALLY_SRC_FRONTEND_HTTP_RESPONSE_H_
 #define SAGETALLY_SRC_FRONTEND_HTTP_RESPONSE_H_
 
@@ -11,15 +11,16 @@
 
 namespace sagetally {
 
-// Returns a callback that responds with the status, the reason and the Retry-After of the admission's result,
-// once. The callback returns false if the client has gone.
+// Returns a callback that sends the status, the reason and the Retry-After time of an admission's result as
+// the response of `exchange`. The callback returns false if no response can be sent any more, for instance
+// because the client has disconnected.
 AdmissionCallback MakeResponder(std::shared_ptr<Exchange> exchange);
 
-// Responds with 400 and what is wrong with the request.
+// Responds with the status 400 and the text `problem`, which says what is wrong with the request.
 void RespondBadRequest(Exchange& exchange, const std::string& problem);
 
-// Responds to a request that submits no message: GET /healthz, unknown paths, other methods. Returns false if
-// it is one that may submit messages, and then doesn't respond. `ready` is what /healthz reports.
+// Responds to a request that is not a POST, and therefore submits no message. GET /healthz reports `ready`;
+// any other path or method is an error. Returns false and does not respond if the request is a POST.
 bool RespondToOtherPath(Exchange& exchange, bool ready);
 
 }  // namespace sagetally
--- a/src/frontend/platform/platform_frontend.cpp
+++ b/src/frontend/platform/platform_frontend.cpp
@@ -10,20 +10,20 @@
 namespace sagetally {
 namespace {
 
-// The headers of the platform's protocol.
+// The names of the platform's HTTP headers.
 constexpr const char* kClassHeader = "X-Class";
 constexpr const char* kIdHeader = "X-Request-Id";
 constexpr const char* kDeadlineHeader = "X-Deadline";
 constexpr const char* kEnvelopeHeader = "X-Envelope";
 constexpr const char* kIdempotencyKeyHeader = "Idempotency-Key";
 
-constexpr std::string_view kDestinationPrefix = "dest=";  // in the envelope
+constexpr std::string_view kDestinationPrefix = "dest=";  // in the X-Envelope header
 
 std::string FirstPathSegment(const std::string& path) {
   return path.empty() ? "" : path.substr(1, path.find('/', 1) - 1);
 }
 
-// The path names the class; the header may name it too, and must not name another one.
+// Returns the class that the path names. The X-Class header is optional but must not name another class.
 int ParseClass(const Exchange& exchange, const SiteSettings& site) {
   const std::string in_header = exchange.Header(kClassHeader);
   const std::string in_path = FirstPathSegment(exchange.path());
@@ -38,12 +38,12 @@
 }  // namespace
 
 std::optional<Duration> ParseDeadline(std::string_view text) {
-  static constexpr double kLargest = 1e12;
+  static constexpr double kMaxValue = 1e12;
   static constexpr double kMicrosecondsPerMillisecond = 1000;
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [number_end, error] = std::from_chars(text.data(), end, value);
-  if (error != std::errc() || !(value >= 0) || value > kLargest) return std::nullopt;
+  if (error != std::errc() || !(value >= 0) || value > kMaxValue) return std::nullopt;
   const std::string_view unit(number_end, static_cast<std::size_t>(end - number_end));
   if (unit == "m") return Duration(static_cast<std::int64_t>(value * kMicrosecondsPerMillisecond));
   if (unit == "u") return Duration(static_cast<std::int64_t>(value));
--- a/src/frontend/platform/platform_frontend.h
+++ b/src/frontend/platform/platform_frontend.h
@@ -1,5 +1,5 @@
-// The platform's protocol: one message for each HTTP request, described by its path and headers. Called on
-// the event loop's thread.
+// The frontend of the platform's protocol. Each HTTP request submits one message, whose path and headers
+// describe it. Called on the event loop's thread.
 #ifndef SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
 #define SAGETALLY_SRC_FRONTEND_PLATFORM_PLATFORM_FRONTEND_H_
 
@@ -12,15 +12,18 @@
 
 namespace sagetally {
 
-// Parses a time such as "480m" (milliseconds) or "480u" (microseconds). Returns nothing if it is negative,
-// beyond 1e12 units or malformed.
+// Parses the value of an X-Deadline header: a time such as "480m" (milliseconds) or "480u" (microseconds).
+// Returns nothing if it is malformed, negative or above 1e12 units.
 std::optional<Duration> ParseDeadline(std::string_view text);
-// Returns the destination in an envelope such as "dest=7" or "a=1,dest=7", or nothing if it has no valid one.
+// Returns the destination in an X-Envelope header such as "dest=7" or "a=1,dest=7", or nothing if it contains
+// no valid one.
 std::optional<int> ParseDestination(std::string_view envelope);
 
-// Parses the message of an HTTP request. Throws FormatError that says what is wrong and names the header.
+// Parses the message of an HTTP request. Throws FormatError with the name of the header that is wrong and a
+// text for the client.
 Request ParsePlatformRequest(const Exchange& exchange, const SiteSettings& site);
-// The same: fills `request` and returns an empty text, or returns what is wrong.
+// Does the same without exceptions: stores the message in `request` and returns an empty string, or returns
+// the error's text.
 std::string ParsePlatformRequest(const Exchange& exchange, const SiteSettings& site, Request& request);
 
 // Accepts messages in the platform's protocol.
--- a/src/service_registry/eureka_client.cpp
+++ b/src/service_registry/eureka_client.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kRequestTimeout = std::chrono::milliseconds(3000);
-constexpr int kLeaseRenewals = 3;  // a lease ends if that many renewals are missed
+constexpr int kRenewalsPerLease = 3;  // a lease expires if this many renewals are missed
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
@@ -19,30 +19,30 @@
 
 }  // namespace
 
-EurekaClient::EurekaClient(EventLoop& loop, const EurekaSettings& settings, Instance own,
-                           std::function<void(const Applications&)> changed, Logger& log)
+EurekaClient::EurekaClient(EventLoop& loop, const EurekaSettings& settings, Instance own_instance,
+                           std::function<void(const Applications&)> on_changed, Logger& log)
     : settings_(settings),
-      own_(std::move(own)),
-      changed_(std::move(changed)),
+      own_instance_(std::move(own_instance)),
+      on_changed_(std::move(on_changed)),
       log_(log),
       renew_timer_(loop, [this] { Renew(); }),
       fetch_timer_(loop, [this] { Fetch(); }),
       http_client_(loop) {
-  if (!own_.id.empty()) Register();
+  if (!own_instance_.id.empty()) Register();
   Fetch();
 }
 
 EurekaClient::~EurekaClient() = default;
 
 void EurekaClient::SendRequest(evhttp_cmd_type method, const std::string& path, const std::string& body,
-                               HttpClient::ResultCallback done) {
+                               HttpClient::ResultCallback on_result) {
   std::vector<std::pair<std::string, std::string>> headers = {{"Accept", "application/json"}};
   if (!body.empty()) headers.emplace_back("Content-Type", "application/json");
   http_client_.Send(settings_.registry, method, settings_.path + path, headers, body, kRequestTimeout,
-                    std::move(done));
+                    std::move(on_result));
 }
 
-std::string EurekaClient::OwnPath() const { return "/apps/" + own_.app + "/" + own_.id; }
+std::string EurekaClient::OwnPath() const { return "/apps/" + own_instance_.app + "/" + own_instance_.id; }
 
 void EurekaClient::SetReachable(bool is_reachable) {
   if (is_reachable == is_reachable_) return;
@@ -52,8 +52,8 @@
 
 void EurekaClient::Register() {
   const std::chrono::seconds renewal = std::chrono::ceil<std::chrono::seconds>(settings_.renew_interval);
-  const std::string body = FormatRegistration(own_, {renewal, kLeaseRenewals * renewal});
-  SendRequest(EVHTTP_REQ_POST, "/apps/" + own_.app, body,
+  const std::string body = FormatRegistration(own_instance_, {renewal, kRenewalsPerLease * renewal});
+  SendRequest(EVHTTP_REQ_POST, "/apps/" + own_instance_.app, body,
               [this](const HttpResult& result) { OnRegistered(result.status_code); });
 }
 
@@ -67,7 +67,7 @@
 }
 
 void EurekaClient::Renew() {
-  if (is_cancelled_) return;
+  if (is_deregistered_) return;
   if (!is_registered_) {
     Register();
     return;
@@ -78,7 +78,7 @@
 
 void EurekaClient::OnRenewed(int status_code) {
   SetReachable(HasAnswered(status_code));
-  if (status_code == kNotFound) {  // the registry has forgotten this process
+  if (status_code == kNotFound) {  // the registry does not know this instance any more
     is_registered_ = false;
     Renew();
     return;
@@ -96,11 +96,11 @@
   SetReachable(HasAnswered(result.status_code));
   fetch_timer_.Schedule(settings_.fetch_interval);
   if (result.status_code != kOk) {
-    // Deltas may be switched off; the next fetch is a full one.
+    // The registry may have deltas disabled, so the next fetch is a full one.
     if (HasAnswered(result.status_code)) has_full_list_ = false;
     return;
   }
-  try {  // a response that can't be read costs one log line, and the list stays
+  try {  // a malformed response is logged and leaves the list unchanged
     UpdateApplications(result.body, is_delta);
   } catch (const std::exception& error) {
     has_full_list_ = false;
@@ -123,18 +123,19 @@
   has_full_list_ = true;
   if (updated == applications_) return;
   applications_ = std::move(updated);
-  changed_(applications_);
+  on_changed_(applications_);
 }
 
-void EurekaClient::Deregister(std::function<void()> done) {
-  is_cancelled_ = true;
+void EurekaClient::Deregister(std::function<void()> on_done) {
+  is_deregistered_ = true;
   renew_timer_.Stop();
   fetch_timer_.Stop();
-  if (own_.id.empty()) {
-    done();
+  if (own_instance_.id.empty()) {
+    on_done();
     return;
   }
-  SendRequest(EVHTTP_REQ_DELETE, OwnPath(), "", [done = std::move(done)](const HttpResult&) { done(); });
+  SendRequest(EVHTTP_REQ_DELETE, OwnPath(), "",
+              [on_done = std::move(on_done)](const HttpResult&) { on_done(); });
 }
 
 }  // namespace sagetally
--- a/src/service_registry/eureka_client.h
+++ b/src/service_registry/eureka_client.h
@@ -1,6 +1,6 @@
-// A client of Eureka's REST API. Registers this process, renews its lease, cancels it at the shutdown, and
-// keeps the list of applications by full fetches and deltas. While the registry can't be reached the last
-// list stays. Runs on the event loop's thread.
+// A client of Eureka's REST API. It registers this process, renews its lease, cancels the lease at the
+// shutdown, and keeps the list of applications up to date by full fetches and deltas. While the registry
+// can't be reached, the last list remains in use. Runs on the event loop's thread.
 #ifndef SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_CLIENT_H_
 #define SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_CLIENT_H_
 
@@ -15,27 +15,29 @@
 
 namespace sagetally {
 
-// Keeps this process in the registry and the registry's list in this process.
+// Owns this process's registration and its copy of the registry's list.
 class EurekaClient {
  public:
-  // Starts to register and to fetch. `own` is what is registered; with an empty id nothing is. `changed` is
-  // called whenever the list differs from the one before. `loop` and `log` must outlive the client.
-  EurekaClient(EventLoop& loop, const EurekaSettings& settings, Instance own,
-               std::function<void(const Applications&)> changed, Logger& log);
+  // Starts to register and to fetch. `own_instance` is the instance that is registered; with an empty id,
+  // nothing is registered. `on_changed` is called whenever the list differs from the previous one. `loop` and
+  // `log` must outlive the client.
+  EurekaClient(EventLoop& loop, const EurekaSettings& settings, Instance own_instance,
+               std::function<void(const Applications&)> on_changed, Logger& log);
   ~EurekaClient();
   EurekaClient(const EurekaClient&) = delete;
   EurekaClient& operator=(const EurekaClient&) = delete;
 
-  // Removes this process from the registry and stops fetching. Calls `done` once the registry has answered or
-  // can't be reached.
-  void Deregister(std::function<void()> done);
+  // Removes this process from the registry and stops fetching. Calls `on_done` when the registry has answered
+  // or can't be reached, or at once if this client registers nothing.
+  void Deregister(std::function<void()> on_done);
+  // The list as it was fetched last.
   const Applications& applications() const { return applications_; }
 
  private:
   void SendRequest(evhttp_cmd_type method, const std::string& path, const std::string& body,
-                   HttpClient::ResultCallback done);
+                   HttpClient::ResultCallback on_result);
   std::string OwnPath() const;
-  // Logs when the registry becomes unreachable or reachable.
+  // Logs when the registry becomes unreachable or reachable again.
   void SetReachable(bool is_reachable);
 
   void Register();
@@ -47,14 +49,14 @@
   void UpdateApplications(const std::string& response, bool is_delta);
 
   const EurekaSettings settings_;
-  const Instance own_;
-  const std::function<void(const Applications&)> changed_;
+  const Instance own_instance_;
+  const std::function<void(const Applications&)> on_changed_;
   Logger& log_;
   Applications applications_;
-  bool has_full_list_ = false;  // the next fetch may be a delta
+  bool has_full_list_ = false;  // if set, the next fetch may be a delta
   bool is_registered_ = false;
   bool is_reachable_ = true;
-  bool is_cancelled_ = false;
+  bool is_deregistered_ = false;
   Timer renew_timer_;
   Timer fetch_timer_;
   HttpClient http_client_;
--- a/src/service_registry/eureka_format.cpp
+++ b/src/service_registry/eureka_format.cpp
@@ -16,20 +16,22 @@
 using json::Get;
 using json::Value;
 
-// Calls `use` for each item of a list. Eureka may write a list of one item as that item.
-template <typename Use>
-void ForEachItem(Value object, const char* name, Use use) {
+// Calls `visit` for each item of the list `name` in `object`. Eureka may write a list of one item as the item
+// itself.
+template <typename Visitor>
+void ForEachItem(Value object, const char* name, Visitor visit) {
   const std::optional<Value> list = Find(object, name);
   if (!list) return;
   simdjson::dom::array items;
   if (list->get(items) != simdjson::SUCCESS) {
-    use(*list);
+    visit(*list);
     return;
   }
-  for (const Value item : items) use(item);
+  for (const Value item : items) visit(item);
 }
 
-// A port is a number, or an object such as {"$": 8080, "@enabled": "true"}; its number may be a string.
+// Reads the port of an instance. It is a number, or an object such as {"$": 8080, "@enabled": "true"}, in
+// which the number may be a string.
 std::uint16_t ReadPort(Value instance) {
   const std::optional<Value> port = Find(instance, "port");
   if (!port) return 0;
@@ -63,14 +65,14 @@
   return instance;
 }
 
-// Calls `use(instance, action)` for each instance in a response, and returns the hash code that it names.
-std::string ReadInstances(std::string_view text, const std::function<void(Instance, std::string)>& use) {
+// Calls `visit(instance, action)` for each instance in a response. Returns the hash code in the response.
+std::string ReadInstances(std::string_view text, const std::function<void(Instance, std::string)>& visit) {
   simdjson::dom::parser parser;
   const Value applications = json::Require(json::Parse(parser, text), "applications");
   ForEachItem(applications, "application", [&](Value application) {
     const auto name = Get<std::string>(application, "name");
     ForEachItem(application, "instance", [&](Value instance) {
-      use(ReadInstance(instance, name), Get<std::string>(instance, "actionType", "ADDED"));
+      visit(ReadInstance(instance, name), Get<std::string>(instance, "actionType", "ADDED"));
     });
   });
   return Get<std::string>(applications, "apps__hashcode", "");
--- a/src/service_registry/eureka_format.h
+++ b/src/service_registry/eureka_format.h
@@ -1,4 +1,5 @@
-// Eureka's JSON: the lists of applications that are read, and the registration that is written. No I/O.
+// Eureka's JSON formats: parses lists of applications and formats registrations. Does no I/O and keeps no
+// state.
 #ifndef SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_FORMAT_H_
 #define SAGETALLY_SRC_SERVICE_REGISTRY_EUREKA_FORMAT_H_
 
@@ -10,16 +11,16 @@
 
 namespace sagetally {
 
-// One registered process of an application.
+// One registered instance of an application.
 struct Instance {
-  // What an application says about itself, by its own keys.
+  // Values that the instance publishes, by keys that its application defines.
   using Metadata = std::map<std::string, std::string>;
 
   std::string id = {};
-  std::string app = {};
-  std::string host = {};
-  std::string status = {};  // in Eureka's words
-  std::uint16_t port = 0;   // 0: none
+  std::string app = {};     // the name of the application
+  std::string host = {};    // the IP address or, if the registry names none, the host name
+  std::string status = {};  // Eureka's status, such as "UP" or "DOWN"
+  std::uint16_t port = 0;   // 0 if the registry names none
   Metadata metadata = {};
 
   bool is_up() const { return status == "UP"; }
@@ -28,22 +29,23 @@
 
 // The instances of one application by their ids.
 using InstancesById = std::map<std::string, Instance>;
-// Instances by application, in upper case.
+// The instances of all applications by the application's name in upper case.
 using Applications = std::map<std::string, InstancesById>;
 
-// Reads the response to GET apps. Throws FormatError.
+// Parses the response to GET apps. Throws FormatError if it is malformed.
 Applications ReadApplications(std::string_view text);
-// Applies the response to GET apps/delta. Returns false if the resulting list has another hash code than the
-// delta names: then a full fetch is due. Throws FormatError, and then may have applied a part.
+// Applies the response to GET apps/delta to `applications`. Returns false if the result has another hash code
+// than the one in the delta, in which case a full fetch is needed. Throws FormatError if the response is
+// malformed; a part of it may have been applied then.
 bool ApplyDelta(std::string_view text, Applications& applications);
-// Returns the number of instances by status, as Eureka writes it: "DOWN_1_UP_3_".
+// Returns Eureka's hash code of a list: the number of instances with each status, such as "DOWN_1_UP_3_".
 std::string HashCode(const Applications& applications);
 
-// The terms on which an instance stays registered.
+// How long an instance stays registered.
 struct Lease {
   std::chrono::seconds renewal_interval{0};
-  std::chrono::seconds duration{
-      0};  // the registry drops an instance that has not renewed its lease for so long
+  // The registry removes an instance that has not renewed its lease for this time.
+  std::chrono::seconds duration{0};
 };
 // Returns the body of POST apps/APP, which registers an instance as up.
 std::string FormatRegistration(const Instance& instance, const Lease& lease);
--- a/src/service_registry/planner_selection.h
+++ b/src/service_registry/planner_selection.h
@@ -1,5 +1,5 @@
-// Which planner owns a destination, and the endpoint list that the partners' application in the registry
-// makes. No I/O.
+// Selects the planner that owns a destination, and converts the partners' application in the registry to an
+// endpoint list. Does no I/O and keeps no state.
 #ifndef SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
 #define SAGETALLY_SRC_SERVICE_REGISTRY_PLANNER_SELECTION_H_
 
@@ -12,14 +12,15 @@
 
 namespace sagetally {
 
-// Returns the planner that owns a destination: the instance that is up with the highest weight for it
-// (rendezvous hashing; Thaler and Ravishankar, 1998). Every forwarder with the same list selects the same
-// one, and a planner that goes moves only its own destinations. Null if no planner is up.
+// Returns the planner that owns `destination`, or null if no planner is up and has a usable address. It is
+// the one of these with the highest weight for the destination (rendezvous hashing; Thaler and Ravishankar,
+// 1998). Forwarders with the same list select the same planner, and when a planner goes down, only its own
+// destinations move.
 const Instance* SelectPlanner(const InstancesById& planners, int destination);
 
-// Returns the instances of the partners' application as a full snapshot of the endpoint list. Their metadata
-// name the destination, the kind, the zone and the rate. An instance that can't be used is left out, and a
-// line about it is appended to `problems`.
+// Returns the instances of the partners' application as a full snapshot of the endpoint list. Destination,
+// kind, zone and rate come from an instance's metadata. An instance without a usable address or destination
+// is left out, and a line of text about it is appended to `problems`.
 EndpointListUpdate MakePartnerList(const InstancesById& partners, const SiteSettings& site,
                                    std::vector<std::string>& problems);
 
