--- a/tests/fault_shim/fault_rules.cpp
+++ b/tests/fault_shim/fault_rules.cpp
@@ -42,11 +42,11 @@
   return !copy.empty() && *end == '\0';
 }
 
-// Splits at the first `separator`; the second part is empty if there is none.
+// Splits `text` at the first `separator`. The second part is empty if there is none.
 std::pair<std::string_view, std::string_view> Split(std::string_view text, char separator) {
-  const std::size_t at = text.find(separator);
-  if (at == std::string_view::npos) return {text, {}};
-  return {text.substr(0, at), text.substr(at + 1)};
+  const std::size_t position = text.find(separator);
+  if (position == std::string_view::npos) return {text, {}};
+  return {text.substr(0, position), text.substr(position + 1)};
 }
 
 bool ParseEffect(std::string_view text, Rule& rule) {
@@ -62,8 +62,8 @@
 }
 
 bool ParseClockStep(std::string_view value, RuleSet& set) {
-  const auto [step, at] = Split(value, '@');
-  return ParseDouble(step, set.clock_step_seconds) && ParseDouble(at, set.clock_step_at_seconds);
+  const auto [step, start] = Split(value, '@');
+  return ParseDouble(step, set.clock_step_seconds) && ParseDouble(start, set.clock_step_at_seconds);
 }
 
 bool ParseSetting(std::string_view name, std::string_view value, RuleSet& set) {
@@ -89,7 +89,7 @@
   if (call == "clock") return effect == "step" && ParseClockStep(value, set);
   Rule rule;
   rule.call = call;
-  if (!ParseEffect(effect, rule) || !ParseDouble(value, rule.chance)) return false;
+  if (!ParseEffect(effect, rule) || !ParseDouble(value, rule.probability)) return false;
   set.rules.push_back(std::move(rule));
   return true;
 }
--- a/tests/fault_shim/fault_shim.cpp
+++ b/tests/fault_shim/fault_shim.cpp
@@ -23,11 +23,11 @@
 namespace sagetally::fault_shim {
 namespace {
 
-constexpr timespec kDelay{0, 5'000'000};
+constexpr timespec kDelay{0, 5'000'000};  // seconds, nanoseconds
 
-// The C library's own function behind one that this library replaces.
+// Returns the C library's function `name`, which this library replaces.
 template <typename Function>
-Function* Real(const char* name) {
+Function* LibraryFunction(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -37,13 +37,14 @@
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-// Rules are replaced as a whole; old ones are kept, as another thread may still read them.
+// Owns the rules and decides which calls fail. Rules are replaced as a whole. Old rule sets are kept, because
+// another thread may still read them.
 class Injector {
  public:
   Injector() {
     if (const char* specification = std::getenv(SAGETALLY_FAULTS_VARIABLE)) {
       if (Configure(specification) != 0) {
-        std::fprintf(stderr, "fault shim: can't read %s\n", specification);
+        std::fprintf(stderr, "fault shim: malformed specification: %s\n", specification);
         std::_Exit(1);
       }
     }
@@ -63,20 +64,21 @@
     return 0;
   }
 
-  // The rule that strikes this call, or null.
-  const Rule* Strike(const char* call, int descriptor) {
+  // Returns the rule that applies to this call, or null. Counts and logs the fault.
+  const Rule* DrawFault(const char* call, int descriptor) {
     const RuleSet* set = rules_.load();
     if (set == nullptr || set->rules.empty()) return nullptr;
     const double elapsed = SteadySeconds() - started_at_;
     if (elapsed < set->after_seconds || elapsed > set->until_seconds) return nullptr;
     for (const Rule& rule : set->rules) {
-      if (rule.call != call || NextRandom() >= rule.chance) continue;
+      if (rule.call != call || NextRandom() >= rule.probability) continue;
       Record(rule, descriptor, elapsed);
       return &rule;
     }
     return nullptr;
   }
 
+  // Returns by how many seconds the wall clock is moved at the moment.
   double ClockOffset() const {
     const RuleSet* set = rules_.load();
     if (set == nullptr || set->clock_step_seconds == 0) return 0;
@@ -86,7 +88,7 @@
   long injected() const { return injected_; }
 
  private:
-  // splitmix64
+  // Returns a number from 0 (inclusive) to 1 (exclusive), by the generator splitmix64.
   double NextRandom() {
     std::uint64_t z = random_.fetch_add(0x9E3779B97F4A7C15ULL) + 0x9E3779B97F4A7C15ULL;
     z = (z ^ (z >> 30U)) * 0xBF58476D1CE4E5B9ULL;
@@ -105,19 +107,19 @@
 
   std::mutex configure_mutex_;
   std::vector<std::unique_ptr<RuleSet>> rule_sets_;
-  std::atomic<const RuleSet*> rules_{nullptr};  // the last of them
+  std::atomic<const RuleSet*> rules_{nullptr};  // the last element of rule_sets_
   std::atomic<std::uint64_t> random_{1};
   std::atomic<long> injected_{0};
   double started_at_ = 0;
   int log_ = -1;
 };
 
-Injector& TheInjector() {
-  static auto* const injector = new Injector();  // never destroyed: other threads call on at exit
+Injector& GlobalInjector() {
+  static auto* const injector = new Injector();  // never destroyed, because other threads may use it at exit
   return *injector;
 }
 
-bool IsOfType(int descriptor, mode_t type) {
+bool HasFileType(int descriptor, mode_t type) {
   struct stat status {};
   const int saved_errno = errno;
   const bool matches = ::fstat(descriptor, &status) == 0 && (status.st_mode & S_IFMT) == type;
@@ -125,10 +127,10 @@
   return matches;
 }
 
-// Applies a rule to a call that neither reads nor writes bytes. Returns true if the call has to fail, with
-// errno set.
-bool Fails(const char* call, int descriptor) {
-  const Rule* rule = TheInjector().Strike(call, descriptor);
+// Applies the rules to a call that neither reads nor writes bytes. Returns whether the call must fail, and
+// sets errno if so.
+bool ShouldFail(const char* call, int descriptor) {
+  const Rule* rule = GlobalInjector().DrawFault(call, descriptor);
   if (rule == nullptr) return false;
   if (rule->effect == Effect::kDelay) ::nanosleep(&kDelay, nullptr);
   if (rule->effect != Effect::kError) return false;
@@ -136,9 +138,10 @@
   return true;
 }
 
-// How many bytes a call that reads or writes `size` bytes may move: -1 if it has to fail, with errno set.
+// Applies the rules to a call that reads or writes `size` bytes. Returns how many bytes it may transfer, or
+// -1 if it must fail, in which case errno is set.
 ssize_t AllowedBytes(const char* call, int descriptor, std::size_t size) {
-  const Rule* rule = TheInjector().Strike(call, descriptor);
+  const Rule* rule = GlobalInjector().DrawFault(call, descriptor);
   const auto all = static_cast<ssize_t>(size);
   if (rule == nullptr) return all;
   if (rule->effect == Effect::kDelay) ::nanosleep(&kDelay, nullptr);
@@ -154,7 +157,7 @@
   return size;
 }
 
-// The first byte of the first piece that is not empty.
+// Returns the first byte of the first piece that is not empty.
 iovec FirstByte(const iovec* pieces, int count) {
   for (int i = 0; i < count; ++i) {
     if (pieces[i].iov_len > 0) return {pieces[i].iov_base, 1};
@@ -166,37 +169,37 @@
 }  // namespace sagetally::fault_shim
 
 using sagetally::fault_shim::AllowedBytes;
-using sagetally::fault_shim::Fails;
 using sagetally::fault_shim::FirstByte;
-using sagetally::fault_shim::IsOfType;
-using sagetally::fault_shim::Real;
-using sagetally::fault_shim::TheInjector;
+using sagetally::fault_shim::GlobalInjector;
+using sagetally::fault_shim::HasFileType;
+using sagetally::fault_shim::LibraryFunction;
+using sagetally::fault_shim::ShouldFail;
 using sagetally::fault_shim::TotalSize;
 
-// The replaced functions have the C library's names and signatures.
+// The functions that replace the C library's have its names and signatures.
 // NOLINTBEGIN
 extern "C" {
 
-int SagetallyConfigureFaults(const char* specification) { return TheInjector().Configure(specification); }
-long SagetallyInjectedFaults() { return TheInjector().injected(); }
+int SagetallyConfigureFaults(const char* specification) { return GlobalInjector().Configure(specification); }
+long SagetallyInjectedFaults() { return GlobalInjector().injected(); }
 
 int socket(int domain, int type, int protocol) {
-  static auto* const real = Real<int(int, int, int)>("socket");
-  return Fails("socket", -1) ? -1 : real(domain, type, protocol);
+  static auto* const real = LibraryFunction<int(int, int, int)>("socket");
+  return ShouldFail("socket", -1) ? -1 : real(domain, type, protocol);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static auto* const real = Real<int(int, const sockaddr*, socklen_t)>("connect");
-  return Fails("connect", descriptor) ? -1 : real(descriptor, address, size);
+  static auto* const real = LibraryFunction<int(int, const sockaddr*, socklen_t)>("connect");
+  return ShouldFail("connect", descriptor) ? -1 : real(descriptor, address, size);
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  static auto* const real = Real<int(int, sockaddr*, socklen_t*, int)>("accept4");
-  return Fails("accept", descriptor) ? -1 : real(descriptor, address, size, flags);
+  static auto* const real = LibraryFunction<int(int, sockaddr*, socklen_t*, int)>("accept4");
+  return ShouldFail("accept", descriptor) ? -1 : real(descriptor, address, size, flags);
 }
 
 ssize_t readv(int descriptor, const iovec* pieces, int count) {
-  static auto* const real = Real<ssize_t(int, const iovec*, int)>("readv");
+  static auto* const real = LibraryFunction<ssize_t(int, const iovec*, int)>("readv");
   const std::size_t size = TotalSize(pieces, count);
   const ssize_t allowed = AllowedBytes("readv", descriptor, size);
   if (allowed < 0) return -1;
@@ -206,7 +209,7 @@
 }
 
 ssize_t writev(int descriptor, const iovec* pieces, int count) {
-  static auto* const real = Real<ssize_t(int, const iovec*, int)>("writev");
+  static auto* const real = LibraryFunction<ssize_t(int, const iovec*, int)>("writev");
   const std::size_t size = TotalSize(pieces, count);
   const ssize_t allowed = AllowedBytes("writev", descriptor, size);
   if (allowed < 0) return -1;
@@ -216,13 +219,13 @@
 }
 
 ssize_t recv(int descriptor, void* bytes, size_t size, int flags) {
-  static auto* const real = Real<ssize_t(int, void*, size_t, int)>("recv");
+  static auto* const real = LibraryFunction<ssize_t(int, void*, size_t, int)>("recv");
   const ssize_t allowed = AllowedBytes("recv", descriptor, size);
   return allowed < 0 ? -1 : real(descriptor, bytes, static_cast<size_t>(allowed), flags);
 }
 
 ssize_t send(int descriptor, const void* bytes, size_t size, int flags) {
-  static auto* const real = Real<ssize_t(int, const void*, size_t, int)>("send");
+  static auto* const real = LibraryFunction<ssize_t(int, const void*, size_t, int)>("send");
   const ssize_t allowed = AllowedBytes("send", descriptor, size);
   return allowed < 0 ? -1 : real(descriptor, bytes, static_cast<size_t>(allowed), flags);
 }
@@ -230,41 +233,41 @@
 ssize_t sendto(int descriptor, const void* bytes, size_t size, int flags, const sockaddr* address,
                socklen_t address_size) {
   static auto* const real =
-      Real<ssize_t(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
-  return Fails("sendto", descriptor) ? -1 : real(descriptor, bytes, size, flags, address, address_size);
+      LibraryFunction<ssize_t(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
+  return ShouldFail("sendto", descriptor) ? -1 : real(descriptor, bytes, size, flags, address, address_size);
 }
 
-int epoll_wait(int descriptor, epoll_event* events, int most, int timeout) {
-  static auto* const real = Real<int(int, epoll_event*, int, int)>("epoll_wait");
-  return Fails("epoll_wait", descriptor) ? -1 : real(descriptor, events, most, timeout);
+int epoll_wait(int descriptor, epoll_event* events, int max_events, int timeout) {
+  static auto* const real = LibraryFunction<int(int, epoll_event*, int, int)>("epoll_wait");
+  return ShouldFail("epoll_wait", descriptor) ? -1 : real(descriptor, events, max_events, timeout);
 }
 
 ssize_t write(int descriptor, const void* bytes, size_t size) {
-  static auto* const real = Real<ssize_t(int, const void*, size_t)>("write");
-  if (!IsOfType(descriptor, S_IFREG)) return real(descriptor, bytes, size);
+  static auto* const real = LibraryFunction<ssize_t(int, const void*, size_t)>("write");
+  if (!HasFileType(descriptor, S_IFREG)) return real(descriptor, bytes, size);
   const ssize_t allowed = AllowedBytes("write", descriptor, size);
   return allowed < 0 ? -1 : real(descriptor, bytes, static_cast<size_t>(allowed));
 }
 
 int fdatasync(int descriptor) {
-  static auto* const real = Real<int(int)>("fdatasync");
-  return Fails("fdatasync", descriptor) ? -1 : real(descriptor);
+  static auto* const real = LibraryFunction<int(int)>("fdatasync");
+  return ShouldFail("fdatasync", descriptor) ? -1 : real(descriptor);
 }
 
 int ftruncate(int descriptor, off_t size) noexcept {
-  static auto* const real = Real<int(int, off_t)>("ftruncate");
-  return Fails("ftruncate", descriptor) ? -1 : real(descriptor, size);
+  static auto* const real = LibraryFunction<int(int, off_t)>("ftruncate");
+  return ShouldFail("ftruncate", descriptor) ? -1 : real(descriptor, size);
 }
 
 int rename(const char* from, const char* to) noexcept {
-  static auto* const real = Real<int(const char*, const char*)>("rename");
-  return Fails("rename", -1) ? -1 : real(from, to);
+  static auto* const real = LibraryFunction<int(const char*, const char*)>("rename");
+  return ShouldFail("rename", -1) ? -1 : real(from, to);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
   const int result = static_cast<int>(::syscall(SYS_clock_gettime, clock, time));
   if (result == 0 && clock == CLOCK_REALTIME)
-    time->tv_sec += static_cast<time_t>(TheInjector().ClockOffset());
+    time->tv_sec += static_cast<time_t>(GlobalInjector().ClockOffset());
   return result;
 }
 
