--- a/src/net/endpoint_connection.h
+++ b/src/net/endpoint_connection.h
@@ -56,7 +56,7 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Called once for each call, when its last byte was written to the socket.
+    // Called when the last byte of a call was written to the socket, at most once for each call.
     virtual void OnCallWritten() = 0;
     // Called once for each call, with its result.
     virtual void OnCallFinished(EndpointConnection& connection, const CallResult& result,
@@ -66,7 +66,8 @@
     virtual void OnUnusable(EndpointConnection& connection) = 0;
   };
 
-  // Starts to connect to the endpoint. All references must outlive the connection.
+  // Starts to connect to the endpoint. `loop` must outlive the connection. `endpoint` and `owner` must stay
+  // valid until Close().
   EndpointConnection(EventLoop& loop, Timeouts timeouts, PooledEndpoint& endpoint, Owner& owner);
   EndpointConnection(const EndpointConnection&) = delete;
   EndpointConnection& operator=(const EndpointConnection&) = delete;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -30,7 +30,7 @@
     kEndedByClient,     // the client ended its input when no response was pending
     kFailed,            // a socket error occurred
     kEvicted,           // closed between requests to make room for a new connection
-    kEvictedInRequest,  // the same within a request, which was answered with 503
+    kEvictedInRequest,  // closed for that purpose within a request, which was answered with 503
     kResponseRead,      // closed after the last response was written, or after the idle timeout
     kTooMuchInput,      // the client kept sending after its last response
     kResponseNotRead,   // the client did not read its last response in time
@@ -81,6 +81,7 @@
 
   // The port that the listener is bound to.
   std::uint16_t port() const { return port_; }
+  // The number of open connections.
   std::size_t connection_count() const { return clients_.size(); }
   // Closes idle connections and makes every response from now on end its connection. With `include_unused`,
   // also closes connections on which no byte was received.
--- a/src/net/socket_address.h
+++ b/src/net/socket_address.h
@@ -22,7 +22,7 @@
 // Returns the port that a socket is bound to, or 0 if it is not bound.
 std::uint16_t LocalPort(int socket);
 
-// Return an address as "HOST:PORT", such as "10.0.0.4:8443".
+// Both return an address as "HOST:PORT", such as "10.0.0.4:8443".
 std::string FormatAddress(const Address& address);
 std::string FormatSocketAddress(const sockaddr_in& address);
 
--- a/tests/net/endpoint_list_watcher_test.cpp
+++ b/tests/net/endpoint_list_watcher_test.cpp
@@ -93,8 +93,8 @@
 }
 
 void LargeFleetLimitsItsRequestRate() {
-  // Each watcher waits at most 5 s, so that it receives a drain before it takes effect. The expected mean
-  // is 1.3 requests.
+  // Each watcher waits at most 5 s, so that it receives a drain before the drain takes effect. The expected
+  // mean is 1.3 requests.
   assert(RequestsPerWatcher(true, 300, 1500ms) <= 2);
   assert(RequestsPerWatcher(true, 3, 1500ms) >= 3);
   assert(RequestsPerWatcher(false, 300, 1500ms) >= 5);  // requests for pushed lists do not burden discovery
