--- a/src/dead_letter/dead_letter.cpp
+++ b/src/dead_letter/dead_letter.cpp
@@ -8,10 +8,11 @@
 namespace sagetally::dead_letter {
 namespace {
 
-// An attempt so close to the end of the deduplication window would not be made.
+// No further attempt is made when no more than this is left of the deduplication window.
 constexpr Duration kDeduplicationMargin = std::chrono::milliseconds(100);
 
-// The history has the steady clock's time too; an attempt that it lost is known by the wall clock alone.
+// Looks the attempt up in the history, which also has its steady-clock time. If the history no longer
+// contains it, only the wall-clock time is known.
 std::optional<Timestamp> FirstUncertainAttempt(const Message& message) {
   if (!message.first_uncertain_attempt) return std::nullopt;
   const Time sent_at = *message.first_uncertain_attempt;
@@ -105,14 +106,14 @@
   }
   if (WasRejectedByEveryAttempt(message)) return FailureReason::kRejectedUntilDeadline;
   if (message.attempts > 0) return FailureReason::kExpiredAfterAttempts;
-  // The dispatch policy gives up what can't arrive in time; with most of its time left, it was shed for
-  // others.
+  // The dispatch policy gives up messages that can't be delivered in time. A message with more than half of
+  // its time left was not given up for that reason, but shed in favour of others.
   const Duration whole_time = message.deadline - message.accepted_at;
   const Duration time_left = message.deadline - now;
   return time_left * 2 > whole_time ? FailureReason::kShed : FailureReason::kExpiredUnsent;
 }
 
-// The texts that are hashed and the hash are stored forms: they never change.
+// The hashes are stored, so neither the hashed texts nor the hash function may change.
 std::optional<std::uint64_t> IdentityOf(const Request& request) {
   if (request.protocol == IngressProtocol::kCloudEvents) return HashText("e" + request.id);
   if (request.idempotency_key.empty()) return std::nullopt;
--- a/src/dead_letter/dead_letter_json.cpp
+++ b/src/dead_letter/dead_letter_json.cpp
@@ -11,7 +11,7 @@
 using Json = nlohmann::json;
 using std::chrono::milliseconds;
 
-// Keys of an attempt in a stored history.
+// Keys of an attempt in a stored history. They must not change.
 constexpr const char* kSentAtKey = "at_us";
 constexpr const char* kSteadyTimeKey = "steady_us";
 constexpr const char* kBootIdKey = "boot";
@@ -20,7 +20,7 @@
 constexpr const char* kMayHaveRunKey = "may_have_run";
 constexpr const char* kRetryAfterKey = "told_wait_ms";
 
-// On one line; bytes that are not UTF-8 are replaced.
+// Prints on one line; replaces bytes that are not UTF-8.
 std::string Dump(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 std::string ToBase64(const std::string& bytes) {
--- a/src/dead_letter/dead_letter_json.h
+++ b/src/dead_letter/dead_letter_json.h
@@ -1,5 +1,5 @@
-// Dead letters and their histories as JSON: what operators read, and what the store holds in its column
-// `history`.
+// Converts dead letters and their attempt histories to JSON and back, for operators' output and for the
+// store's JSON columns `history` and `attributes`. Functions without state, safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_JSON_H_
 #define SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_JSON_H_
 
@@ -12,15 +12,15 @@
 
 namespace sagetally::dead_letter {
 
-// One object on one line; `with_body` adds the body in Base64.
+// Returns one JSON object on one line. `with_body` adds the body in Base64.
 std::string ToJson(const DeadLetter& dead_letter, bool with_body);
 
 std::string HistoryToJson(const std::vector<AttemptRecord>& history);
-// Nothing if `text` is not a history.
+// Returns nothing if `text` is not a history that HistoryToJson could have written.
 std::optional<std::vector<AttemptRecord>> ParseHistory(const std::string& text);
 
 std::string AttributesToJson(const std::map<std::string, std::string>& attributes);
-// Values that are no texts are left out.
+// Ignores values that are not strings. Returns an empty map if `text` is not a JSON object.
 std::map<std::string, std::string> ParseAttributes(const std::string& text);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/dead_letter_manager.cpp
+++ b/src/dead_letter/dead_letter_manager.cpp
@@ -26,7 +26,8 @@
                  }),
       redrives_(context_, health_, resubmissions_),
       reconciliation_(context_, health_, resubmissions_, redrives_) {
-  // Numbers identify dead letters for good, so none may be given out again, whatever the journal forgot.
+  // Numbers identify dead letters permanently. Starting at the present time in microseconds avoids numbers
+  // that were assigned before, even if the journal has dropped their messages.
   const std::int64_t now = clock.Now().count();
   messages.SkipNumbersBelow(static_cast<std::uint64_t>(std::max<std::int64_t>(1, now)));
 }
@@ -44,7 +45,8 @@
     if (message.final_status == FinalStatus::kPending) redrives_.AdoptRedrive(message);
     return;
   }
-  // It may have been accepted just before the process ended, with the store not knowing it yet.
+  // The message may have been accepted just before the previous process ended, so that the store has not
+  // recorded the resubmission yet.
   if (const std::optional<std::uint64_t> identity = IdentityOf(message.request)) {
     resubmissions_.Add(*identity, message.number);
   }
@@ -119,7 +121,7 @@
 void DeadLetterManager::OnAccepted(const Message& message) {
   const std::optional<std::uint64_t> identity = IdentityOf(message.request);
   if (!identity) return;
-  // Until the store is reconciled, any message may be one that was submitted before.
+  // Until the store is reconciled, any message may be the resubmission of a dead letter.
   if (reconciliation_.is_done() && !resubmissions_.IsRedrivable(*identity)) return;
   resubmissions_.Add(*identity, message.number);
   RunDueWork();
@@ -142,7 +144,8 @@
                                        context_.PriorityWeightOf(message));
   dead_letter.final_status = FinalStatus::kFailed;
   RedrivePolicySettings policy = review.policy;
-  policy.max_attempts = message.attempts + 1;  // the dispatch policy counts them
+  // The dispatch policy limits the attempts, so the limit does not apply here.
+  policy.max_attempts = message.attempts + 1;
   const ClassSettings& settings = review.classes[static_cast<std::size_t>(message.request.message_class)];
   const RedriveDecisionResult decision =
       DecideRedrive(dead_letter, &settings, policy, context_.clock.CurrentTimestamp());
--- a/src/dead_letter/dead_letter_manager.h
+++ b/src/dead_letter/dead_letter_manager.h
@@ -1,7 +1,7 @@
-// The dead-letter manager: transfers messages that ended undelivered to the store, redrives them by rules
-// beside live traffic, and records the results. It lives on the event loop; the store's jobs run elsewhere.
-// Its parts are transfer_queue.h, redrive_loop.h, resubmission_tracker.h, reconciliation.h and
-// store_health.h.
+// The dead-letter manager transfers undelivered messages to the store, redrives them by rules alongside live
+// traffic, and records the results. It is used on the event loop only; the store's jobs run elsewhere
+// (storage/job_runner.h). Its parts are transfer_queue.h, redrive_loop.h, resubmission_tracker.h,
+// reconciliation.h and store_health.h.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_MANAGER_H_
 #define SAGETALLY_SRC_DEAD_LETTER_DEAD_LETTER_MANAGER_H_
 
@@ -29,24 +29,27 @@
   using Pipeline = ManagerPipeline;
   using Counters = ManagerCounters;
 
-  // `schedule_wakeup`: calls RunDueWork after that time; a new call replaces the last.
+  // `schedule_wakeup` must arrange that RunDueWork is called after the given time; each call to it replaces
+  // the previous one. The references must outlive the manager.
   DeadLetterManager(Settings settings, JobRunner& jobs, MessageTable& messages, const Clock& clock,
                     Logger& log, std::function<void(Duration)> schedule_wakeup);
   DeadLetterManager(const DeadLetterManager&) = delete;
   DeadLetterManager& operator=(const DeadLetterManager&) = delete;
 
-  // `journal_lost`: the journal was empty at the start. Redrives begin once the store is reconciled.
+  // Called once, when the pipeline can accept messages. `journal_lost` says that the journal was empty at
+  // startup. Redrives begin once the store has been reconciled.
   void Start(Pipeline pipeline, bool journal_lost);
-  // No redrive is started from now on; messages are still transferred.
+  // Starts no further redrives; completed messages are still transferred to the store.
   void Stop() { redrives_.Stop(); }
-  // `text`: of the rule file, by which the store knows the rules again.
+  // `text` is the content of the rule file; its hash lets the store recognize unchanged rules.
   void SetRules(std::shared_ptr<const RuleSet> rules, const std::string& text);
+  // Starts all work that is due, and schedules the next wakeup.
   void RunDueWork();
-  // An operator changed something in the store.
+  // Called after an operator changed something in the store.
   void ScheduleReview();
 
   const Counters& counters() const { return context_.counters; }
-  // Messages that wait for the store, or are on their way to it.
+  // Number of messages that wait for the store or are being stored.
   std::size_t pending_transfers() const { return transfers_.size(); }
   int redrives_in_flight() const { return redrives_.in_flight_count(); }
   bool store_failing() const { return health_.is_failing(); }
@@ -74,7 +77,7 @@
   RedriveLoop redrives_;
   Reconciliation reconciliation_;
   bool is_started_ = false;
-  // Numbers of messages that may not continue after the restart, until they have ended.
+  // Numbers of the messages that must not be sent again after the restart and have not completed yet.
   std::set<std::uint64_t> forbidden_after_restart_;
 };
 
--- a/src/dead_letter/manager_context.cpp
+++ b/src/dead_letter/manager_context.cpp
@@ -3,7 +3,7 @@
 namespace sagetally::dead_letter {
 
 const std::string& ManagerContext::ClassNameOf(const Message& message) const {
-  static const std::string kRemovedClass = "(not configured any more)";  // stored
+  static const std::string kRemovedClass = "(not configured any more)";  // stored, so it must not change
   const int message_class = message.request.message_class;
   if (message_class == kUnknownClass) return kRemovedClass;
   return settings.review->class_names[static_cast<std::size_t>(message_class)];
--- a/src/dead_letter/operator_request_parser.cpp
+++ b/src/dead_letter/operator_request_parser.cpp
@@ -1,4 +1,4 @@
-// Reads operators' requests. The words in here are the protocol's.
+// Parses operators' requests. The keys and words belong to the protocol and must not change.
 #include <array>
 #include <nlohmann/json.hpp>
 
@@ -14,9 +14,9 @@
   throw OperatorRequestError(std::string("/") + key, "expected " + expected);
 }
 
-std::string ReadText(const Json& request, const char* key, const std::string& otherwise) {
-  if (!request.contains(key)) return otherwise;
-  if (!request[key].is_string()) ThrowExpected(key, "a text");
+std::string ReadText(const Json& request, const char* key, const std::string& default_value) {
+  if (!request.contains(key)) return default_value;
+  if (!request[key].is_string()) ThrowExpected(key, "a string");
   return request[key].get<std::string>();
 }
 
@@ -25,8 +25,8 @@
   std::int64_t max;
 };
 
-std::int64_t ReadNumber(const Json& request, const char* key, NumberRange range, std::int64_t otherwise) {
-  if (!request.contains(key)) return otherwise;
+std::int64_t ReadNumber(const Json& request, const char* key, NumberRange range, std::int64_t default_value) {
+  if (!request.contains(key)) return default_value;
   const Json& value = request[key];
   const bool is_in_range = value.is_number_integer() && value.get<std::int64_t>() >= range.min &&
                            value.get<std::int64_t>() <= range.max;
@@ -128,7 +128,7 @@
 
 OperatorRequest ParseOperatorRequest(std::string_view line, const std::vector<std::string>& classes) {
   const Json request = Json::parse(line, nullptr, false);
-  if (!request.is_object()) throw OperatorRequestError("", "expected one JSON object a line");
+  if (!request.is_object()) throw OperatorRequestError("", "expected one JSON object per line");
   CheckVersion(request);
   OperatorRequest result;
   result.kind = ReadKind(request);
--- a/src/dead_letter/operator_requests.cpp
+++ b/src/dead_letter/operator_requests.cpp
@@ -1,4 +1,4 @@
-// Carries out operators' requests. The keys and words of the answers are the protocol's.
+// Executes operators' requests. The keys and words of the answers belong to the protocol and must not change.
 #include "dead_letter/operator_requests.h"
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-// Messages of one request, so that other jobs of the store get their turn.
+// Maximum number of messages in one request, so that other jobs of the store do not wait long.
 constexpr int kDryRunPageSize = 5000;
 constexpr int kActionPageSize = 500;
 
@@ -70,7 +70,7 @@
   object[name] = object.value(name, 0) + 1;
 }
 
-// Adds one message to the counts of the rule that matches it.
+// Adds one message to the counts of the rule that matched it.
 void CountReview(const Review& review, Json& counts) {
   Increment(counts, "matched");
   Increment(counts, Name(review.kind));
@@ -80,7 +80,7 @@
   }
 }
 
-// What the rules of the request would do with one page of messages.
+// Counts what the rules of the request would do with one page of messages.
 Json DryRun(const OperatorRequest& request, Database& database, const ReviewSettings& settings,
             const Timestamp& now) {
   const Database::Page page = database.List(Condition(), now.wall_time, request.after, kDryRunPageSize);
@@ -124,9 +124,9 @@
           {"cursor", result.next_cursor ? Json(*result.next_cursor) : Json(nullptr)}};
 }
 
-const ReviewSettings& Required(const ReviewSettings* review) {
+const ReviewSettings& RequireReview(const ReviewSettings* review) {
   if (review != nullptr) return *review;
-  throw OperatorRequestError("", "the classes are needed: give the node's configuration");
+  throw OperatorRequestError("", "the configured classes are required: specify the node's configuration");
 }
 
 std::string Dump(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
@@ -145,9 +145,9 @@
     case OperatorRequest::Kind::kStats:
       return Stats(request, database);
     case OperatorRequest::Kind::kDryRun:
-      return DryRun(request, database, Required(review), now);
+      return DryRun(request, database, RequireReview(review), now);
     case OperatorRequest::Kind::kAct:
-      return Act(request, database, Required(review), now);
+      return Act(request, database, RequireReview(review), now);
   }
   return Json::object();
 }
--- a/src/dead_letter/reconciliation.h
+++ b/src/dead_letter/reconciliation.h
@@ -1,5 +1,6 @@
-// Brings store and journal together after a start, and whenever it is not known what is claimed: claims that
-// no redrive of this process carries are given up. Part of the dead-letter manager.
+// Reconciles the store with the journal after startup, and whenever it is unknown which messages are claimed:
+// releases each claim to which no redrive in this process belongs. Part of the dead-letter manager; used on
+// the event loop only.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_RECONCILIATION_H_
 #define SAGETALLY_SRC_DEAD_LETTER_RECONCILIATION_H_
 
@@ -19,11 +20,11 @@
                  RedriveLoop& redrives)
       : context_(context), health_(health), resubmissions_(resubmissions), redrives_(redrives) {}
 
-  // `journal_lost`: the journal was empty at the start, so that claimed messages may have run.
+  // `journal_lost` says that the journal was empty at startup, so claimed messages may have run.
   void SetJournalLost(bool journal_lost) { is_journal_lost_ = journal_lost; }
-  // It has to be done again.
+  // Marks the reconciliation as not done, so that it runs again.
   void Invalidate() { is_done_ = false; }
-  // Unless it is under way, or a claim is.
+  // Starts the reconciliation, unless it is already running or a claim is in progress.
   void Start();
   bool is_done() const { return is_done_; }
 
--- a/src/dead_letter/redrive_loop.cpp
+++ b/src/dead_letter/redrive_loop.cpp
@@ -12,12 +12,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kMaxCandidates = 64;                    // of one fetch
-constexpr Duration kMaxReviewInterval = seconds(30);  // rules are applied again so often, whatever is due
+constexpr int kMaxCandidatesPerFetch = 64;
+// The time from one fetch to the next is at most kMaxReviewInterval, even if no message becomes due earlier,
+// and at least kMinReviewInterval if it depends on a message's next review.
+constexpr Duration kMaxReviewInterval = seconds(30);
 constexpr Duration kMinReviewInterval = milliseconds(10);
-constexpr Duration kPipelineRetryTime = seconds(1);  // after the pipeline refused a redrive
+constexpr Duration kPipelineRetryTime = seconds(1);  // after the pipeline rejected a redrive
 
-// Past the last class if there is none of that name.
+// Returns the number of classes if no class has that name.
 int ClassIndex(const ReviewSettings& settings, const std::string& name) {
   const auto found = std::find(settings.class_names.begin(), settings.class_names.end(), name);
   return static_cast<int>(found - settings.class_names.begin());
@@ -71,7 +73,7 @@
     not_before = planner_.BackoffUntil(message.redrive_incarnation + 1, now);
     ++context_.counters.redrives_failed;
   }
-  // These destinations waited for a redrive to end.
+  // These destinations were blocked until a redrive completed.
   std::erase_if(blocked_destinations_, [](const auto& blocked) { return blocked.second == Time::max(); });
   ReviewSoon();
   context_.log.Info("dead_letter.redriven",
@@ -126,8 +128,8 @@
   is_fetching_ = context_.jobs.Run(
       [fetch, rules = rules_, review = context_.settings.review, generation = generation_,
        timestamp = context_.clock.CurrentTimestamp(), excluded](Database& database) {
-        fetch->due =
-            database.Due({*rules, *review, generation, timestamp, excluded, kMaxCandidates}, fetch->pacer);
+        fetch->due = database.Due({*rules, *review, generation, timestamp, excluded, kMaxCandidatesPerFetch},
+                                  fetch->pacer);
       },
       [this, fetch](const JobError* error) {
         is_fetching_ = false;
@@ -155,13 +157,14 @@
   }
   const bool has_more_to_review = due.has_more && due.list.empty();
   GrantRound round = RequestGrants(due.list, now, next_attempt);
-  const bool goes_on_now = !round.granted.empty() || has_more_to_review;
-  next_fetch_ = goes_on_now ? now : round.next_attempt;
+  const bool fetch_again_now = !round.granted.empty() || has_more_to_review;
+  next_fetch_ = fetch_again_now ? now : round.next_attempt;
   if (!round.granted.empty()) StartClaim(std::move(round.granted));
   context_.run_due_work();
 }
 
-// `next_attempt`: the latest time of the next fetch.
+// Requests a slot for each candidate. `next_attempt` is the latest time of the next fetch; blocks of
+// destinations and rules make it earlier.
 RedriveLoop::GrantRound RedriveLoop::RequestGrants(Candidates& candidates, Time now, Time next_attempt) {
   GrantRound round;
   RedrivePlanner::Load load = CurrentLoad();
@@ -203,7 +206,7 @@
 void RedriveLoop::StartClaim(Candidates granted) {
   struct Work {
     Candidates granted;
-    std::vector<std::optional<DeadLetter>> claimed;  // for each that was granted
+    std::vector<std::optional<DeadLetter>> claimed;  // one for each in `granted`; empty if it was not claimed
   };
   const auto work = std::make_shared<Work>();
   work->granted = std::move(granted);
@@ -217,7 +220,7 @@
       [this, work](const JobError* error) {
         --claim_jobs_;
         if (error != nullptr) {
-          // Which of them were claimed is not known.
+          // It is unknown which of the messages were claimed.
           ReleaseGrants(work->granted);
           context_.request_reconciliation();
           context_.on_store_error(*error);
@@ -247,7 +250,8 @@
   const DeadLetterId id = claimed->id;
   claimed->request.message_class = ClassIndex(review, claimed->class_name);
   const std::optional<std::uint64_t> identity = IdentityOf(claimed->request);
-  // Time has passed since the review, and its client may have submitted it again.
+  // The policy decides again, because time has passed since the review, and the client may have submitted the
+  // message again.
   claimed->state = DeadLetterState::kStored;
   const Timestamp now = context_.clock.CurrentTimestamp();
   const RedriveDecisionResult decision =
--- a/src/dead_letter/redrive_planner.cpp
+++ b/src/dead_letter/redrive_planner.cpp
@@ -10,19 +10,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// After a failed redrive its destination rests, twice as long with each further one.
+// After a failed redrive no further redrive is sent to its destination for a while, which doubles with each
+// further failure. The backoff is reset by a redrive that is delivered when the destination has been healthy
+// for longer than kBackoffResetTime and four times the backoff.
 constexpr Duration kMinDestinationBackoff = seconds(1);
 constexpr Duration kMaxDestinationBackoff = seconds(60);
-constexpr Duration kBackoffResetTime = seconds(30);  // healthy for that long, or four times the backoff
+constexpr Duration kBackoffResetTime = seconds(30);
 
-constexpr double kFreeSlotFraction = 0.25;               // of the slots, left to live traffic
-constexpr Duration kSlotsRetryTime = milliseconds(100);  // when all others are in use
-constexpr Duration kEndpointRetryTime = seconds(5);      // when a destination has no endpoint
-constexpr double kTokenTolerance = 1e-9;
+constexpr double kReservedCallFraction = 0.25;  // of the concurrent calls, reserved for live traffic
+constexpr Duration kNoFreeCallRetryTime = milliseconds(100);  // when all other calls are in use
+constexpr Duration kNoEndpointRetryTime = seconds(5);         // when a destination has no usable endpoint
+constexpr double kTokenTolerance = 1e-9;                      // tokens; absorbs rounding errors
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr int kMaxBackoffDoublings = 30;
 
-// A bucket holds a second's worth of tokens, and one at the least.
+// The capacity of a bucket: the tokens of one second, but at least one.
 double BurstOf(double rate) { return std::max(1.0, rate); }
 
 }  // namespace
@@ -56,7 +58,8 @@
 }
 
 void RedrivePlanner::OnCallCompleted(int destination, Outcome outcome, Duration retry_after, Time now) {
-  if (outcome == Outcome::kNotSent || outcome == Outcome::kCancelled) return;  // say nothing of its health
+  // These outcomes do not depend on the destination's health.
+  if (outcome == Outcome::kNotSent || outcome == Outcome::kCancelled) return;
   if (outcome == Outcome::kOk) return;
   Destination& state = FindOrAdd(destination);
   state.healthy_since = now;
@@ -67,7 +70,7 @@
   const int free_calls = limits_.max_concurrent_calls - load.calls_in_flight;
   const int reserved =
       std::min(limits_.max_concurrent_calls - 1,
-               static_cast<int>(std::ceil(kFreeSlotFraction * limits_.max_concurrent_calls)));
+               static_cast<int>(std::ceil(kReservedCallFraction * limits_.max_concurrent_calls)));
   return free_calls > reserved && load.pending_messages + 1 < limits_.max_pending_messages;
 }
 
@@ -76,7 +79,7 @@
                                                    const Load& load, Time now) {
   using Kind = Grant::Kind;
   Destination& state = FindOrAdd(destination);
-  if (!has_usable_endpoint) return {Kind::kDestinationBlocked, now + kEndpointRetryTime};
+  if (!has_usable_endpoint) return {Kind::kDestinationBlocked, now + kNoEndpointRetryTime};
   const Time ready_at =
       std::max({state.healthy_since + redrive.healthy_for, state.retry_after, state.backoff_until});
   if (ready_at > now) return {Kind::kDestinationBlocked, ready_at};
@@ -89,7 +92,7 @@
       rule_bucket.NextToken(redrive.rate_per_second, BurstOf(redrive.rate_per_second), now);
   if (rule_token > now) return {Kind::kRuleBlocked, rule_token};
   if (in_flight_ >= MaxInFlight()) return {Kind::kAllBlocked, Time::max()};
-  if (!HasRoomFor(load)) return {Kind::kAllBlocked, now + kSlotsRetryTime};
+  if (!HasRoomFor(load)) return {Kind::kAllBlocked, now + kNoFreeCallRetryTime};
   rule_bucket.tokens -= 1;
   state.bucket.tokens -= 1;
   ++state.in_flight;
@@ -120,7 +123,8 @@
     return;
   }
   state.max_in_flight = 1;
-  if (now < state.backoff_until) return;  // sent before the backoff began: the same failure
+  // A redrive that was sent before the backoff began belongs to the same failure and does not double it.
+  if (now < state.backoff_until) return;
   state.backoff = std::clamp(state.backoff * 2, kMinDestinationBackoff, kMaxDestinationBackoff);
   state.backoff_until = now + state.backoff;
 }
--- a/src/dead_letter/redrive_planner.h
+++ b/src/dead_letter/redrive_planner.h
@@ -1,6 +1,7 @@
-// The redrive planner: when a redrive may enter beside live traffic. It limits redrives by rule, by
-// destination and in all, lets a destination recover after failures, and leaves slots free for live messages.
-// The redrive loop owns it. No I/O; all times are by the wall clock of the process, which never goes back.
+// The redrive planner decides when a redrive may be sent alongside live traffic. It limits redrives by rule,
+// by destination and in total, lets a destination recover after failures, and reserves slots for live
+// messages. The redrive loop owns it and uses it on the event loop. No I/O. All times are wall-clock times of
+// the process's clock, which never goes back.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_REDRIVE_PLANNER_H_
 #define SAGETALLY_SRC_DEAD_LETTER_REDRIVE_PLANNER_H_
 
@@ -15,43 +16,46 @@
 class RedrivePlanner {
  public:
   struct Limits {
-    int max_concurrent_calls = 1, max_pending_messages = 1;     // of the dispatcher
-    double concurrency_fraction = 0.1, pending_fraction = 0.1;  // what redrives may take of these
-    double destination_rate = 5;                                // redrives a second
+    int max_concurrent_calls = 1, max_pending_messages = 1;     // limits of the whole dispatcher
+    double concurrency_fraction = 0.1, pending_fraction = 0.1;  // the fraction of each that redrives may use
+    double destination_rate = 5;                                // redrives per second and destination
     Duration initial_backoff = std::chrono::seconds(2), max_backoff = std::chrono::minutes(10);
   };
-  struct Load {  // of the dispatcher, now
+  struct Load {  // present load of the dispatcher, by live messages and redrives
     int calls_in_flight = 0;
     int pending_messages = 0;
   };
   struct Grant {
-    // All but the first say what has to wait.
+    // The kinds other than kGranted say whether the destination, the rule or every redrive has to wait.
     enum class Kind : std::uint8_t { kGranted, kDestinationBlocked, kRuleBlocked, kAllBlocked };
     Kind kind = Kind::kGranted;
-    Time retry_after{0};  // not before; Time::max(): when a redrive ends
+    Time retry_after{0};  // when to ask again; Time::max(): after a redrive has completed
     bool granted() const { return kind == Kind::kGranted; }
     bool operator==(const Grant&) const = default;
   };
 
-  // `seed`: of the jitter.
+  // `seed` seeds the jitter of the backoff.
   RedrivePlanner(const Limits& limits, std::uint64_t seed, Time now)
       : limits_(limits), random_(seed), started_at_(now) {}
 
-  // Of live calls and redrives alike: tells how healthy the destination is.
+  // Called for every completed call, of live messages and of redrives, to follow the destination's health.
   void OnCallCompleted(int destination, Outcome outcome, Duration retry_after, Time now);
-  // Asks for a slot. One that is granted is taken until OnMessageCompleted or ReleaseGrant.
+  // Requests a slot. A granted slot is in use until OnMessageCompleted or ReleaseGrant.
   Grant RequestGrant(const std::string& rule, const RedriveAction& redrive, int destination,
                      bool has_usable_endpoint, const Load& load, Time now);
-  // A redrive that was in flight before a restart takes a slot.
+  // Allocates a slot, regardless of the limits, for a redrive that was in flight before a restart.
   void AdoptRedrive(int destination);
-  // Granted, but nothing was sent.
+  // Frees the slot of a redrive that was granted but not sent.
   void ReleaseGrant(int destination);
-  // A redrive ended. Each success lets one more run at once, up to the limits; a failure reduces them to one.
+  // Called when a redrive has completed. Each success raises the number of concurrent redrives to the
+  // destination by one, up to the limits; a failure reduces it to one.
   void OnMessageCompleted(int destination, bool is_delivered, Time now);
-  // When a message whose `redrives`-th redrive failed may be redriven again: exponential backoff with jitter.
+  // Returns when a message may be redriven again after its `redrives`-th redrive failed. The backoff is
+  // exponential with jitter.
   Time BackoffUntil(int redrives, Time now);
 
   int in_flight_count() const { return in_flight_; }
+  // The limit of redrives in flight over all destinations; at least 1.
   int MaxInFlight() const;
 
  private:
@@ -59,14 +63,14 @@
     double tokens = 1;
     Time refilled_at{0};
     bool is_new = true;
-    // When the next token is there; takes none.
+    // Refills the bucket and returns when a token is available, without consuming it.
     Time NextToken(double rate, double burst, Time now);
   };
   struct Destination {
-    Time healthy_since{0};  // no failure was seen since
-    Time retry_after{0};    // as the destination asked
+    Time healthy_since{0};  // time of the last failed call, or the start of the planner
+    Time retry_after{0};    // until when the destination asked to wait
     Time backoff_until{0};
-    Duration backoff{0};  // after the last failure
+    Duration backoff{0};  // length of the last backoff
     int max_in_flight = 1;
     int in_flight = 0;
     TokenBucket bucket;
--- a/src/dead_letter/redrive_policy.cpp
+++ b/src/dead_letter/redrive_policy.cpp
@@ -6,7 +6,8 @@
 namespace sagetally::dead_letter {
 namespace {
 
-// In the order of DecisionReason. Stored, and in operators' output.
+// In the order of DecisionReason. The words are stored and part of operators' output, so they must not
+// change.
 constexpr std::array<std::string_view, kDecisionReasonCount> kReasonNames = {
     "none",         "over",   "under_way",          "class_unknown", "attempts_used_up",
     "may_have_run", "no_key", "repeat_window_over", "clock_unsure",  "client_may_hand_in_again"};
@@ -18,7 +19,8 @@
          state == DeadLetterState::kResubmitted;
 }
 
-// For a message that may have run, and whose class needs its key to have a repeat recognized.
+// Decides about a message that may have run, and whose class relies on the idempotency key to recognize a
+// duplicate.
 RedriveDecisionResult DecideWithinWindow(const DeadLetter& dead_letter, Duration deduplication_window,
                                          const Timestamp& now) {
   if (dead_letter.request.idempotency_key.empty()) return Forbidden(DecisionReason::kNoKey);
@@ -32,7 +34,7 @@
 }  // namespace
 
 std::optional<Duration> Elapsed(const Timestamp& then, const Timestamp& now) {
-  // Unless one steady clock covers both, the wall clock may have been set in between.
+  // Without a steady clock that covers both times, it is unknown whether the wall clock was set in between.
   const bool is_same_boot = then.boot_id != 0 && then.boot_id == now.boot_id;
   if (!is_same_boot || now.steady_time < then.steady_time) return std::nullopt;
   return std::max(now.steady_time - then.steady_time, now.wall_time - then.wall_time);
--- a/src/dead_letter/redrive_review.cpp
+++ b/src/dead_letter/redrive_review.cpp
@@ -12,7 +12,8 @@
 // A message whose redrive is in flight is reviewed again after this time.
 constexpr Duration kReviewInterval = seconds(1);
 
-// What an operator's request is carried out under. Its name is stored with the message.
+// The rule that takes the place of the configured rules for a redrive that an operator requested. Its name is
+// stored with the message, so it must not change.
 const Rule& OperatorRule() {
   static const Rule kRule = {"by-hand",
                              {},
--- a/src/dead_letter/redrive_review.h
+++ b/src/dead_letter/redrive_review.h
@@ -1,5 +1,5 @@
-// What rules and redrive policy make of one dead letter now. The same for the store, for operators and for
-// dry runs.
+// Reviews one dead letter: applies the rules and the redrive policy to decide what happens to it now. The
+// store and dry runs use the same function. Functions without state, safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_REDRIVE_REVIEW_H_
 #define SAGETALLY_SRC_DEAD_LETTER_REDRIVE_REVIEW_H_
 
@@ -12,37 +12,38 @@
 
 namespace sagetally::dead_letter {
 
+// The result of a review.
 struct Review {
   enum class Kind : std::uint8_t {
-    kRedrive,     // now, if the planner grants it
+    kRedrive,     // may be redriven now, if the planner grants a slot
     kRetryLater,  // reviewed again at `next_review`
-    kHold,        // by a rule, or since it may not be redriven any more
-    kDrop,        // by a rule
+    kHold,        // a rule holds it, or it may no longer be redriven
+    kDrop,        // a rule drops it
     kNoMatch      // no rule matches; reviewed again at `next_review` or when the rules change
   };
   Kind kind = Kind::kNoMatch;
-  const Rule* rule = nullptr;  // that decided; of the rules that were given, or a constant
+  const Rule* rule = nullptr;  // the rule that decided: one of the given rules, or a static constant
   RedriveDecisionResult decision;
   std::optional<Time> next_review;
-  Time deadline{0};  // kRedrive: of the redrive
+  Time deadline{0};  // kRedrive: wall-clock deadline of the redrive
   bool operator==(const Review&) const = default;
 };
 
-// The classes of the configuration, in its order, and the policy; read by several threads.
+// The configured classes, in the order of the configuration, and the redrive policy. Several threads read it.
 struct ReviewSettings {
   std::vector<std::string> class_names;
   std::vector<ClassSettings> classes;
   RedrivePolicySettings policy;
-  // Null if no class has that name.
+  // Returns null if no class has that name.
   const ClassSettings* FindClass(const std::string& name) const;
 };
 
-// An operator's request for a redrive takes the place of the rules.
+// Reviews `dead_letter` at `now`. If an operator has requested a redrive of it, the rules are not applied.
 Review ReviewDeadLetter(const DeadLetter& dead_letter, const RuleSet& rules, const ReviewSettings& settings,
                         const Timestamp& now);
 
-// Why a dead letter waits or is held after this review, in one word for operators; empty if nothing stands
-// against it.
+// Returns the word that tells operators why a dead letter waits or is held after this review; empty if
+// nothing prevents its redrive.
 std::string ReasonWord(const Review& review, const DeadLetter& dead_letter);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/redrive_rules.h
+++ b/src/dead_letter/redrive_rules.h
@@ -1,4 +1,4 @@
-// The values of the rule language, which says which dead letters are redriven, held or dropped:
+// The data types of the rule language, which says which dead letters are redriven, held or dropped:
 //
 //   rule avisos:
 //     when class = aviso and age in {10s..2h} and not may_have_run
@@ -7,7 +7,7 @@
 //
 // The first rule that matches decides. rule_parser.h reads the language, rule_printer.h writes it,
 // rule_evaluation.h applies it to a dead letter, and storage/filter_sql.h translates conditions into SQL.
-// docs/kept.md describes it.
+// docs/kept.md describes the language. Plain values, safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_REDRIVE_RULES_H_
 #define SAGETALLY_SRC_DEAD_LETTER_REDRIVE_RULES_H_
 
@@ -21,7 +21,7 @@
 
 namespace sagetally::dead_letter {
 
-// What a comparison looks at; rule_fields.h has the word for each.
+// The property of a dead letter that a comparison tests; rule_fields.h has the word for each.
 enum class Field : std::uint8_t {
   kClass,
   kDestination,
@@ -50,36 +50,38 @@
 };
 enum class LiteralType : std::uint8_t { kWord, kString, kNumber, kDuration, kSize, kBool };
 
+// A value as written in a rule.
 struct Literal {
   LiteralType type = LiteralType::kNumber;
   std::int64_t number = 0;  // kDuration: microseconds; kSize: bytes; kBool: 0 or 1
   std::string text = {};    // kWord, kString
-  std::size_t offset = 0;   // in the text it was read from; no part of its value
+  std::size_t offset = 0;   // in bytes, in the text it was read from; ignored by comparisons
   bool operator==(const Literal& other) const {
     return type == other.type && number == other.number && text == other.text;
   }
 };
 
-// Both ends belong to it; a single value where there is no `to`.
+// The values between `from` and `to`, both included, or only `from` if there is no `to`.
 struct ValueRange {
   Literal from;
   std::optional<Literal> to = {};
   bool operator==(const ValueRange&) const = default;
 };
 
-// A tree of comparisons. By default it is the constant `true`.
+// A tree of comparisons. The comments say which kinds of node use a member. The default value is the constant
+// `true`.
 struct Condition {
   enum class Kind : std::uint8_t { kConstant, kAnd, kOr, kNot, kComparison };
   Kind kind = Kind::kConstant;
   bool constant = true;                  // kConstant
   std::vector<Condition> operands = {};  // kAnd, kOr: two or more; kNot: one
   // kComparison:
-  std::string field_name = {};  // as written
-  Field field = Field::kClass;  // set by the check of types
-  std::string attribute = {};   // kAttribute: its name
+  std::string field_name = {};  // as written in the text
+  Field field = Field::kClass;  // set by CheckTypes (rule_fields.h)
+  std::string attribute = {};   // Field::kAttribute: the name of the attribute
   Operator op = Operator::kPresent;
   std::vector<ValueRange> ranges = {};  // kIn: one or more; kPresent: none; otherwise a single value
-  std::size_t offset = 0;               // in the text it was read from; no part of its value
+  std::size_t offset = 0;               // in bytes, in the text it was read from; ignored by comparisons
   bool operator==(const Condition& other) const {
     return kind == other.kind && constant == other.constant && operands == other.operands &&
            field_name == other.field_name && attribute == other.attribute && op == other.op &&
@@ -87,16 +89,17 @@
   }
 };
 
+// The parameters of the action `resend`.
 struct RedriveAction {
-  double rate_per_second = 1;                         // of all messages of this rule together
-  int max_redrives = 3;                               // of one message
-  Duration max_age = std::chrono::hours(24);          // since the message ended; an older one is held
-  Duration call_deadline = std::chrono::seconds(20);  // of each redrive
-  Duration healthy_for =
-      std::chrono::seconds(10);  // how long its destination must have been without a failure
+  double rate_per_second = 1;                         // for all messages of the rule together
+  int max_redrives = 3;                               // for each message
+  Duration max_age = std::chrono::hours(24);          // since the message completed; older messages are held
+  Duration call_deadline = std::chrono::seconds(20);  // from the start of each redrive
+  Duration healthy_for = std::chrono::seconds(10);    // how long the destination must not have had a failure
   bool operator==(const RedriveAction&) const = default;
 };
 
+// What a rule does with the messages that it matches.
 struct RuleAction {
   enum class Kind : std::uint8_t { kRedrive, kHold, kDrop };
   Kind kind = Kind::kHold;
@@ -104,16 +107,18 @@
   bool operator==(const RuleAction&) const = default;
 };
 
+// A rule. Names are unique within a rule set.
 struct Rule {
   std::string name;
   Condition condition;
   RuleAction action;
-  std::size_t offset = 0;  // in the text it was read from; no part of its value
+  std::size_t offset = 0;  // in bytes, in the text it was read from; ignored by comparisons
   bool operator==(const Rule& other) const {
     return name == other.name && condition == other.condition && action == other.action;
   }
 };
 
+// The rules of a file, in order. The first rule that matches a message decides.
 struct RuleSet {
   std::vector<Rule> rules;
   bool operator==(const RuleSet&) const = default;
--- a/src/dead_letter/resubmission_tracker.h
+++ b/src/dead_letter/resubmission_tracker.h
@@ -1,5 +1,5 @@
-// Tells the store which dead letters their clients have submitted again as messages of their own, so that
-// they are not redriven beside these. Part of the dead-letter manager.
+// Tells the store which dead letters their clients have submitted again as separate messages, so that the
+// dead letters are not redriven as well. Part of the dead-letter manager; used on the event loop only.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_RESUBMISSION_TRACKER_H_
 #define SAGETALLY_SRC_DEAD_LETTER_RESUBMISSION_TRACKER_H_
 
@@ -15,16 +15,16 @@
  public:
   explicit ResubmissionTracker(ManagerContext& context) : context_(context) {}
 
-  // Identities (IdentityOf) of dead letters that may be redriven.
+  // The tracker keeps the identities (IdentityOf) of the dead letters that may be redriven.
   void AddRedrivable(std::uint64_t identity) { redrivable_.insert(identity); }
   bool IsRedrivable(std::uint64_t identity) const { return redrivable_.contains(identity); }
 
-  // A client submitted message `number`.
+  // Records that a client submitted message `number` with this identity.
   void Add(std::uint64_t identity, std::uint64_t number);
-  // Whether a client has submitted it again, as a message later than `number`, and the store may not know
-  // yet.
+  // Whether a client has submitted the same identity again, as a message later than `number`, and the store
+  // may not have recorded that yet.
   bool HasLaterThan(std::uint64_t number, const std::optional<std::uint64_t>& identity) const;
-  // Hands what was added to the store, unless some is on its way.
+  // Starts a job that records the resubmissions in the store, unless one is already running.
   void StartRecording();
 
  private:
--- a/src/dead_letter/rule_evaluation.cpp
+++ b/src/dead_letter/rule_evaluation.cpp
@@ -24,7 +24,7 @@
   return std::string_view{attribute->second};
 }
 
-// The value that the comparison looks at; nothing where an attribute is absent.
+// Returns the value that the comparison tests, or nothing if it is an absent attribute.
 std::optional<Value> ValueIn(const DeadLetter& dead_letter, const Condition& comparison, Time now) {
   switch (comparison.field) {
     case Field::kClass:
@@ -69,7 +69,7 @@
   return value >= ValueOf(range.from) && value <= ValueOf(*range.to);
 }
 
-bool Holds(const Condition& comparison, const Value& value) {
+bool IsSatisfied(const Condition& comparison, const Value& value) {
   const std::vector<ValueRange>& ranges = comparison.ranges;
   if (comparison.op == Operator::kPresent) return IsTrue(value);
   if (comparison.op == Operator::kIn) {
@@ -93,8 +93,8 @@
   }
 }
 
-// Adds the two ages at which a comparison with `age` may change: one for each side to which the bound may
-// belong.
+// Adds the two ages at which the result of a comparison with `age` may change: `age` itself, where < and >=
+// change, and 1 microsecond more, where <= and > change.
 void AppendAgesAround(const Literal& age, std::vector<Duration>& ages) {
   ages.emplace_back(age.number);
   ages.emplace_back(age.number + 1);
@@ -127,7 +127,7 @@
       break;
   }
   const std::optional<Value> value = ValueIn(dead_letter, condition, now);
-  return value && Holds(condition, *value);
+  return value && IsSatisfied(condition, *value);
 }
 
 const Rule* FirstMatch(const RuleSet& rules, const DeadLetter& dead_letter, Time now) {
--- a/src/dead_letter/rule_fields.cpp
+++ b/src/dead_letter/rule_fields.cpp
@@ -21,9 +21,9 @@
     {"may_have_run", Field::kMayHaveRun, LiteralType::kBool, "true or false", "may_have_run"},
     {"last_outcome", Field::kLastOutcome, LiteralType::kWord, "an outcome", "last_outcome"},
     {"body_size", Field::kBodySize, LiteralType::kSize, "a size, such as 4kb", "body_size"},
-    {"id", Field::kId, LiteralType::kString, "a text in quotes", "id"},
-    {"key", Field::kKey, LiteralType::kString, "a text in quotes", "key"},
-    {"attribute", Field::kAttribute, LiteralType::kString, "a text in quotes", "attributes"},
+    {"id", Field::kId, LiteralType::kString, "a quoted string", "id"},
+    {"key", Field::kKey, LiteralType::kString, "a quoted string", "key"},
+    {"attribute", Field::kAttribute, LiteralType::kString, "a quoted string", "attributes"},
 }};
 
 std::string Joined(const std::vector<std::string>& words) {
@@ -42,7 +42,7 @@
   return names;
 }
 
-// The words that a field may have; empty: any.
+// Returns the words that are valid for a field; empty if every word is.
 std::vector<std::string> AllowedWords(Field field, const std::vector<std::string>& classes) {
   switch (field) {
     case Field::kClass:
@@ -66,7 +66,8 @@
 
 bool IsOrderOperator(Operator op) { return op >= Operator::kLess && op <= Operator::kGreaterOrEqual; }
 
-// The parser reads `true` as a word, and a size without a unit as a number.
+// Converts a literal to the type of its field, because the parser reads `true` as a word and a size without a
+// unit as a number.
 void ConvertTo(LiteralType type, Literal& value, std::string_view text) {
   if (type == LiteralType::kSize && value.type == LiteralType::kNumber) value.type = LiteralType::kSize;
   if (type != LiteralType::kBool || value.type != LiteralType::kWord) return;
--- a/src/dead_letter/rule_fields.h
+++ b/src/dead_letter/rule_fields.h
@@ -1,4 +1,5 @@
-// The fields that the rule language knows, and the check that a condition uses them as they allow.
+// The fields of the rule language, and the check that a condition uses operators and values that suit its
+// fields. Functions without state, safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_RULE_FIELDS_H_
 #define SAGETALLY_SRC_DEAD_LETTER_RULE_FIELDS_H_
 
@@ -11,17 +12,18 @@
 namespace sagetally::dead_letter {
 
 struct FieldInfo {
-  std::string_view name;  // in the language
+  std::string_view name;  // in the rule language
   Field field;
   LiteralType type;
-  std::string_view expected;  // how errors describe a value
-  std::string_view column;    // of the store
+  std::string_view expected;  // describes a valid value in errors
+  std::string_view column;    // of the table `kept` in the store
 };
 
 const FieldInfo& InfoOf(Field field);
 
-// Fills `field` of every comparison in `condition`, which was read from `text`, and checks operators and
-// values. `classes`: the configured names; empty: any word is a class. Throws RuleError.
+// Sets `field` in every comparison of `condition`, which was read from `text`, and checks operators and
+// values. `classes` are the configured class names; if it is empty, any word is accepted as a class. Throws
+// RuleError.
 void CheckTypes(Condition& condition, std::string_view text, const std::vector<std::string>& classes);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/rule_files.cpp
+++ b/src/dead_letter/rule_files.cpp
@@ -8,7 +8,8 @@
 namespace sagetally::dead_letter {
 namespace {
 
-// The journal keeps most of its space for delivery.
+// Messages that wait for the store may use at most 1/kJournalSpaceDivisor of the journal's disk limit, so
+// that most of the journal's space stays available for delivery.
 constexpr std::size_t kJournalSpaceDivisor = 8;
 
 }  // namespace
--- a/src/dead_letter/rule_files.h
+++ b/src/dead_letter/rule_files.h
@@ -1,5 +1,6 @@
-// Where a node has its dead-letter store, its control socket and its rule file, and what the configuration
-// says of the manager's settings.
+// Provides the paths of a node's dead-letter store and control socket, reads rule files, and derives the
+// settings of the store and of the dead-letter manager from the configuration. Functions without state,
+// called at startup, on a reload and by the command line.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_RULE_FILES_H_
 #define SAGETALLY_SRC_DEAD_LETTER_RULE_FILES_H_
 
@@ -15,7 +16,7 @@
 
 namespace sagetally::dead_letter {
 
-// The store's folder: as configured, or `kept` in the state folder.
+// Returns the store's folder: the configured one, or `kept` in the state folder.
 std::string DatabaseFolder(const DeadLetterSettings& settings, const std::string& state_folder);
 std::string DatabasePath(const std::string& folder);
 std::string SocketPath(const std::string& state_folder);
@@ -24,25 +25,26 @@
 ReviewSettings MakeReviewSettings(const SiteSettings& site, const DeadLetterSettings& settings);
 DeadLetterManager::Settings MakeManagerSettings(const Config& config, const DeadLetterSettings& settings);
 
-// A file that can't be read, or that has no rules in it.
+// A rule file that can't be read or contains an error.
 struct RuleFileError : std::runtime_error {
-  // what(): "FILE: line 3, column 7: expected ..."
+  // The text of what() is, for example, "FILE: line 3, column 7: expected ...".
   RuleFileError(const std::string& path, const std::string& reason)
       : std::runtime_error(path + ": " + reason), path(path), reason(reason) {}
   std::string path;
   std::string reason;
 };
 
-// The whole file. Throws RuleFileError.
+// Returns the content of the file. Throws RuleFileError.
 std::string ReadTextFile(const std::string& path);
 
 struct RuleFile {
   std::shared_ptr<const RuleSet> rules;
-  std::string text;  // by which the store knows the rules again
+  std::string text;  // the content of the file; its hash lets the store recognize unchanged rules
 };
-// `classes`: the configured names; empty: any word is a class. Throws RuleFileError.
+// Reads and parses a rule file. `classes` are the configured class names; if it is empty, any word is
+// accepted as a class. Throws RuleFileError.
 RuleFile ReadRuleFile(const std::string& path, const std::vector<std::string>& classes);
-// The same; `text` gets the file's text if it is not null.
+// The same; stores the content of the file in `text` unless that is null.
 std::shared_ptr<const RuleSet> ReadRules(const std::string& path, const std::vector<std::string>& classes,
                                          std::string* text = nullptr);
 
--- a/src/dead_letter/rule_pacer.h
+++ b/src/dead_letter/rule_pacer.h
@@ -1,6 +1,7 @@
-// Spreads the messages of each redrive rule over time by the rule's rate. The redrive loop owns it and
-// reports when a rule may redrive again; the store asks for the time at which a message of such a rule is to
-// be reviewed. Not thread-safe: the loop hands the store's thread a copy.
+// Spreads the reviews of a rule's messages over time, at the rule's rate, while the rule is blocked by that
+// rate. The redrive loop owns it and reports until when a rule is blocked; the store asks for the time at
+// which each message of such a rule is to be reviewed. Not thread-safe: the loop gives the store's thread a
+// copy.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_RULE_PACER_H_
 #define SAGETALLY_SRC_DEAD_LETTER_RULE_PACER_H_
 
@@ -13,13 +14,13 @@
 
 class RulePacer {
  public:
-  // The rule can't redrive anything before `until`.
+  // Records that the rule can't redrive anything before `until`.
   void BlockUntil(const std::string& rule, Time until);
   bool IsBlocked(const std::string& rule, Time now) const;
-  // For a blocked rule: the next time in the series from the end of the block on, one for each message, at
-  // the rule's rate.
+  // Returns the time of the next review slot of a blocked rule. The first slot is at the end of the block;
+  // each call allocates one slot, and the slots follow each other at the rule's rate.
   Time TakeSlot(const std::string& rule, double rate_per_second);
-  // Forgets rules that are blocked no longer and whose slots have all passed.
+  // Removes the rules that are no longer blocked and whose slots have all passed.
   void EraseExpired(Time now);
   void Clear() { paces_.clear(); }
 
--- a/src/dead_letter/rule_parser.cpp
+++ b/src/dead_letter/rule_parser.cpp
@@ -1,6 +1,6 @@
-// The grammar of the rule language, on Boost.Spirit X3. Expectation points (>) give errors their place and
-// what was expected there: the name of a rule is what its failure says. The parser runs a rule's semantic
-// actions behind what they belong to, so offsets are recorded in front, by eps.
+// The grammar of the rule language, written with Boost.Spirit X3. Expectation points (>) provide the position
+// of an error and the name of the grammar rule that was expected there. Semantic actions run after their
+// parser has matched, so the offset of a token is recorded by an eps parser in front of it.
 #include "dead_letter/rule_parser.h"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 #include "dead_letter/rule_fields.h"
 
-// What an expectation names when it fails: the part that was tried first, not the type that wraps it.
+// Makes the error of a failed expectation name the parser that was tried first, instead of the parser type
+// that wraps it.
 namespace boost::spirit::x3 {
 template <typename Subject, typename Action>
 struct get_info<action<Subject, Action>> {
@@ -40,7 +41,7 @@
 
 // NOLINTBEGIN(readability-identifier-naming)
 
-// Tag of the context's entry that holds where the text begins, for offsets.
+// Tag of the context entry with the beginning of the text, from which offsets are counted.
 struct TextBegin {};
 
 bool IsSpace(char c) { return c == ' ' || c == '\n' || c == '\t' || c == '\r'; }
@@ -57,7 +58,7 @@
 };
 const auto record_offset = x3::eps[RecordOffset()];
 
-// Not x3::space, which is undefined for bytes over 0x7f.
+// Does not use x3::space, which is undefined for bytes above 0x7f.
 const auto space = x3::char_(" \t\r\n") | ('#' >> *(x3::char_ - x3::eol) >> (x3::eol | x3::eoi));
 const auto letter = x3::char_("a-z") | x3::char_("A-Z") | x3::char_('_');
 const auto word_rest = letter | x3::char_("0-9") | x3::char_('-');
@@ -95,14 +96,14 @@
 const Comparisons comparisons;
 
 constexpr std::int64_t kMaxNumber = 1'000'000'000'000;            // keeps products with units in range
-constexpr std::int64_t kMaxMicroseconds = 1'000'000'000'000'000;  // some 31 years
+constexpr std::int64_t kMaxMicroseconds = 1'000'000'000'000'000;  // about 31 years
 constexpr std::int64_t kMaxRedrives = 1000;
 
 const x3::uint_parser<std::int64_t, 10, 1, 13> digits{};
 
-// The rules' names are what errors say was expected.
+// Errors use these names to say what was expected.
 const x3::rule<struct WordTag, std::string> word = "a word";
-const x3::rule<struct TextTag, std::string> text = "a text in quotes";
+const x3::rule<struct TextTag, std::string> text = "a quoted string";
 const x3::rule<struct NumberTag, std::int64_t> number = "a whole number";
 const x3::rule<struct DurationTag, std::int64_t> duration = "a duration, such as 90s or 2h";
 const x3::rule<struct SizeTag, std::int64_t> size = "a size, such as 4kb";
@@ -133,7 +134,7 @@
 };
 const auto number_def = x3::lexeme[digits[SetNumber{kMaxNumber}] >> !letter];
 
-// A number with a unit. Fails the parse if their product exceeds the limit.
+// Sets the product of a number and its unit. Fails the parse if the product exceeds the limit.
 struct SetQuantity {
   std::int64_t limit;
   template <typename Context>
@@ -204,7 +205,7 @@
 const auto primary_def = ('(' > disjunction[set_inner] > ')') | Keyword("true")[set_constant(true)] |
                          Keyword("false")[set_constant(false)] | comparison[set_inner];
 
-// Two negations are none, which also keeps "not not not ..." from nesting.
+// Two negations cancel each other out, which also prevents "not not not ..." from nesting deeply.
 const auto negate = [](auto& context) { x3::_val(context).constant = !x3::_val(context).constant; };
 const auto close_negation = [](auto& context) {
   const bool is_negated = !x3::_val(context).constant;
@@ -225,7 +226,7 @@
 const auto add_operand = [](auto& context) {
   x3::_val(context).operands.push_back(std::move(x3::_attr(context)));
 };
-// A single operand stands for itself.
+// Replaces a condition that has a single operand by that operand.
 template <Condition::Kind kKind>
 struct CloseOperands {
   template <typename Context>
@@ -299,7 +300,7 @@
                     conjunction, disjunction, rate, times, redrive, action, one_rule, file)
 // NOLINTEND(readability-identifier-naming)
 
-// Counts open parentheses outside quoted texts and comments.
+// Counts open parentheses outside quoted strings and comments.
 class NestingCounter {
  public:
   explicit NestingCounter(std::string_view text) : text_(text) {}
@@ -353,12 +354,12 @@
   State state_ = State::kCode;
 };
 
-constexpr std::size_t kMaxQuotedToken = 24;  // bytes of the token that an error shows
+constexpr std::size_t kMaxQuotedTokenBytes = 24;  // longest part of a token that an error quotes
 
 std::string TokenAt(std::string_view text, std::size_t offset) {
   if (offset >= text.size()) return "the end";
   const std::string_view rest = text.substr(offset);
-  const std::size_t length = std::min(rest.find_first_of(" \t\r\n;"), kMaxQuotedToken);
+  const std::size_t length = std::min(rest.find_first_of(" \t\r\n;"), kMaxQuotedTokenBytes);
   return "'" + std::string(rest.substr(0, length)) + "'";
 }
 
@@ -367,13 +368,14 @@
   ThrowRuleError(text, offset, "expected " + expected + ", found " + TokenAt(text, offset));
 }
 
-// The whole text must be one `parser`; `expected_at_end` is what else might have followed it.
+// Parses the whole text with `parser`. If text is left over, the error says that `expected_at_end` was
+// expected there.
 template <typename Result, typename Parser>
 Result ParseWhole(std::string_view text, const Parser& parser, const char* expected_at_end) {
   if (text.size() > kMaxRuleTextBytes) {
     ThrowRuleError(text, 0, "expected at most " + std::to_string(kMaxRuleTextBytes) + " bytes");
   }
-  NestingCounter(text).Check();  // guards the parser's own recursion
+  NestingCounter(text).Check();  // limits the recursion of the parser
   Result result;
   Iterator position = text.begin();
   const Iterator begin = position;
@@ -390,9 +392,9 @@
 void CheckNameIsUnique(const std::vector<Rule>& rules, std::size_t index, std::string_view text) {
   const Rule& rule = rules[index];
   const auto end_of_earlier = rules.begin() + static_cast<std::ptrdiff_t>(index);
-  const bool is_taken = std::any_of(rules.begin(), end_of_earlier,
-                                    [&](const Rule& earlier) { return earlier.name == rule.name; });
-  if (is_taken) {
+  const bool is_duplicate = std::any_of(rules.begin(), end_of_earlier,
+                                        [&](const Rule& earlier) { return earlier.name == rule.name; });
+  if (is_duplicate) {
     ThrowRuleError(text, rule.offset, "expected a name that no other rule has, found " + rule.name);
   }
 }
--- a/src/dead_letter/rule_printer.cpp
+++ b/src/dead_letter/rule_printer.cpp
@@ -87,7 +87,8 @@
   return text + Print(comparison.ranges.front().from);
 }
 
-// A whole number by second, minute, hour or day, as it was written.
+// Prints a rate as it is written in a rule: a whole number per second, minute, hour or day, in the shortest
+// of these units that allows it.
 std::string PrintRate(double rate_per_second) {
   for (const RateUnit& unit : kRateUnits) {
     const double count = rate_per_second * unit.seconds;
--- a/src/dead_letter/rule_printer.h
+++ b/src/dead_letter/rule_printer.h
@@ -1,4 +1,5 @@
-// Writes rules and conditions in the rule language. What is printed reads again to an equal value.
+// Prints rules and conditions in the rule language. Parsing the printed text gives an equal value. Functions
+// without state, safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_RULE_PRINTER_H_
 #define SAGETALLY_SRC_DEAD_LETTER_RULE_PRINTER_H_
 
@@ -11,7 +12,7 @@
 std::string Print(const Condition& condition);
 std::string Print(const Rule& rule);
 std::string Print(const RuleSet& rules);
-// In the largest unit of which it is a whole number; to the millisecond.
+// Prints a duration in the largest unit of which it is a whole multiple; precise to the millisecond.
 std::string PrintDuration(Duration duration);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/storage/database.cpp
+++ b/src/dead_letter/storage/database.cpp
@@ -13,17 +13,17 @@
 namespace sagetally::dead_letter {
 namespace {
 
-constexpr int kEvictionChunk = 20;  // rows of one transaction, so that readers and writers get their turn
+constexpr int kEvictionChunkRows = 20;  // in one transaction, so that other connections do not wait long
 constexpr mode_t kFileMode = 0600;
 
-// 0 if there is no such file.
+// Returns 0 if there is no such file.
 std::uint64_t InodeOf(const std::string& path) {
   struct stat status {};
   return ::stat(path.c_str(), &status) == 0 ? status.st_ino : 0;
 }
 
-// Made before SQLite opens it, so that nobody else can read it for a moment; SQLite gives the files beside it
-// the same mode.
+// Creates the file before SQLite opens it, so that other users can't read it at any moment. SQLite gives the
+// files that belong to it (-wal, -shm) the same mode.
 void CreateFile(const std::string& path) {
   const int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (descriptor < 0) throw StoreError(StoreError::Kind::kOther, "can't open " + path, "");
@@ -46,8 +46,8 @@
   }
 }
 
-// Removes one chunk of the rows that `selection` names ("WHERE ..."). Returns how many, and adds them to
-// `by_class`.
+// Removes one chunk of the rows that match `selection`, a WHERE clause. Returns how many were removed, and
+// adds them to `by_class`.
 std::int64_t EvictChunk(SqliteConnection& connection, const std::string& selection,
                         const std::vector<SqlValue>& parameters,
                         std::map<std::string, std::int64_t>& by_class) {
@@ -55,7 +55,7 @@
   std::vector<std::int64_t> sequences;
   {
     CachedStatement rows = connection.Prepare("SELECT seq, class FROM kept " + selection + " LIMIT ?");
-    rows->BindAll(parameters).Bind(kEvictionChunk);
+    rows->BindAll(parameters).Bind(kEvictionChunkRows);
     while (rows->Step()) {
       sequences.push_back(rows->Integer(0));
       ++by_class[rows->Bytes(1)];
@@ -120,7 +120,7 @@
 
 void Database::InsertOnce(const Entry& entry) {
   if (Insert(entry) || IsStoredAsSame(entry.dead_letter)) return;
-  // A number given out twice: the clock was set back while the journal was empty.
+  // The number was assigned twice, because the clock was set back while the journal was empty.
   Entry renumbered = entry;
   renumbered.dead_letter.id.number = HighestNumber(entry.dead_letter.id.node) + 1;
   Insert(renumbered);
@@ -131,7 +131,7 @@
   return row->Bind(id.node).Bind(id.number).Step();
 }
 
-// The incarnation tells a result that was stored before.
+// The incarnation in the WHERE clause prevents a result from being recorded twice.
 void Database::UpdateAfterRedrive(const Entry& entry) {
   const DeadLetter& dead_letter = entry.dead_letter;
   const DeadLetterState state = StateAfterRedrive(dead_letter.final_status);
@@ -151,7 +151,8 @@
   }
   const bool is_updated = connection_.changed_rows() > 0;
   if (is_updated || state != DeadLetterState::kStored || Exists(dead_letter.id)) return;
-  // The file that had it was lost meanwhile: what is known of it is stored anew.
+  // The database file with the message was lost in the meantime, so the message is stored again as far as it
+  // is known.
   Entry restored = entry;
   restored.dead_letter.incarnation += 1;
   restored.dead_letter.redrives = restored.dead_letter.incarnation;
--- a/src/dead_letter/storage/database.h
+++ b/src/dead_letter/storage/database.h
@@ -1,6 +1,6 @@
-// The dead-letter store: one SQLite file in WAL mode. Used by one thread at a time; other processes and
-// connections may read meanwhile. Every operation throws StoreError. The implementation has a unit for each
-// group of operations: database.cpp (opening, storing, eviction), redrive_queries.cpp and
+// The dead-letter store, one SQLite file in WAL mode. Used by one thread at a time; other processes and
+// connections may read at the same time. Every operation may throw StoreError. Each group of operations is
+// implemented in a file of its own: database.cpp (opening, storing, eviction), redrive_queries.cpp and
 // operator_queries.cpp.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_DATABASE_H_
 #define SAGETALLY_SRC_DEAD_LETTER_STORAGE_DATABASE_H_
@@ -34,25 +34,26 @@
     Duration max_age = std::chrono::hours(720);
     Duration busy_timeout = std::chrono::milliseconds(200);  // longest wait for another process's lock
     bool read_only = false;
-    std::int64_t rows_before_index = 50'000;  // that a page looks through before it asks the index
+    std::int64_t rows_before_index = 50'000;  // rows that List scans before it uses the filter index
   };
 
-  // Opens the file, or makes it with mode 0600, and brings an older schema up to date.
+  // Opens the file, or creates it with mode 0600, and migrates an older schema. A read-only database must
+  // exist and have the present schema.
   explicit Database(Settings settings);
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
-  // Whether the path still names the file that is open.
+  // Whether the path still refers to the file that is open.
   bool IsFileInPlace() const;
 
   // --- Storing and evicting (database.cpp) ---
 
-  struct Entry {  // a message that ended
+  struct Entry {  // a completed message
     DeadLetter dead_letter;
-    bool redriven = false;  // the result of a redrive: the message is in the store already
-    Time not_before{0};     // no further redrive before
+    bool redriven = false;  // this is the result of a redrive, and the message is already in the store
+    Time not_before{0};     // earliest time of the next redrive
     std::optional<std::uint64_t> identity = {};
   };
-  // All in one transaction. Storing an entry twice changes nothing.
+  // Stores all entries in one transaction. Storing an entry again changes nothing.
   void Store(const std::vector<Entry>& entries);
 
   struct Evicted {
@@ -61,31 +62,35 @@
     std::vector<NamedCount> by_class = {};  // in the order of the names
     std::int64_t total() const { return for_space + for_age; }
   };
-  // Removes what is over its age, then, down to the budget, completed messages, and then those of the lowest
-  // priority weight, oldest first. Never one that is claimed.
+  // Removes messages that exceed the maximum age. Then, until the store fits its budget, removes completed
+  // messages first, then the others by ascending priority weight, the oldest first within a weight. Never
+  // removes a claimed message.
   Evicted Evict(Time now);
 
-  // The client submitted the same event or key again as message `number`: older messages are not redriven any
-  // more. Returns how many there were.
+  // Records that a client submitted the same event or key again as message `number`, so that older messages
+  // of that identity are no longer redriven. Returns how many there were.
   int MarkResubmitted(std::uint64_t identity, std::uint64_t number);
-  // Of all messages that may be redriven, or are.
+  // Returns the identities of all messages that may be redriven or are being redriven.
   std::vector<std::uint64_t> Identities();
-  // Of the messages that `node` stored; 0 if there are none.
+  // Returns the highest number among the messages of `node`, or 0 if there are none.
   std::uint64_t HighestNumber(const std::string& node);
+  // Returns the size of the used pages of the file.
   std::size_t UsedBytes();
 
   // --- Redriving (redrive_queries.cpp) ---
 
-  // Grows by one whenever the rules differ from the last ones, also over restarts.
+  // Returns the generation number of the rules, which is stored and grows by one whenever their hash differs
+  // from the previous call, also across restarts.
   std::int64_t Generation(std::uint64_t rules_hash);
 
   struct DueQuery {
     const RuleSet& rules;
     const ReviewSettings& settings;
-    std::int64_t generation;  // of the rules; messages that these have not reviewed yet are due at once
+    // Generation of the rules. Messages that were not reviewed with these rules yet are due immediately.
+    std::int64_t generation;
     Timestamp now;
-    std::vector<int> excluded_destinations = {};  // that can't take any message now
-    int limit = 0;                                // of candidates
+    std::vector<int> excluded_destinations = {};  // destinations that can't receive a message now
+    int limit = 0;                                // maximum number of candidates
   };
   struct Candidate {
     DeadLetter dead_letter;  // without its body
@@ -96,53 +101,55 @@
   struct Candidates {
     std::vector<Candidate> list = {};
     std::optional<Time> next_review = {};  // when the next message is due
-    bool has_more = false;                 // others are due already
-    int held = 0, dropped = 0;             // messages that were marked so
+    bool has_more = false;                 // more messages are already due
+    int held = 0, dropped = 0;             // number of messages that this call held and dropped
   };
-  // Reviews messages that are due, and returns those that may be redriven now. The others are marked with the
-  // result of their review; `pacer` gives the messages of blocked rules the times of their next one.
+  // Reviews messages that are due, and returns those that may be redriven now. Stores the result of the
+  // review with the others; `pacer` provides the time of the next review for the messages of blocked rules.
   Candidates Due(const DueQuery& query, RulePacer& pacer);
 
-  // Marks a message as claimed: from then on one redrive of it is in flight. Returns it with its body;
-  // nothing if it can't be claimed any more.
+  // Marks a message as claimed, which means that one redrive of it is in flight. Returns the message with its
+  // body, or nothing if it can no longer be claimed.
   std::optional<DeadLetter> Claim(const DeadLetterId& id, const std::string& rule);
-  // The claimed message was not sent. It may be claimed again at `not_before`.
+  // Releases the claim of a message that was not sent. It may be claimed again from `not_before` on.
   void Unclaim(const DeadLetterId& id, Time not_before);
-  // After a start: gives up the claims of messages that are not in flight, and returns how many there were.
-  // With `journal_lost` they may have run, at a time unknown.
+  // Releases the claims of the messages that are not in flight, and returns how many there were. With
+  // `journal_lost`, marks these messages as possibly run, at an unknown time.
   int Reconcile(const std::set<DeadLetterId>& in_flight, bool journal_lost, Time now);
 
   // --- For operators (operator_queries.cpp) ---
 
   struct Page {
     std::vector<DeadLetter> messages;
-    std::optional<DeadLetterId> next;  // of the last message, if there are more behind it
+    std::optional<DeadLetterId> next;  // id of the page's last message, if more messages follow
   };
-  // Without bodies, oldest first, from behind `after` on.
+  // Returns the messages that match, without bodies, in the order of storing, starting after the message
+  // `after`.
   Page List(const Condition& filter, Time now, const std::optional<DeadLetterId>& after, int limit);
   std::optional<DeadLetter> Show(const DeadLetterId& id, bool with_body);
-  // All that match, oldest first; `visit` returns false to stop.
+  // Calls `visit` for all messages that match, in the order of storing, until `visit` returns false.
   void ForEach(const Condition& filter, Time now, bool with_body,
                const std::function<bool(const DeadLetter&)>& visit);
   std::int64_t Count(const Condition& filter, Time now);
-  // `column`: reason, class, destination, state or end. In the order of the names.
+  // Counts the messages by the value of `column`, which is reason, class, destination, state or end. The
+  // result is ordered by name.
   std::vector<NamedCount> CountBy(const std::string& column);
 
   struct OperatorAction {
     RuleAction::Kind kind = RuleAction::Kind::kHold;
     Condition filter;
-    std::int64_t cursor = 0;  // where the last call ended; 0: from the start
-    int limit = 0;            // of messages in this call
-    bool only_count = false;  // changes nothing
+    std::int64_t cursor = 0;  // where the previous call stopped; 0 starts with the first message
+    int limit = 0;            // maximum number of messages in this call
+    bool only_count = false;  // counts the messages without changing them
   };
   struct OperatorActionResult {
     std::int64_t changed = 0;
-    std::int64_t forbidden = 0;                        // by the redrive policy
+    std::int64_t forbidden = 0;                        // rejected by the redrive policy
     std::vector<NamedCount> forbidden_by_reason = {};  // in the order of the names
-    std::optional<std::int64_t> next_cursor = {};      // if there are more
+    std::optional<std::int64_t> next_cursor = {};      // set if the limit was reached, so there may be more
   };
-  // Applies to stored and held messages, oldest first. A redrive is the next thing that happens to its
-  // message, whatever the rules say; the redrive policy still decides.
+  // Applies the action to stored and held messages, in the order of storing. A requested redrive takes
+  // precedence over the rules, but only happens if the redrive policy allows it.
   OperatorActionResult ApplyOperatorAction(const OperatorAction& action, const ReviewSettings& settings,
                                            const Timestamp& now);
 
--- a/src/dead_letter/storage/filter_sql.cpp
+++ b/src/dead_letter/storage/filter_sql.cpp
@@ -15,7 +15,7 @@
   return static_cast<std::int64_t>(value);
 }
 
-// The stored form of a literal; words of enumerations are stored as numbers.
+// Returns the stored form of a literal: words of enumerations are stored as numbers.
 SqlValue StoredValue(Field field, const Literal& literal) {
   switch (field) {
     case Field::kState:
@@ -102,7 +102,8 @@
     sql_.text += ")";
   }
 
-  // The value that the comparison looks at. Columns stand bare, as an index needs it.
+  // Appends the value that the comparison tests. A column is not wrapped in an expression, so that an index
+  // can be used.
   void AppendField(const Condition& comparison) {
     if (comparison.field == Field::kAttribute) {
       sql_.text += "json_extract(attributes, ?)";
@@ -144,7 +145,8 @@
   void AppendTerm(const Condition& comparison, Operator op, const Literal& literal) {
     AppendField(comparison);
     const bool is_age = comparison.field == Field::kAge;
-    // The age grows as its column, the time at which the message ended, falls.
+    // The column has the time at which the message completed. A greater age is an earlier time, so the
+    // operator is mirrored.
     sql_.text += " " + std::string(SqlOperator(is_age ? Mirrored(op) : op)) + " ?";
     sql_.parameters.push_back(is_age ? SqlValue(now_.count() - literal.number)
                                      : StoredValue(comparison.field, literal));
--- a/src/dead_letter/storage/job_runner.cpp
+++ b/src/dead_letter/storage/job_runner.cpp
@@ -24,7 +24,7 @@
 }
 
 bool ReopeningDatabase::EnsureOpen() {
-  // Writing on would fill a file that nobody can find.
+  // Without this check, jobs would go on writing to a deleted file.
   const bool has_vanished = database_ != nullptr && !database_->IsFileInPlace();
   if (has_vanished) database_.reset();
   if (!database_) database_ = std::make_unique<Database>(settings_);
@@ -34,7 +34,8 @@
 std::optional<JobError> ReopeningDatabase::Run(const JobRunner::Job& job) {
   try {
     if (EnsureOpen()) {
-      return JobError{StoreError::Kind::kDamaged, settings_.path + " was gone: begun anew", true};
+      return JobError{StoreError::Kind::kDamaged, settings_.path + " was missing and has been created again",
+                      true};
     }
     job(*database_);
     return std::nullopt;
--- a/src/dead_letter/storage/operator_queries.cpp
+++ b/src/dead_letter/storage/operator_queries.cpp
@@ -1,4 +1,4 @@
-// What operators ask of the store: pages, counts, and actions on the messages that match a filter.
+// Operators' queries to the store: pages, counts, and actions on the messages that match a filter.
 #include <map>
 #include <utility>
 
@@ -9,7 +9,7 @@
 namespace sagetally::dead_letter {
 namespace {
 
-// The name of a group that CountBy found.
+// Returns the name of a group in the result of CountBy.
 std::string GroupName(const std::string& column, const SqliteStatement& row) {
   const std::int64_t number = row.Integer(0);
   if (column == "reason") return std::string(Name(static_cast<FailureReason>(number)));
@@ -45,14 +45,15 @@
 
 }  // namespace
 
-// 0, from where every row follows, if there is no such message any more.
+// Returns 0, which precedes all rows, if the message no longer exists.
 std::int64_t Database::SequenceOf(const DeadLetterId& id) {
   CachedStatement row = connection_.Prepare("SELECT seq FROM kept WHERE node = ? AND number = ?");
   row->Bind(id.node).Bind(id.number);
   return row->Step() ? row->Integer(0) : 0;
 }
 
-// `index`: an INDEXED BY clause, or empty. Between `after`, which is left out, and `until`.
+// Finds rows after `after` up to and including `until`. `index` is an INDEXED BY or NOT INDEXED clause, or
+// empty.
 std::vector<std::int64_t> Database::FindSequences(const SqlCondition& where, const char* index,
                                                   std::int64_t after, std::int64_t until, std::size_t limit) {
   SqliteStatement rows =
@@ -64,8 +65,8 @@
   return sequences;
 }
 
-// A filter that matches often fills a page from the first rows. Matches of one that seldom does are found by
-// the index, which has a tenth of the rows' size.
+// A filter that matches many messages fills a page from the first `rows_before_index` rows. For a filter that
+// matches few, the rest is searched through the index, which has a tenth of the rows' size.
 std::vector<std::int64_t> Database::FindPage(const Condition& filter, Time now, std::int64_t after,
                                              std::size_t limit) {
   const SqlCondition where = ToSql(filter, now);
@@ -84,7 +85,7 @@
   const std::int64_t start = after ? SequenceOf(*after) : 0;
   const auto page_size = static_cast<std::size_t>(limit);
   Page page;
-  // One more than the page holds tells whether there are more.
+  // One message more than fits the page is requested to see whether the page is the last one.
   for (const std::int64_t sequence : FindPage(filter, now, start, page_size + 1)) {
     if (page.messages.size() == page_size) {
       page.next = page.messages.back().id;
@@ -107,8 +108,8 @@
   SqliteStatement rows =
       connection_.PrepareUncached(SelectRows(with_body) + "WHERE " + where.text + " ORDER BY seq");
   rows.BindAll(where.parameters);
-  bool goes_on = true;
-  while (goes_on && rows.Step()) goes_on = visit(ReadRow(rows, with_body));
+  bool should_continue = true;
+  while (should_continue && rows.Step()) should_continue = visit(ReadRow(rows, with_body));
 }
 
 std::int64_t Database::Count(const Condition& filter, Time now) {
--- a/src/dead_letter/storage/redrive_queries.cpp
+++ b/src/dead_letter/storage/redrive_queries.cpp
@@ -1,4 +1,5 @@
-// What the redrive loop asks of the store: due messages, claims, and their reconciliation after a restart.
+// The redrive loop's queries to the store: due messages, claims, and the reconciliation of claims after a
+// restart.
 #include <utility>
 
 #include "dead_letter/storage/database.h"
@@ -8,9 +9,9 @@
 namespace {
 
 constexpr int kRowsPerChunk = 128;
-constexpr int kMaxChunks = 16;  // in one call, so that other jobs get their turn
+constexpr int kMaxChunks = 16;  // in one call, so that other jobs do not wait long
 
-// " AND destination NOT IN (3,7)"; empty if none is excluded.
+// Returns, for example, " AND destination NOT IN (3,7)", or an empty string if no destination is excluded.
 std::string DestinationCondition(const std::vector<int>& excluded) {
   if (excluded.empty()) return "";
   std::string list;
@@ -45,7 +46,7 @@
   return generation;
 }
 
-// Not through the cache of statements: the list of destinations differs from call to call.
+// Does not use the statement cache, because the list of destinations differs from call to call.
 std::vector<Database::OrderedRow> Database::ReadDueRows(const DueQuery& query,
                                                         const std::string& destinations) {
   std::vector<OrderedRow> rows;
--- a/src/dead_letter/storage/row_codec.cpp
+++ b/src/dead_letter/storage/row_codec.cpp
@@ -57,7 +57,7 @@
   return request;
 }
 
-// A state that a later version may know is shown as the nearest one.
+// A state outside the enumeration, which a later version may have stored, is read as the nearest known one.
 DeadLetterState ReadState(const SqliteStatement& row) {
   return static_cast<DeadLetterState>(
       std::clamp<std::int64_t>(row.Integer(kState), 0, kDeadLetterStateCount - 1));
--- a/src/dead_letter/storage/row_codec.h
+++ b/src/dead_letter/storage/row_codec.h
@@ -1,4 +1,5 @@
-// Dead letters as rows of the table `kept`. The columns keep the words with which they were released.
+// Converts dead letters to rows of the table `kept` and back. The names of table and columns are stored, so
+// they stay as they were released. Functions without state, called by Database.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_ROW_CODEC_H_
 #define SAGETALLY_SRC_DEAD_LETTER_STORAGE_ROW_CODEC_H_
 
@@ -9,19 +10,19 @@
 
 namespace sagetally::dead_letter {
 
-// "SELECT <columns> FROM kept ", for ReadRow and ReadSequence.
+// Returns "SELECT <columns> FROM kept ", whose rows ReadRow and ReadSequence can read.
 std::string SelectRows(bool with_body);
 
-// `with_body` as in the SELECT.
+// Reads the current row. `with_body` must be the value that was passed to SelectRows.
 DeadLetter ReadRow(const SqliteStatement& row, bool with_body);
-// The place of the row in the order of storing.
+// Returns the position of the row in the order of storing (column `seq`).
 std::int64_t ReadSequence(const SqliteStatement& row);
 
 // Binds the columns reason, attempts, history, last_outcome, may_have_run, may_steady, may_boot and may_at,
-// in this order: what a redrive changes.
+// in this order. These are the columns that a redrive changes.
 void BindAttempts(SqliteStatement& statement, const DeadLetter& dead_letter);
 
-// The column `rank`, by which completed messages are evicted first.
+// Returns the value of the column `rank`: 0 for completed messages, which are evicted first, otherwise 1.
 int EvictionRank(DeadLetterState state);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/storage/schema.cpp
+++ b/src/dead_letter/storage/schema.cpp
@@ -15,8 +15,8 @@
   const int version = ReadVersion(connection);
   if (version <= kSchemaVersion) return version;
   throw StoreError(StoreError::Kind::kNewerSchema,
-                   path + " has version " + std::to_string(version) + ", this program knows up to " +
-                       std::to_string(kSchemaVersion),
+                   path + " has schema version " + std::to_string(version) +
+                       ", but this program supports versions up to " + std::to_string(kSchemaVersion),
                    "");
 }
 
@@ -32,8 +32,9 @@
 void CheckSchemaForReading(SqliteConnection& connection, const std::string& path) {
   const int version = ReadSupportedVersion(connection, path);
   if (version != kSchemaVersion) {
-    throw StoreError(StoreError::Kind::kOther,
-                     path + " has version " + std::to_string(version) + ": start the node once", "");
+    throw StoreError(
+        StoreError::Kind::kOther,
+        path + " has schema version " + std::to_string(version) + "; start the node once to migrate it", "");
   }
   connection.Execute("PRAGMA query_only = 1; PRAGMA cache_size = -16000;");
 }
@@ -41,13 +42,15 @@
 void MigrateSchema(SqliteConnection& connection, const std::string& path, std::size_t budget_bytes) {
   const int version = ReadSupportedVersion(connection, path);
   if (version == 0) connection.Execute("PRAGMA auto_vacuum = INCREMENTAL");
-  // What was committed outlasts the process without a sync. A power cut may cost the last commits, never the
-  // file: the messages in them are still pending in the journal if that outlasted it too.
+  // With these settings a commit survives the end of the process without a sync. A power failure may lose the
+  // last commits, but does not damage the file; the messages of lost commits are still pending in the journal
+  // if the journal's own records survived the power failure.
   connection.Execute(
       "PRAGMA journal_mode = WAL; PRAGMA synchronous = NORMAL; PRAGMA cache_size = -2000; "
       "PRAGMA wal_autocheckpoint = 500; PRAGMA journal_size_limit = 4000000;");
   for (int step = version; step < kSchemaVersion; ++step) RunMigration(connection, step);
-  // Evictions keep to the budget; this keeps a burst between two of them from passing it far.
+  // Eviction keeps the file within the budget. The page limit, a quarter above the budget plus 256 pages,
+  // keeps a burst of messages between two evictions from exceeding it much further.
   const std::size_t max_pages = budget_bytes / kPageBytes * 5 / 4 + 256;
   connection.Execute("PRAGMA max_page_count = " + std::to_string(max_pages));
 }
--- a/src/dead_letter/storage/schema.h
+++ b/src/dead_letter/storage/schema.h
@@ -1,5 +1,5 @@
 // The schema of the dead-letter store: its migrations, and the constants that its statements share. The names
-// and numbers in here are stored, so they keep the words they were released with.
+// and numbers in this file are stored, so they stay as they were released. Called by Database.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_SCHEMA_H_
 #define SAGETALLY_SRC_DEAD_LETTER_STORAGE_SCHEMA_H_
 
@@ -13,7 +13,8 @@
 
 namespace sagetally::dead_letter {
 
-// Step i leads from version i to version i + 1. A step, once released, never changes.
+// Step i migrates from version i to version i + 1. A released step must not change, including its comments,
+// which SQLite stores with the statement.
 inline constexpr std::array<const char*, 2> kMigrations = {
     R"sql(
 CREATE TABLE kept (
@@ -68,8 +69,8 @@
 )sql"};
 inline constexpr int kSchemaVersion = static_cast<int>(kMigrations.size());
 
-// Conditions on the column `state`. The partial index kept_evict serves only queries that hold kNotClaimed
-// word by word.
+// Conditions on the column `state`. SQLite uses the partial index kept_evict only for queries that contain
+// kNotClaimed in exactly this form.
 inline constexpr const char* kOpenState = "state IN (0, 1)";  // stored or held: may still be redriven
 inline constexpr const char* kRedrivableState = "state IN (0, 1, 2)";  // open or claimed
 inline constexpr const char* kNotClaimed = "state <> 2";
@@ -78,15 +79,17 @@
               static_cast<int>(DeadLetterState::kHeld) == 1 &&
               static_cast<int>(DeadLetterState::kClaimed) == 2);
 
-inline constexpr std::int64_t kNeverDue = std::int64_t{1} << 61;  // in the column `next_at`
-// In the column `seen`: what an operator holds, no rule looks at again.
+// Value of the column `next_at` for messages that do not become due by time.
+inline constexpr std::int64_t kNeverDue = std::int64_t{1} << 61;
+// Value of the column `seen` for messages that an operator holds: higher than any generation of the rules, so
+// that no rule reviews them again.
 inline constexpr std::int64_t kHeldByOperator = std::int64_t{1} << 61;
 
-// Both set the pragmas of a connection that was just opened to the file at `path`, and throw StoreError;
-// kNewerSchema if a later version of the program wrote it. MigrateSchema brings an older schema up to date
-// and lets the file grow to somewhat more than `budget_bytes`.
+// Both functions set the pragmas of a connection that was just opened to the file at `path`. They throw
+// StoreError, with kNewerSchema if a later version of the program wrote the file. MigrateSchema migrates an
+// older schema and limits the file to somewhat more than `budget_bytes`.
 void MigrateSchema(SqliteConnection& connection, const std::string& path, std::size_t budget_bytes);
-// Changes nothing: the schema must be the present one.
+// Changes nothing in the file; the schema must be the present one.
 void CheckSchemaForReading(SqliteConnection& connection, const std::string& path);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/storage/sqlite.cpp
+++ b/src/dead_letter/storage/sqlite.cpp
@@ -8,7 +8,7 @@
 constexpr int kPrimaryCodeMask = 0xff;  // an extended result code holds the primary one in its low byte
 
 StoreError::Kind KindOf(int code) {
-  if (code == SQLITE_IOERR_SHORT_READ) return StoreError::Kind::kDamaged;  // the file was cut
+  if (code == SQLITE_IOERR_SHORT_READ) return StoreError::Kind::kDamaged;  // the file was truncated
   switch (code & kPrimaryCodeMask) {
     case SQLITE_BUSY:
     case SQLITE_LOCKED:
@@ -137,7 +137,7 @@
 
 SqliteTransaction::~SqliteTransaction() {
   if (committed_) return;
-  // A failure needs no answer: SQLite has then rolled back by itself.
+  // An error is ignored, because SQLite has then already rolled back.
   sqlite3_exec(connection_.connection_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
 }
 
--- a/src/dead_letter/storage/sqlite.h
+++ b/src/dead_letter/storage/sqlite.h
@@ -1,5 +1,5 @@
 // A thin RAII layer over SQLite's C interface: connection, prepared statements and transactions. All failures
-// are thrown as StoreError. For one thread at a time.
+// are thrown as StoreError. Used by Database, on one thread at a time.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_SQLITE_H_
 #define SAGETALLY_SRC_DEAD_LETTER_STORAGE_SQLITE_H_
 
@@ -21,7 +21,7 @@
 
 using SqlValue = std::variant<std::int64_t, std::string>;
 
-// A prepared statement. Values are bound to its parameters in order, from the first on.
+// A prepared statement. Each call of a Bind function binds the next parameter, starting with the first.
 class SqliteStatement {
  public:
   SqliteStatement(sqlite3* connection, const std::string& sql);
@@ -32,31 +32,31 @@
   SqliteStatement& Bind(std::int64_t value);
   SqliteStatement& Bind(std::uint64_t value) { return Bind(static_cast<std::int64_t>(value)); }
   SqliteStatement& Bind(int value) { return Bind(std::int64_t{value}); }
-  // In microseconds.
+  // Binds the time in microseconds.
   SqliteStatement& Bind(Time value) { return Bind(std::int64_t{value.count()}); }
   SqliteStatement& Bind(double value);
   SqliteStatement& Bind(const std::string& value);
   SqliteStatement& BindBlob(const std::string& value);
   SqliteStatement& BindNull();
   SqliteStatement& BindAll(const std::vector<SqlValue>& values);
-  // NULL if there is no value.
+  // Binds NULL if there is no value.
   template <typename T>
   SqliteStatement& BindOptional(const std::optional<T>& value) {
     return value ? Bind(*value) : BindNull();
   }
 
-  // Runs to the next row; false if there is none.
+  // Advances to the next row. Returns false if there is none.
   bool Step();
-  // Back to the state before the first Step, without any bound value.
+  // Restores the state before the first Step and clears all bound values.
   void Reset();
 
-  // Of the present row; columns count from 0.
+  // Return a column of the current row; columns count from 0.
   std::int64_t Integer(int column) const;
   std::uint64_t Unsigned(int column) const { return static_cast<std::uint64_t>(Integer(column)); }
   Time Microseconds(int column) const { return Time(Integer(column)); }
   double Real(int column) const;
   bool IsNull(int column) const;
-  // A text or a blob; NULL is empty.
+  // Returns a text or a blob; an empty string for NULL.
   std::string Bytes(int column) const;
 
  private:
@@ -66,8 +66,8 @@
   int bound_count_ = 0;
 };
 
-// Borrows a statement from the cache of its connection and resets it after use, also when an exception
-// passes.
+// Borrows a statement from the cache of its connection and resets it after use, also when an exception is
+// thrown.
 class CachedStatement {
  public:
   explicit CachedStatement(SqliteStatement& statement) : statement_(statement) { statement_.Reset(); }
@@ -81,6 +81,7 @@
   SqliteStatement& statement_;
 };
 
+// An open database file with a cache of prepared statements.
 class SqliteConnection {
  public:
   struct Settings {
@@ -94,11 +95,12 @@
 
   // Runs one or more statements without parameters or results.
   void Execute(const std::string& sql);
-  // A statement that is prepared once for each text. One of each may be in use at a time.
+  // Returns a statement that is prepared once for each SQL text and cached. Each one may be in use only once
+  // at a time.
   CachedStatement Prepare(const std::string& sql);
-  // For texts that differ from call to call, which would only fill the cache.
+  // For SQL texts that differ from call to call and would only fill the cache.
   SqliteStatement PrepareUncached(const std::string& sql) const;
-  // How many rows the last INSERT, UPDATE or DELETE changed.
+  // Returns how many rows the last INSERT, UPDATE or DELETE changed.
   int changed_rows() const;
 
  private:
@@ -112,8 +114,8 @@
   std::map<std::string, std::unique_ptr<SqliteStatement>> statements_;
 };
 
-// A write transaction, rolled back unless Commit() was reached. Cached statements should be back in the cache
-// before Commit(), so that none holds on to a read snapshot.
+// A write transaction. The destructor rolls it back unless Commit() has succeeded. Cached statements should
+// be returned to the cache before Commit(), so that none keeps a read snapshot open.
 class SqliteTransaction {
  public:
   explicit SqliteTransaction(SqliteConnection& connection);
--- a/src/dead_letter/storage/store_error.h
+++ b/src/dead_letter/storage/store_error.h
@@ -9,15 +9,15 @@
 
 struct StoreError : std::runtime_error {
   enum class Kind {
-    kBusy,         // another process holds the lock; a later try may succeed
+    kBusy,         // another process holds the lock; a later attempt may succeed
     kFull,         // the file has reached its limit, or the disk is full
-    kDamaged,      // the file is no database, or was cut
+    kDamaged,      // the file is corrupt, truncated or not a database
     kNewerSchema,  // written by a later version of the program
     kOther
   };
 
-  // `operation`: what was being done; `reason`: why it failed; `sqlite_code`: SQLite's extended result code,
-  // 0 where the error is not SQLite's.
+  // `operation` is the operation that failed and `reason` says why. `sqlite_code` is SQLite's extended result
+  // code, or 0 if the error does not come from SQLite.
   StoreError(Kind kind, const std::string& operation, const std::string& reason, int sqlite_code = 0)
       : std::runtime_error(reason.empty() ? operation : operation + ": " + reason),
         kind(kind),
--- a/src/dead_letter/storage/worker.cpp
+++ b/src/dead_letter/storage/worker.cpp
@@ -18,12 +18,13 @@
 
 }  // namespace
 
-// Owned by the thread too: a stuck one may outlive the worker.
+// The state that the worker and its thread share. The thread owns it too, because a stuck thread may outlive
+// the worker.
 struct Worker::Shared {
   Shared(Database::Settings settings, std::function<void()> wake)
       : database(std::move(settings)), wake(std::move(wake)) {}
 
-  // The thread's function.
+  // The main function of the thread.
   void RunJobs() {
     std::unique_lock lock(mutex);
     while (true) {
@@ -33,7 +34,7 @@
       jobs.pop_front();
       lock.unlock();
       std::optional<JobError> error = database.Run(next.job);
-      next.job = nullptr;  // what it holds is freed without the lock
+      next.job = nullptr;  // frees what the job owns before the lock is acquired
       lock.lock();
       results.push_back({std::move(next.done), std::move(error)});
       if (!is_stopping) wake();
@@ -42,9 +43,9 @@
     changed.notify_all();
   }
 
-  ReopeningDatabase database;  // used by the thread alone
+  ReopeningDatabase database;  // used only by the thread
   const std::function<void()> wake;
-  std::mutex mutex;  // guards all below
+  std::mutex mutex;  // guards the members below
   std::condition_variable changed;
   std::deque<QueuedJob> jobs;
   std::vector<JobResult> results;
--- a/src/dead_letter/storage/worker.h
+++ b/src/dead_letter/storage/worker.h
@@ -1,4 +1,5 @@
-// Runs jobs on the store on a thread of its own, off the event loop.
+// Runs jobs on the dead-letter store on a separate thread, so that the event loop does not wait for the disk.
+// The event loop owns it and calls all its functions.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_STORAGE_WORKER_H_
 #define SAGETALLY_SRC_DEAD_LETTER_STORAGE_WORKER_H_
 
@@ -13,16 +14,16 @@
  public:
   static constexpr std::size_t kMaxQueuedJobs = 64;
 
-  // `wake` is called on the worker's thread whenever results wait for Deliver.
+  // Calls `wake` on the worker's thread whenever there are new results for Deliver.
   Worker(Database::Settings settings, std::function<void()> wake);
-  // Waits a little for the job that is running; one that is stuck in a system call is left to end with the
-  // process.
+  // Waits a short time (kShutdownTimeout in worker.cpp) for the running job. A job that is stuck in a system
+  // call is left to end with the process.
   ~Worker() override;
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
   bool Run(Job job, Done done) override;
-  // On the loop: hands over the results so far.
+  // Called on the event loop: passes on the results of all jobs completed so far.
   void Deliver();
 
  private:
--- a/src/dead_letter/store_health.cpp
+++ b/src/dead_letter/store_health.cpp
@@ -7,7 +7,8 @@
 
 constexpr Duration kMaxRetryTime = std::chrono::seconds(5);
 constexpr int kMaxDoublings = 6;
-// A disk that spoils every file fills with damaged files slowly.
+// The pause after a database file was replaced. It slows down the growth in the number of damaged files on a
+// disk that corrupts every file.
 constexpr Duration kRecreationPause = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/dead_letter/store_health.h
+++ b/src/dead_letter/store_health.h
@@ -1,5 +1,5 @@
-// Whether the store works: counts failed jobs in a row and backs off after each. Part of the dead-letter
-// manager.
+// Tracks whether the store works: counts consecutive failed jobs and backs off after each. Part of the
+// dead-letter manager; used on the event loop only.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_STORE_HEALTH_H_
 #define SAGETALLY_SRC_DEAD_LETTER_STORE_HEALTH_H_
 
@@ -7,20 +7,21 @@
 
 namespace sagetally::dead_letter {
 
-// How long the manager waits when the queue of jobs is full, and after the first failure of the store.
+// How long the manager waits when the job queue is full, and after the first failure of the store.
 inline constexpr Duration kJobRetryTime = std::chrono::milliseconds(100);
 
 class StoreHealth {
  public:
   explicit StoreHealth(ManagerContext& context) : context_(context) {}
 
-  // `pending`: messages that wait for the store, for the log.
+  // Called when a job failed. `pending`, the number of messages that wait for the store, is only logged.
   void OnFailure(const JobError& error, std::size_t pending);
   void OnSuccess() { failures_in_a_row_ = 0; }
-  // Nothing is to be asked of the store for a short while.
+  // Delays the next job by kJobRetryTime, because the job queue is full.
   void Defer() { retry_at_ = context_.clock.Now() + kJobRetryTime; }
 
   bool is_failing() const { return failures_in_a_row_ > 0; }
+  // The store must not be used before this time.
   Time retry_at() const { return retry_at_; }
 
  private:
--- a/src/dead_letter/text_hash.h
+++ b/src/dead_letter/text_hash.h
@@ -1,4 +1,5 @@
-// The hash under which identities and rule files are stored.
+// The hash by which the store identifies rule files and submitted messages. It is stored, so it must not
+// change. Safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_TEXT_HASH_H_
 #define SAGETALLY_SRC_DEAD_LETTER_TEXT_HASH_H_
 
@@ -7,7 +8,7 @@
 
 namespace sagetally::dead_letter {
 
-// XXH3, 64 bits; never 0.
+// Returns the 64-bit XXH3 hash of `text`, with 1 in the place of 0.
 std::uint64_t HashText(std::string_view text);
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/transfer_queue.cpp
+++ b/src/dead_letter/transfer_queue.cpp
@@ -7,16 +7,18 @@
 namespace sagetally::dead_letter {
 namespace {
 
+// Limits of one transaction. The last message of a batch may exceed the limit in bytes.
 constexpr std::size_t kBatchMessages = 128;
 constexpr std::size_t kBatchBytes = 512 * 1024;
-constexpr std::size_t kBytesBesideBody = 600;  // what a message takes in the journal, about
+// The approximate size of a message in the journal without its body.
+constexpr std::size_t kJournalOverheadBytes = 600;
 
 }  // namespace
 
 void TransferQueue::Add(const Message& message, Time not_before) {
   PendingTransfer pending;
   pending.number = message.number;
-  pending.bytes = message.request.body.size() + kBytesBesideBody;
+  pending.bytes = message.request.body.size() + kJournalOverheadBytes;
   pending.priority_weight = context_.PriorityWeightOf(message);
   pending.is_redrive_result = message.redrive_number != 0;
   pending.not_before = not_before;
@@ -26,7 +28,7 @@
   GiveUpOverLimit();
 }
 
-// The result of a redrive is never given up.
+// Never gives up the result of a redrive.
 void TransferQueue::GiveUpOverLimit() {
   while (bytes_ > context_.settings.max_pending_bytes) {
     auto lowest = waiting_.end();
@@ -72,7 +74,7 @@
     const PendingTransfer pending = waiting_.front();
     waiting_.pop_front();
     const Message* message = context_.messages.Find(pending.number);
-    if (message == nullptr || !message->dead_letter_pending) {  // nothing is owed for it any more
+    if (message == nullptr || !message->dead_letter_pending) {  // no longer to be stored
       numbers_.erase(pending.number);
       bytes_ -= pending.bytes;
       continue;
@@ -107,7 +109,7 @@
 
 void TransferQueue::OnTransferred(const JobError* error, const Database::Evicted& evicted) {
   if (error != nullptr) {
-    PutBackBatch();  // part of it may be stored: storing that again changes nothing
+    PutBackBatch();  // if part of the batch was stored, storing it again changes nothing
     context_.on_store_error(*error);
     context_.run_due_work();
     return;
--- a/src/dead_letter/transfer_queue.h
+++ b/src/dead_letter/transfer_queue.h
@@ -1,5 +1,5 @@
-// Messages that have ended and wait to be stored. They leave the journal only after the store has committed
-// them. Part of the dead-letter manager.
+// The queue of completed messages that wait to be stored. Unless it is given up, a message leaves the journal
+// only after the store has committed it. Part of the dead-letter manager; used on the event loop only.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_TRANSFER_QUEUE_H_
 #define SAGETALLY_SRC_DEAD_LETTER_TRANSFER_QUEUE_H_
 
@@ -16,15 +16,16 @@
 
 class TransferQueue {
  public:
-  // `on_stored` is called after each transaction.
+  // Calls `on_stored` after each committed transfer.
   TransferQueue(ManagerContext& context, StoreHealth& health, std::function<void()> on_stored)
       : context_(context), health_(health), on_stored_(std::move(on_stored)) {}
 
   bool Contains(std::uint64_t number) const { return numbers_.contains(number); }
-  // `not_before`: of the next redrive, where this one failed. Over the limit of bytes, the messages of the
-  // lowest priority weight are given up: the journal's space is for delivery.
+  // Adds a completed message. `not_before` is the earliest time of the next redrive if `message` is a failed
+  // redrive. While the queue exceeds its limit in bytes, the messages with the lowest priority weight are
+  // given up, because the journal's space is needed for delivery.
   void Add(const Message& message, Time not_before);
-  // Hands the next messages to the store, unless some are on their way.
+  // Starts a job that stores the next messages, unless one is already running.
   void StartTransfer();
   std::size_t size() const { return waiting_.size() + in_transfer_.size(); }
 
@@ -51,8 +52,8 @@
   std::function<void()> on_stored_;
   std::deque<PendingTransfer> waiting_;
   std::vector<PendingTransfer> in_transfer_;
-  std::set<std::uint64_t> numbers_;  // of both
-  std::size_t bytes_ = 0;            // of both
+  std::set<std::uint64_t> numbers_;  // of the messages in `waiting_` and `in_transfer_`
+  std::size_t bytes_ = 0;            // total of `waiting_` and `in_transfer_`
 };
 
 }  // namespace sagetally::dead_letter
--- a/src/dead_letter/wire_names.cpp
+++ b/src/dead_letter/wire_names.cpp
@@ -6,7 +6,7 @@
 namespace sagetally::dead_letter {
 namespace {
 
-// Each table is in the order of its enumeration.
+// The tables are in the order of their enumerations.
 constexpr std::array<std::string_view, 10> kFailureReasons = {"none",
                                                               "attempts_used_up",
                                                               "out_of_time_unsent",
@@ -26,9 +26,9 @@
 
 template <typename Enum, std::size_t kSize>
 std::string_view NameIn(const std::array<std::string_view, kSize>& names, Enum value,
-                        std::string_view otherwise) {
+                        std::string_view fallback) {
   const auto index = static_cast<std::size_t>(value);
-  return index < names.size() ? names[index] : otherwise;
+  return index < names.size() ? names[index] : fallback;
 }
 
 template <typename Enum, std::size_t kSize>
--- a/src/dead_letter/wire_names.h
+++ b/src/dead_letter/wire_names.h
@@ -1,5 +1,6 @@
-// The words for states, reasons and outcomes in the rule language, in JSON and in operators' output. They are
-// stored and in use, so they keep their form whatever the code calls these things.
+// The words for states, reasons and outcomes in the rule language, in JSON and in operators' output. Stored
+// data and operators' scripts use them, so they must not change, even where the code has other names for the
+// same things. Functions without state, safe on any thread.
 #ifndef SAGETALLY_SRC_DEAD_LETTER_WIRE_NAMES_H_
 #define SAGETALLY_SRC_DEAD_LETTER_WIRE_NAMES_H_
 
@@ -12,21 +13,22 @@
 
 namespace sagetally::dead_letter {
 
-// A number that is none of the enumeration's, as a later version may store it, is "none", "held" or
-// "timeout".
+// Return the word for a value. A number outside the enumeration, which a later version may have stored, gives
+// "none" for reasons and final statuses, "held" for states and "timeout" for outcomes.
 std::string_view Name(FailureReason reason);
 std::string_view Name(DeadLetterState state);
 std::string_view Name(Outcome outcome);
-// "undeliverable", "deferred", ...
+// Final statuses are called "undeliverable", "deferred" and so on.
 std::string_view Name(FinalStatus status);
 
-// Nothing if the word is unknown.
+// Return nothing if the word is unknown.
 std::optional<FailureReason> ParseFailureReason(std::string_view name);
 std::optional<DeadLetterState> ParseDeadLetterState(std::string_view name);
 std::optional<Outcome> ParseOutcome(std::string_view name);
-// kFailed or kRejected, the two with which a dead letter can end.
+// Returns only kFailed or kRejected, the two final statuses that a dead letter can have.
 std::optional<FinalStatus> ParseFinalStatus(std::string_view name);
 
+// All words that the rule language accepts for the field.
 std::vector<std::string> FailureReasonNames();
 std::vector<std::string> DeadLetterStateNames();
 std::vector<std::string> OutcomeNames();
--- a/tests/dead_letter/redrive_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -1,4 +1,4 @@
-// Rule language, redrive policy and planner, by tables and against small references; operators' requests.
+// Tests of the rule language, the redrive policy, the redrive planner and the parser of operators' requests.
 #include <cmath>
 
 #include "dead_letter/operator_requests.h"
@@ -52,24 +52,24 @@
       {"hold", "line 1, column 1: expected 'rule' or the end, found 'hold'"},
       {"rule a: when true and then hold;", "expected"}};
   for (const auto& [text, expected] : table) {
-    std::string said;
+    std::string message;
     try {
       ParseRules(text, kClasses);
     } catch (const RuleError& error) {
-      said = error.what();
+      message = error.what();
     }
-    if (said.find(expected) == said.npos) {
-      std::fprintf(stderr, "%s\n  said %s\n  not  %s\n", text, said.c_str(), expected);
+    if (message.find(expected) == message.npos) {
+      std::fprintf(stderr, "%s\n  message:  %s\n  expected: %s\n", text, message.c_str(), expected);
     }
-    assert(said.find(expected) != said.npos);
+    assert(message.find(expected) != message.npos);
   }
-  std::string said;
+  std::string message;
   try {
     ParseCondition(std::string(5000, '(') + "true", kClasses);
   } catch (const RuleError& error) {
-    said = error.what();
+    message = error.what();
   }
-  assert(said.find("nested") != said.npos);
+  assert(message.find("nested") != message.npos);
 }
 
 void PrintedRulesParseToEqualOnes() {
@@ -141,11 +141,12 @@
   assert(reason(Failed("pedido", 1, true), {110s, 60s, 9}) == DecisionReason::kDeduplicationWindowExpired);
   assert(reason(Failed("pedido", 1, true), {109800ms, 59800ms, 9}) ==
          DecisionReason::kDeduplicationWindowExpired);
-  // The wall clock was set back by 8 s, or forwards; the machine's own count knows.
+  // The wall clock was set back by 8 s or forward by 9 s. The larger of the two elapsed times counts, by the
+  // steady clock and by the wall clock.
   assert(reason(Failed("pedido", 1, true), {103s, 61s, 9}) == DecisionReason::kDeduplicationWindowExpired);
   assert(reason(Failed("pedido", 1, true), {111s, 52s, 9}) == DecisionReason::kDeduplicationWindowExpired);
   assert(reason(Failed("pedido", 1, true), {102s, 2s, 8}) ==
-         DecisionReason::kClockUncertain);  // the machine started anew
+         DecisionReason::kClockUncertain);  // the machine was restarted
   assert(reason(Failed("pedido", 1, true), {102s, 49s, 9}) == DecisionReason::kClockUncertain);
   assert(reason(Failed("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) ==
          DecisionReason::kClockUncertain);
@@ -166,9 +167,10 @@
          RedriveDecision::kRetryLater);
 }
 
-// Whatever the clocks do, an allowed redrive that ends by `latest_send_time` ends inside the true window.
-void PolicyKeepsToTheTrueDeduplicationWindow() {
-  assert(rc::check("true time", [](bool rebooted) {
+// However the wall clock is set, an allowed redrive that ends by `latest_send_time` ends within the actual
+// deduplication window. After a restart of the machine no redrive is allowed.
+void AllowedRedrivesEndWithinTheDeduplicationWindow() {
+  assert(rc::check("allowed redrives end within the actual window", [](bool rebooted) {
     const ReviewSettings settings = ThreeClasses();
     const auto elapsed = Duration(*rc::gen::inRange<std::int64_t>(0, 15'000'000));
     const auto step = Duration(*rc::gen::inRange<std::int64_t>(-12'000'000, 12'000'000));
@@ -184,7 +186,7 @@
   }));
 }
 
-void NoRuleOverridesThePolicy() {
+void NeitherRulesNorOperatorsOverrideThePolicy() {
   assert(rc::check("forbidden stays forbidden", [](const RuleSet& printed, DeadLetter dead_letter) {
     const RuleSet set = ParseRules(Print(printed), kClasses);
     const ReviewSettings settings = ThreeClasses();
@@ -203,7 +205,7 @@
 
 // --- The planner ---
 
-// Drives a planner with random events and checks each grant against a plain count.
+// Calls a planner with random events, and checks each grant against a model that counts grants and failures.
 class PlannerModel {
  public:
   PlannerModel() : limits_(RandomLimits()), planner_(limits_, 1, Time(0)) {
@@ -230,8 +232,9 @@
   }
 
   void CheckRates() const {
-    RC_ASSERT(Fits(granted_by_rule_, redrive_.rate_per_second));
-    for (const auto& [destination, times] : granted_) RC_ASSERT(Fits(times, limits_.destination_rate));
+    RC_ASSERT(StayWithinRate(granted_by_rule_, redrive_.rate_per_second));
+    for (const auto& [destination, times] : granted_)
+      RC_ASSERT(StayWithinRate(times, limits_.destination_rate));
   }
 
  private:
@@ -244,8 +247,9 @@
     return limits;
   }
 
-  // A bucket of one second's worth: never more than that and the rate over any stretch.
-  static bool Fits(const std::vector<Time>& times, double rate) {
+  // Whether no interval has more grants than a token bucket allows that holds the tokens of one second (at
+  // least one) and is refilled at `rate` per second.
+  static bool StayWithinRate(const std::vector<Time>& times, double rate) {
     for (std::size_t first = 0; first < times.size(); ++first) {
       for (std::size_t last = first; last < times.size(); ++last) {
         const double seconds = static_cast<double>((times[last] - times[first]).count()) / 1e6;
@@ -301,16 +305,17 @@
   std::vector<Time> granted_by_rule_;
 };
 
-void PlannerKeepsItsLimits() {
-  assert(rc::check("against a plain count", [] {
+void PlannerNeverExceedsItsLimits() {
+  assert(rc::check("planner against a model", [] {
     PlannerModel model;
     for (int i = 0; i < 300; ++i) model.Step();
     model.CheckRates();
   }));
 }
 
-// Healthy for 3 s and failing again: the second backoff is longer, and ends with one redrive at a time.
-void ADestinationThatFailsAgainBacksOffLonger() {
+// A destination is healthy for 3 s between failures. Its second backoff is longer than the first, and after
+// each backoff only one redrive at a time is allowed.
+void BackoffGrowsWhenADestinationFailsAgain() {
   RedrivePlanner planner({100, 1000, 0.5, 0.5, 100, 1s, 60s}, 1, Time(0));
   RedriveAction redrive;
   redrive.rate_per_second = 1000;
@@ -328,23 +333,23 @@
     now += 100ms;
     int concurrent = 0;
     while (planner.RequestGrant("r", redrive, 7, true, {}, now).granted()) ++concurrent;
-    assert(concurrent > 1);  // more were allowed after each success
+    assert(concurrent > 1);  // each success allowed one more
     for (int i = 0; i < concurrent; ++i) {
       planner.OnCallCompleted(7, Outcome::kTimeout, 0s, now);
       planner.OnMessageCompleted(7, false, now);
     }
-    const Time down = now;
+    const Time failed_at = now;
     while (!planner.RequestGrant("r", redrive, 7, true, {}, now).granted()) now += 100ms;
-    backoffs.push_back(now - down);
-    assert(!planner.RequestGrant("r", redrive, 7, true, {}, now).granted());  // one alone
+    backoffs.push_back(now - failed_at);
+    assert(!planner.RequestGrant("r", redrive, 7, true, {}, now).granted());  // only one at a time
     planner.OnMessageCompleted(7, true, now);
   }
   assert(backoffs[0] >= 1s && backoffs[1] > backoffs[0]);
 }
 
-// --- Control messages ---
+// --- Operators' requests ---
 
-void OperatorRequestsAreParsedOrRefusedWithTheReason() {
+void OperatorRequestsAreParsedOrRejectedWithTheReason() {
   const std::pair<const char*, const char*> table[] = {
       {"", "one JSON object"},
       {"[1]", "one JSON object"},
@@ -355,7 +360,7 @@
       {R"({"v":1,"op":"list","limit":"9"})", "/limit"},
       {R"({"v":1,"op":"list","body":true,"limit":1000})", "/limit: expected a whole number from 1 to 50"},
       {R"({"v":1,"op":"list","filter":"age > 3"})", "filter: line 1, column 7: expected a duration"},
-      {R"({"v":1,"op":"list","filter":7})", "/filter: expected a text"},
+      {R"({"v":1,"op":"list","filter":7})", "/filter: expected a string"},
       {R"({"v":1,"op":"list","after":"x"})", "/after: expected NODE/NUMBER"},
       {R"({"v":1,"op":"show"})", "/id: expected NODE/NUMBER"},
       {R"({"v":1,"op":"show","id":"n0/12x"})", "/id"},
@@ -363,14 +368,15 @@
       {R"({"v":1,"op":"act","action":"burn"})", "/action: expected resend, hold or drop"},
       {R"({"v":1,"op":"act","action":"hold","only_count":1})", "/only_count: expected true or false"}};
   for (const auto& [line, expected] : table) {
-    std::string said;
+    std::string message;
     try {
       ParseOperatorRequest(line, kClasses);
     } catch (const std::exception& error) {
-      said = error.what();
+      message = error.what();
     }
-    if (said.find(expected) == said.npos) std::fprintf(stderr, "%s: said %s\n", line, said.c_str());
-    assert(said.find(expected) != said.npos);
+    if (message.find(expected) == message.npos)
+      std::fprintf(stderr, "%s: unexpected message %s\n", line, message.c_str());
+    assert(message.find(expected) != message.npos);
   }
   const OperatorRequest good = ParseOperatorRequest(
       R"({"v":1,"op":"list","filter":"class = aviso","after":"a/b/7","limit":3})", kClasses);
@@ -386,10 +392,10 @@
   PrintedRulesParseToEqualOnes();
   NoRuleMatchesDifferentlyBeforeTheNextChange();
   PolicyForbidsWhatCouldTakeEffectTwice();
-  PolicyKeepsToTheTrueDeduplicationWindow();
-  NoRuleOverridesThePolicy();
-  PlannerKeepsItsLimits();
-  ADestinationThatFailsAgainBacksOffLonger();
-  OperatorRequestsAreParsedOrRefusedWithTheReason();
+  AllowedRedrivesEndWithinTheDeduplicationWindow();
+  NeitherRulesNorOperatorsOverrideThePolicy();
+  PlannerNeverExceedsItsLimits();
+  BackoffGrowsWhenADestinationFailsAgain();
+  OperatorRequestsAreParsedOrRejectedWithTheReason();
   std::puts("9 passed, 0 failed");
 }
