--- a/tests/dead_letter/crash_test.cpp
+++ b/tests/dead_letter/crash_test.cpp
@@ -1,4 +1,6 @@
-// The real pipeline, journal, manager and store, crashed after every single step and in other bad moments.
+// Crash tests of dead letters with the real pipeline, journal, manager and store: the node crashes after each
+// single step, its store fails, its journal is read after a restart, and dead letters are disabled and
+// enabled. Also tests resubmissions and the limits of attempts and of the deduplication window.
 #include "simulated_node.h"
 
 namespace sagetally {
@@ -7,7 +9,7 @@
 using dead_letter::DeadLetterState;
 using std::chrono::seconds;
 
-constexpr int kMaxAttempts = 6;  // of the configuration
+constexpr int kMaxAttempts = 6;  // as in the configuration of World
 
 using StateCounts = std::array<int, dead_letter::kDeadLetterStateCount>;
 
@@ -21,8 +23,10 @@
   return stored;
 }
 
-// Each accepted message was delivered, or is stored and at rest.
-void CheckAccounts(SimulatedWorld& environment, const std::set<std::string>& accepted, StateCounts& states) {
+// Checks that each accepted message was delivered, or is stored as delivered or held, and that no message was
+// sent too often.
+void CheckAllDeliveredOrHeld(SimulatedWorld& environment, const std::set<std::string>& accepted,
+                             StateCounts& states) {
   const std::map<std::string, dead_letter::DeadLetter> stored = StoredByRequestId(environment);
   for (const std::string& name : accepted) {
     const auto found = stored.find(name);
@@ -38,7 +42,7 @@
   }
 }
 
-// The first calls fail, one in four as rejected; one in four runs all the same.
+// Makes the first 8 calls fail. One in four is rejected; another one in four takes effect although it fails.
 class FirstCallsFail {
  public:
   Outcome outcome() const {
@@ -52,8 +56,9 @@
   int failures_left_ = 8;
 };
 
-// Six messages fail, are stored and redriven. The process dies after `crash_at` steps, and again
-// `second_crash_after` steps later if that is not 0. Returns how many steps there were.
+// Runs a node on which calls of six messages fail, so that messages are stored and redriven. The node crashes
+// after `crash_at` steps, and again `second_crash_after` steps later if that is not 0. Ends 40 s after the
+// last answered call. Returns the number of steps.
 int RunWithCrashes(int crash_at, int second_crash_after, StateCounts& states) {
   SimulatedWorld environment;
   const NodeConfig config(environment);
@@ -91,7 +96,7 @@
     }
   }
   node.reset();
-  CheckAccounts(environment, accepted, states);
+  CheckAllDeliveredOrHeld(environment, accepted, states);
   return steps;
 }
 
@@ -111,7 +116,7 @@
               states[static_cast<std::size_t>(DeadLetterState::kHeld)]);
 }
 
-void AWaitingDeadLetterIsNotRedrivenOnceItsClientResubmitsIt() {
+void StoredDeadLetterIsNotRedrivenAfterItsClientResubmitsIt() {
   SimulatedWorld environment;
   NodeConfig config(environment);
   config.settings.initial_backoff = seconds(30);
@@ -138,13 +143,13 @@
   assert(!node.Submit("pagamento", "second", IngressProtocol::kCloudEvents));
   node.RunFor(seconds(20), Outcome::kOk);
   assert(environment.delivered.contains("first") && environment.effects.size() == 1);
-  // The same answer as before the redrive, and no second message.
+  // A later submission gets the response of the redriven message and does not create a second message.
   assert(node.Submit("pagamento", "third", IngressProtocol::kCloudEvents));
   node.RunFor(seconds(20), Outcome::kOk);
   assert(environment.effects.size() == 1);
 }
 
-void FailedRedrivesCountTheAttemptsOfOneMessage() {
+void AttemptLimitCountsTheAttemptsOfAllRedrives() {
   SimulatedWorld environment;
   const NodeConfig config(environment);
   auto node = std::make_unique<SimulatedNode>(environment, config);
@@ -160,10 +165,11 @@
 
 const dead_letter::JobError kStoreIsFull = {dead_letter::StoreError::Kind::kFull, "no space", false};
 
-constexpr std::size_t kMaxPendingBytes = std::size_t{20} * 700;  // some twenty messages
+constexpr std::size_t kMaxPendingBytes = std::size_t{20} * 700;  // about 20 messages
 
-// What fits goes on waiting; the rest is given up and counted, lowest priority weight first.
-void DeliveryGoesOnWhileTheStoreFails() {
+// While the store fails, messages wait up to a limit in bytes. Beyond it, the messages with the lowest
+// priority weight are given up and counted.
+void DeliveryContinuesWhileTheStoreFails() {
   SimulatedWorld environment;
   NodeConfig config(environment);
   config.settings.max_pending_bytes = kMaxPendingBytes;
@@ -183,8 +189,8 @@
   assert(CountStored(environment, "class = pagamento") >= 18);
 }
 
-// It ends while the redrive waits for a slot, or for a destination that has no endpoint.
-void ADeduplicationWindowThatEndsWhileARedriveWaitsForbidsIt() {
+// The deduplication window ends while the redrive waits for a slot, or for a destination without endpoints.
+void RedriveIsForbiddenWhenTheDeduplicationWindowEndsWhileItWaits() {
   for (const bool removes_endpoints : {false, true}) {
     SimulatedWorld environment;
     const NodeConfig config(environment);
@@ -199,7 +205,7 @@
       update.endpoints.clear();
       node->pipeline.router.OnEndpointListUpdate(update);
     }
-    node->RunFor(seconds(30), Outcome::kRejected);  // until the window is over
+    node->RunFor(seconds(30), Outcome::kRejected);  // until the window has expired
     node->RunFor(seconds(60), Outcome::kOk);
     assert(environment.effects["k"] == 1);
     node.reset();
@@ -207,8 +213,9 @@
   }
 }
 
-// Its deadline passed while its call was in flight, and the process died before the call ended.
-void AMessageThatEndedWithACallInFlightMayHaveRun() {
+// A message whose deadline passes while its call is in flight completes as failed. If the process then ends
+// before the call does, the journal must still tell that the message may have run.
+void MessageCompletedWithACallInFlightMayHaveRun() {
   const TemporaryFolder folder;
   for (const bool is_restarted : {false, true}) {
     MessageTable messages;
@@ -244,8 +251,9 @@
   }
 }
 
-// Switched off with a failed message that waits for the store and a redrive in flight, then on again.
-void SwitchingOffAndOnLosesAndRepeatsNothing() {
+// Dead letters are disabled while a failed message waits for the store and a redrive is in flight, and then
+// enabled again.
+void DisablingAndEnablingDeadLettersLosesAndRepeatsNothing() {
   SimulatedWorld environment;
   const NodeConfig config(environment);
   auto node = std::make_unique<SimulatedNode>(environment, config);
@@ -275,12 +283,12 @@
 int main() {
   using namespace sagetally;
   EveryMessageIsDeliveredOrStoredAfterACrashAtAnyStep();
-  AWaitingDeadLetterIsNotRedrivenOnceItsClientResubmitsIt();
+  StoredDeadLetterIsNotRedrivenAfterItsClientResubmitsIt();
   AResubmissionIsRejectedWhileTheDeadLetterIsRedriven();
-  FailedRedrivesCountTheAttemptsOfOneMessage();
-  DeliveryGoesOnWhileTheStoreFails();
-  ADeduplicationWindowThatEndsWhileARedriveWaitsForbidsIt();
-  AMessageThatEndedWithACallInFlightMayHaveRun();
-  SwitchingOffAndOnLosesAndRepeatsNothing();
+  AttemptLimitCountsTheAttemptsOfAllRedrives();
+  DeliveryContinuesWhileTheStoreFails();
+  RedriveIsForbiddenWhenTheDeduplicationWindowEndsWhileItWaits();
+  MessageCompletedWithACallInFlightMayHaveRun();
+  DisablingAndEnablingDeadLettersLosesAndRepeatsNothing();
   std::puts("8 passed, 0 failed");
 }
--- a/tests/dead_letter/golden_cli_test.sh
+++ b/tests/dead_letter/golden_cli_test.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# `sagetally kept list|show|stats|export` prints of the golden database of a stopped node what the program that wrote it
-# printed: each kept-*.txt holds the command, its output and its exit code.
+# Checks that `sagetally kept list|show|stats|export` prints the same output for the golden database of a stopped node
+# as the version of the program that wrote it. Each kept-*.txt has a command, its output and its exit code.
 #   golden_cli_test.sh PROGRAM GOLDEN_FOLDER
-# Prints "N passed, N failed" as its last line. Exit code: 1 if an output differs, 2 if there is none.
+# Prints "N passed, N failed" as its last line. Exit code: 1 if an output differs, 2 if there is no expected output.
 set -euo pipefail
 if [ $# -ne 2 ]; then
   echo "usage: golden_cli_test.sh PROGRAM GOLDEN_FOLDER" >&2
@@ -13,12 +13,12 @@
 unset "${!BALANCER_@}" "${!SAGETALLY_@}"
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
-cp -r "$golden/dead_letters" "$scratch/"  # SQLite makes files beside what it opens
+cp -r "$golden/dead_letters" "$scratch/"  # SQLite creates files next to the database
 cd "$scratch"
 passed=0 failed=0
 for expected in "$golden"/reader-output/kept-*.txt; do
   [ -f "$expected" ] || continue
-  # The first line is "$ sagetally 'kept' 'list' ...", as the shell quotes its arguments.
+  # The first line is "$ sagetally 'kept' 'list' ...", with the arguments quoted for the shell.
   command_line=$(head -1 "$expected")
   arguments=()
   eval "arguments=(${command_line#\$ sagetally })"
--- a/tests/dead_letter/golden_test.cpp
+++ b/tests/dead_letter/golden_test.cpp
@@ -1,6 +1,7 @@
-// The dead-letter database of an earlier program (tests/golden/dead_letters/kept.db) under the present code:
-// every value is read as it was written, and the same steps write the same rows. The folder of the golden
-// data is in SAGETALLY_GOLDEN.
+// Checks that the present code is compatible with the dead-letter database that an earlier version of the
+// program wrote (tests/golden/dead_letters/kept.db): it reads every value as it was written, and the same
+// operations write the same rows. The environment variable SAGETALLY_GOLDEN has the folder of the golden
+// data.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
@@ -28,7 +29,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// As in tests/golden/make_golden.cpp.
+// The same values as in tests/golden/make_golden.cpp.
 constexpr Time kStart{1'700'000'000'000'000};
 constexpr Time kReadAt = kStart + seconds(320);
 constexpr std::uint64_t kBootId = 9;
@@ -45,7 +46,7 @@
  protected:
   GoldenDatabase() {
     std::string name = (fs::temp_directory_path() / "sagetally-golden-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error(name + ": can't be made");
+    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("can't create the folder " + name);
     folder_ = name;
     fs::copy_file(GoldenFolder() / "dead_letters" / "kept.db", CopyPath());  // SQLite writes files beside it
     std::ifstream file(GoldenFolder() / "expected" / "dead_letters.json");
@@ -69,7 +70,7 @@
   Json expected_;
 };
 
-// All that is stored of a message, under the names of the expected values.
+// Returns all stored values of a message under the keys of dead_letters.json.
 Json AllValues(const DeadLetter& dead_letter) {
   Json values = Json::parse(ToJson(dead_letter, true));
   values["may_have_run_moment"] = nullptr;
@@ -87,7 +88,7 @@
   return values;
 }
 
-TEST_F(GoldenDatabase, EveryValueOfEveryMessageIsRead) {
+TEST_F(GoldenDatabase, ReadsEveryValueOfEveryMessage) {
   Database database = OpenCopy();
   const Json& messages = expected().at("messages");
   std::size_t index = 0;
@@ -102,7 +103,7 @@
   EXPECT_EQ(messages.size(), 20U);
 }
 
-TEST_F(GoldenDatabase, EveryMessageIsFoundByItsId) {
+TEST_F(GoldenDatabase, FindsEveryMessageByItsId) {
   Database database = OpenCopy();
   for (const Json& message : expected().at("messages")) {
     const std::optional<DeadLetterId> id = ParseDeadLetterId(message.at("kept").get<std::string>());
@@ -113,7 +114,7 @@
   }
 }
 
-TEST_F(GoldenDatabase, APageHasEveryMessageWithoutItsBody) {
+TEST_F(GoldenDatabase, ListsEveryMessageWithoutItsBody) {
   Database database = OpenCopy();
   std::vector<DeadLetter> messages;
   database.ForEach(Condition(), kReadAt, true, [&](const DeadLetter& dead_letter) {
@@ -138,7 +139,7 @@
   }
 }
 
-TEST_F(GoldenDatabase, IdentitiesAndRuleGenerationAreKnownAgain) {
+TEST_F(GoldenDatabase, ReadsIdentitiesAndRuleGeneration) {
   Database database = OpenCopy(false);
   const auto identities = expected().at("identities").get<std::vector<std::uint64_t>>();
   const std::vector<std::uint64_t> read = database.Identities();
@@ -149,7 +150,7 @@
             expected().at("rules_generation").get<std::int64_t>());
 }
 
-TEST_F(GoldenDatabase, StatesDecideWhatCanBeClaimed) {
+TEST_F(GoldenDatabase, OnlyOpenMessagesCanBeClaimed) {
   for (const Json& message : expected().at("messages")) {
     Database database = OpenCopy(false);
     const DeadLetterId id = *ParseDeadLetterId(message.at("kept").get<std::string>());
@@ -161,11 +162,12 @@
     if (claimed) database.Unclaim(id, Time(0));
   }
   Database database = OpenCopy(false);
-  EXPECT_EQ(database.Reconcile({{"n0", 112}}, false, kReadAt), 0);  // its claim is under way
+  EXPECT_EQ(database.Reconcile({{"n0", 112}}, false, kReadAt),
+            0);  // the only claim belongs to a redrive in flight
   EXPECT_EQ(database.Reconcile({}, false, kReadAt), 1);
 }
 
-// ---- The same steps write the same rows.
+// ---- The same operations write the same rows.
 
 Message EndedMessage(std::uint64_t number, FailureReason reason, FinalStatus status = FinalStatus::kFailed) {
   const std::string binary_text("\x00\x01\xff\"\n body with \xc3\xa9", 18);
@@ -215,7 +217,7 @@
 constexpr std::uint64_t kFirstOperated = 110;
 DeadLetterId OperatedId(std::uint64_t offset) { return {"n0", kFirstOperated + offset}; }
 
-// One message for each reason, with the attempts that lead to it.
+// Returns a message that failed for `reason`, with the attempts that lead to it.
 Message MessageFailedFor(FailureReason reason) {
   const bool shed = reason == FailureReason::kShed;
   Message message = EndedMessage(100 + static_cast<std::uint64_t>(reason), reason,
@@ -303,11 +305,11 @@
   act(RuleAction::Kind::kDrop, "dead-116");
   act(RuleAction::Kind::kRedrive, "dead-117");
   database.Claim(OperatedId(8), "again");
-  // The journal was lost while that claim was open: the message may have run.
+  // The journal was lost while message 118 was claimed, so it may have run.
   database.Reconcile({OperatedId(2)}, true, kStart + seconds(310));
 }
 
-// Each row of a query as text, with the type of each value.
+// Returns each row of a query as text, with the type of each value.
 std::vector<std::string> Rows(const std::string& path, const std::string& query) {
   sqlite3* raw = nullptr;
   EXPECT_EQ(sqlite3_open_v2(path.c_str(), &raw, SQLITE_OPEN_READONLY, nullptr), SQLITE_OK);
@@ -333,7 +335,7 @@
   return rows;
 }
 
-TEST_F(GoldenDatabase, TheSameStepsWriteTheSameRows) {
+TEST_F(GoldenDatabase, SameOperationsWriteTheSameRows) {
   {
     Database database(SettingsFor(RewrittenPath(), false));
     StoreMessages(database);
--- a/tests/dead_letter/kill_test.cpp
+++ b/tests/dead_letter/kill_test.cpp
@@ -1,5 +1,6 @@
-// The program as a process, killed by SIGKILL at seeded moments while messages fail, are stored and redriven.
-// Arguments: the program, how many kills, a seed.
+// Runs the dispatcher as a process and kills it with SIGKILL at random moments while messages fail, are
+// stored and are redriven. Checks that no accepted message is lost and none takes effect twice that must not.
+// Arguments: the program, the number of kills, the seed of the random moments and faults.
 #include <boost/random/uniform_int_distribution.hpp>
 #include <fstream>
 
@@ -44,18 +45,18 @@
     }
   }
 
-  // Until all dead letters are at rest, and there was no call for a while.
-  void RunUntilAtRest() {
+  // Runs until no dead letter can be redriven any more and there has been no call for 8 rounds of 200 ms.
+  void RunUntilIdle() {
     RunUntil(loop, [&] { return process_->Port() != 0; });
     partner_.menu = {Partner::Fault::kNone};
-    int quiet_rounds = 0;
+    int idle_rounds = 0;
     std::size_t calls = 0;
     RunUntil(loop, [&] {
       RunFor(loop, 200ms);
-      const bool is_still = CountRedrivable() == 0 && partner_.calls.size() == calls && partner_.out() == 0;
+      const bool is_idle = CountRedrivable() == 0 && partner_.calls.size() == calls && partner_.out() == 0;
       calls = partner_.calls.size();
-      quiet_rounds = is_still ? quiet_rounds + 1 : 0;
-      return quiet_rounds >= 8;
+      idle_rounds = is_idle ? idle_rounds + 1 : 0;
+      return idle_rounds >= 8;
     });
   }
 
@@ -64,9 +65,9 @@
     assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   }
 
-  // Every accepted message was delivered, or is held; none was lost, and none took effect twice that must
-  // not.
-  void CheckAccounts(int kills) {
+  // Checks that every accepted message was delivered or is held, and that no message took effect twice that
+  // must not.
+  void CheckAllDeliveredOrHeld(int kills) {
     const std::map<std::string, dead_letter::DeadLetter> stored = Stored();
     PrintDecisionReasons(stored);
     const std::set<std::string> accepted = clients_.Taken();
@@ -77,7 +78,7 @@
       const bool delivered = partner_.delivered.contains(name);
       if (found != stored.end()) {
         ++states[found->second.state];
-        CheckAtRest(found->second, delivered);
+        CheckDeliveredOrHeld(found->second, delivered);
       } else if (!delivered) {
         std::fprintf(stderr, "lost: %s\n", name.c_str());
         ++lost;
@@ -134,7 +135,7 @@
     for (const auto& [reason, count] : reasons) std::printf("  reason '%s': %d\n", reason.c_str(), count);
   }
 
-  static void CheckAtRest(const dead_letter::DeadLetter& dead_letter, bool delivered) {
+  static void CheckDeliveredOrHeld(const dead_letter::DeadLetter& dead_letter, bool delivered) {
     const bool is_redriven = dead_letter.state == dead_letter::DeadLetterState::kDelivered;
     assert(is_redriven || dead_letter.state == dead_letter::DeadLetterState::kHeld);
     if (is_redriven) assert(delivered);
@@ -155,8 +156,8 @@
   const int kills = std::atoi(argv[2]);
   sagetally::KillWorld world(argv[1], std::strtoull(argv[3], nullptr, 10));
   world.RunAndKill(kills);
-  world.RunUntilAtRest();
+  world.RunUntilIdle();
   world.Stop();
-  world.CheckAccounts(kills);
+  world.CheckAllDeliveredOrHeld(kills);
   std::puts("1 passed, 0 failed");
 }
--- a/tests/dead_letter/partner.h
+++ b/tests/dead_letter/partner.h
@@ -1,6 +1,7 @@
-// A partner that fails in every way the protocol allows, counts what takes effect, and remembers idempotency
-// keys for a while; and clients that submit messages to it. Names of messages are their bodies: 'p...' must
-// never take effect twice, 'k...' carries a key, 'a...' may repeat.
+// A simulated partner that fails in every way the protocol allows, counts the calls that take effect, and
+// remembers idempotency keys for a limited time, and clients that submit messages for it to a dispatcher. A
+// message's body is its name, and the first letter of the name tells its class: 'p...' must not take effect
+// twice, 'k...' is idempotent by its key, 'a...' is idempotent.
 #ifndef SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
 #define SAGETALLY_TESTS_DEAD_LETTER_PARTNER_H_
 
@@ -19,9 +20,10 @@
  public:
   using Fault = loadtest::Fault;
 
-  Partner(EventLoop& loop, std::uint64_t seed, Duration memory)
+  // `key_retention` is how long the partner remembers idempotency keys.
+  Partner(EventLoop& loop, std::uint64_t seed, Duration key_retention)
       : random_(seed),
-        partner_(loop, Settings(memory), timeline_, checker_, loadtest::Stream(seed, "partner"),
+        partner_(loop, Settings(key_retention), timeline_, checker_, loadtest::Stream(seed, "partner"),
                  loadtest::NowUs()),
         port(partner_.port()) {
     partner_.identify = [this](const loadtest::Call& call) {
@@ -33,7 +35,7 @@
       span.fault = menu[boost::random::uniform_int_distribution<std::size_t>(0, menu.size() - 1)(random_)];
       span.ms = span.fault == Fault::kTooManyRequests
                     ? 20
-                    : 300;  // timed out by the dispatcher, and run later all the same
+                    : 300;  // the dispatcher times out, but the call runs later nevertheless
       return span;
     };
     partner_.on_delivered = [this](const std::string& name) { ++delivered[name]; };
@@ -44,7 +46,8 @@
     };
   }
 
-  // Mostly what a partner answers at once: long silences would be an outage, with one call a second.
+  // Most of the faults are answered immediately. With many calls that get no response the destination would
+  // be treated as down and receive only one call per second.
   static std::vector<Fault> FaultsOfEveryKind() {
     std::vector<Fault> faults = {Fault::kTooManyRequests,
                                  Fault::kTooManyRequests,
@@ -67,7 +70,7 @@
     return faults;
   }
 
-  // Calls in flight now, and the most there were; broken rules by name.
+  // The calls in flight now and their maximum so far, and the number of violations of a rule of the checker.
   std::size_t out() const { return checker_.in_flight(); }
   int most_out() const { return checker_.max_in_flight(); }
   int Broken(const std::string& rule) const {
@@ -77,14 +80,14 @@
   }
   std::int64_t dropped_repeats() const { return partner_.dropped_repeats; }
 
-  std::vector<Fault> menu = {Fault::kNone};              // one is drawn for each call
-  std::map<std::string, int> effects, calls, delivered;  // by name
+  std::vector<Fault> menu = {Fault::kNone};              // each call gets a random one of these
+  std::map<std::string, int> effects, calls, delivered;  // counts by message name
   int forbidden_repeats = 0;
 
  private:
-  static loadtest::PartnerSettings Settings(Duration memory) {
+  static loadtest::PartnerSettings Settings(Duration key_retention) {
     loadtest::PartnerSettings settings;
-    settings.key_retention_ms = static_cast<double>(memory / 1ms);
+    settings.key_retention_ms = static_cast<double>(key_retention / 1ms);
     return settings;
   }
   static loadtest::Idempotency KindOf(const std::string& name) {
@@ -101,34 +104,35 @@
   const std::uint16_t port;
 };
 
-// Clients that submit messages named KIND + number at a steady rate, and remember how they were answered.
+// Clients that submit messages at a constant rate and store the responses. A message's name is the letter of
+// its class (a, k or p) and a number.
 class Clients {
  public:
   Clients(EventLoop& loop, std::function<std::uint16_t()> port, std::uint64_t seed)
       : loop_(loop), port_(std::move(port)), random_(seed), next_(loop, [this] { Post(); }) {}
 
-  void Start(Duration every) {
-    every_ = every;
+  void Start(Duration interval) {
+    interval_ = interval;
     next_.Schedule(Duration(0));
   }
   void Pause() { next_.Stop(); }
-  // Names answered with 202, and those of which the client can't know.
+  // The names of the messages that were accepted (202), and of those whose response the client did not get.
   std::set<std::string> Taken() const {
-    return Answered([](int code) { return code == 202; });
+    return NamesByStatus([](int code) { return code == 202; });
   }
   std::set<std::string> Unknown() const {
-    return Answered([](int code) { return code <= 0; });
+    return NamesByStatus([](int code) { return code <= 0; });
   }
   int deadline_ms = 600;
-  std::size_t destinations = 1;  // from 7 on
+  std::size_t destinations = 1;  // number of destinations, numbered from 7 on
   int posted = 0;
 
  private:
-  template <typename F>
-  std::set<std::string> Answered(F wanted) const {
+  template <typename Predicate>
+  std::set<std::string> NamesByStatus(Predicate matches) const {
     std::set<std::string> names;
     for (const auto& [name, request] : requests_) {
-      if (wanted(request->status_code)) names.insert(name);
+      if (matches(request->status_code)) names.insert(name);
     }
     return names;
   }
@@ -144,12 +148,12 @@
         {"Idempotency-Key", "key-" + name}};
     requests_[name] =
         std::make_unique<ClientRequest>(loop_, port_(), std::string("/") + kClasses[kind], headers, name);
-    next_.Schedule(every_);
+    next_.Schedule(interval_);
   }
   EventLoop& loop_;
   std::function<std::uint16_t()> port_;
   boost::random::mt19937_64 random_;
-  Duration every_{0};
+  Duration interval_{0};
   Timer next_;
   std::map<std::string, std::unique_ptr<ClientRequest>> requests_;
 };
--- a/tests/dead_letter/redrive_node_test.cpp
+++ b/tests/dead_letter/redrive_node_test.cpp
@@ -1,4 +1,5 @@
-// Dead letters on real sockets: a thousand failures of every kind, then a rule that redrives everything.
+// Tests dead letters with a dispatcher, partner and clients on real sockets: a thousand messages fail in
+// every way, then a rule redrives all of them.
 #include <fstream>
 
 #include "dead_letter/dead_letter_json.h"
@@ -50,19 +51,19 @@
     std::map<std::string, dead_letter::DeadLetter> all;
     OpenStore()->ForEach(
         dead_letter::Condition(), Time(0), false, [&](const dead_letter::DeadLetter& dead_letter) {
-          return all.emplace(dead_letter.request.id, dead_letter).second;  // none stands twice
+          return all.emplace(dead_letter.request.id, dead_letter).second;  // none is stored twice
         });
     return all;
   }
-  // Until every dead letter is at rest: delivered by a redrive, or held for good.
-  void RunUntilAtRest() {
+  // Runs until every dead letter was delivered by a redrive or is held permanently.
+  void RunUntilAllDeliveredOrHeld() {
     RunUntil(loop, [&] {
       RunFor(loop, 100ms);
       return manager().pending_transfers() == 0 && Count("state in {kept, claimed}") == 0;
     });
   }
-  // Each accepted message was delivered, at once or by a redrive, or is stored.
-  void CheckAccounts() {
+  // Checks that each accepted message was delivered, directly or by a redrive, or is held with a reason.
+  void CheckAllDeliveredOrHeld() {
     const auto stored = Stored();
     for (const std::string& name : clients.Taken()) {
       const auto found = stored.find(name);
@@ -93,23 +94,23 @@
     "rule everything: when true then resend rate 1000/s times 100 window 1h deadline 1s after 0s;";
 
 void AThousandFailuresAreRedrivenAndNoneTakesEffectTwice() {
-  DeadLetterWorld w(7);
-  w.partner.menu = Partner::FaultsOfEveryKind();
-  w.Start();
-  w.clients.Start(4ms);
-  RunUntil(w.loop, [&] { return w.manager().counters().stored >= 1000; });
-  w.clients.Pause();
-  w.WriteRules(kEverything);
-  w.Reload();
-  RunFor(w.loop, 500ms);  // redrives that fail too
-  w.WriteRules(
+  DeadLetterWorld world(7);
+  world.partner.menu = Partner::FaultsOfEveryKind();
+  world.Start();
+  world.clients.Start(4ms);
+  RunUntil(world.loop, [&] { return world.manager().counters().stored >= 1000; });
+  world.clients.Pause();
+  world.WriteRules(kEverything);
+  world.Reload();
+  RunFor(world.loop, 500ms);  // some redrives fail too
+  world.WriteRules(
       std::string("rule first: when destination = 7 then resend rate 900/s times 100 deadline 1s after 0s;") +
       kEverything);
-  w.Reload();  // while redrives are in flight
-  RunFor(w.loop, 300ms);
-  w.partner.menu = {Partner::Fault::kNone};
-  w.RunUntilAtRest();
-  const auto stored = w.Stored();
+  world.Reload();  // while redrives are in flight
+  RunFor(world.loop, 300ms);
+  world.partner.menu = {Partner::Fault::kNone};
+  world.RunUntilAllDeliveredOrHeld();
+  const auto stored = world.Stored();
   std::map<std::string, int> decision_reasons;
   std::map<std::string, int> failure_reasons;
   int delivered = 0;
@@ -119,7 +120,7 @@
     ++failure_reasons[std::string(dead_letter::Name(dead_letter.failure_reason))];
   }
   std::printf("stored %zu, delivered by redrive %d, dropped as repeats by key %ld\n", stored.size(),
-              delivered, w.partner.dropped_repeats());
+              delivered, world.partner.dropped_repeats());
   for (const auto& [reason, count] : decision_reasons) {
     std::printf("  decision reason '%s': %d\n", reason.c_str(), count);
   }
@@ -127,12 +128,12 @@
     std::printf("  failure reason '%s': %d\n", reason.c_str(), count);
   }
   std::fflush(stdout);
-  for (const auto& [name, dead_letter] : stored) {  // of two rules that match, the first decides
+  for (const auto& [name, dead_letter] : stored) {  // if two rules match, the first decides
     if (dead_letter.rule == "first") assert(dead_letter.request.destination == 7);
   }
   assert(stored.size() >= 1000 && delivered > 300);
-  assert(decision_reasons["may_have_run"] > 0 && w.partner.calls.size() > 1000);
-  w.CheckAccounts();
+  assert(decision_reasons["may_have_run"] > 0 && world.partner.calls.size() > 1000);
+  world.CheckAllDeliveredOrHeld();
 }
 
 }  // namespace
--- a/tests/dead_letter/sample.h
+++ b/tests/dead_letter/sample.h
@@ -1,4 +1,4 @@
-// Random dead letters, conditions and rules for property tests.
+// RapidCheck generators of random dead letters, conditions and rules for property tests.
 #ifndef SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
 #define SAGETALLY_TESTS_DEAD_LETTER_SAMPLE_H_
 
@@ -136,7 +136,7 @@
       }
       case 3: {
         Condition inner = *ConditionGen(depth - 1);
-        if (inner.kind == Condition::Kind::kNot) return inner;  // two negations are read as none
+        if (inner.kind == Condition::Kind::kNot) return inner;  // the parser removes double negations
         condition.kind = Condition::Kind::kNot;
         condition.operands.push_back(std::move(inner));
         return condition;
@@ -153,8 +153,8 @@
 inline rc::Gen<RuleSet> RuleSetGen() {
   return rc::gen::exec([] {
     RuleSet set;
-    const int n = *rc::gen::inRange(0, 4);
-    for (int i = 0; i < n; ++i) {
+    const int rule_count = *rc::gen::inRange(0, 4);
+    for (int i = 0; i < rule_count; ++i) {
       Rule rule;
       rule.name = "r" + std::to_string(i);
       rule.condition = *ConditionGen();
--- a/tests/dead_letter/simulated_node.h
+++ b/tests/dead_letter/simulated_node.h
@@ -1,5 +1,6 @@
-// A node without sockets, for tests that crash it: the real pipeline, journal, dead-letter manager and store
-// on a clock of the test's own, which also plays the endpoints and the clients.
+// A simulated node without sockets, for tests that crash it. It combines the real pipeline, journal,
+// dead-letter manager and store with a clock that the test controls. The test also takes the part of the
+// endpoints and the clients.
 #ifndef SAGETALLY_TESTS_DEAD_LETTER_SIMULATED_NODE_H_
 #define SAGETALLY_TESTS_DEAD_LETTER_SIMULATED_NODE_H_
 
@@ -21,8 +22,8 @@
   Time now{1'700'000'000'000'000};
 };
 
-// What outlasts a crash: the folder, the clock, and the partner with all that took effect there. By message
-// name.
+// The state that survives a crash of the node: the folder, the clock, and what the partner has seen. The maps
+// and the set are keyed by message name.
 struct SimulatedWorld {
   TemporaryFolder folder;
   ManualClock clock;
@@ -38,7 +39,8 @@
   void OnFenced() override {}
 };
 
-// Short backoffs and no limit on redrives but the calls, so that the tests see many of them.
+// Configures short backoffs, and no limit on redrives except that on concurrent calls, so that the tests see
+// many redrives.
 struct NodeConfig {
   explicit NodeConfig(const SimulatedWorld& environment) {
     World world(0, 4, 40);
@@ -56,8 +58,8 @@
   DeadLetterSettings settings;
 };
 
-// One process of the node. Destroying it is a crash: what is not on disk is gone. Calls wait in `calls` until
-// the test has them answered.
+// One process of the node. Destroying it simulates a crash, which loses everything that is not on disk. Calls
+// stay in `calls` until RunStep answers them.
 class SimulatedNode : public EndpointClient, public Notifier, public Scheduler, public IdleJournalHost {
  public:
   SimulatedNode(SimulatedWorld& environment, const NodeConfig& node, bool stores_dead_letters = true)
@@ -95,8 +97,8 @@
   void ScheduleTurn(Duration delay) override { journal_wakeup = environment.clock.now + delay; }
   void WriteLogLine(const std::string&) override {}
 
-  // Does one thing; false if there is nothing left to do but wait. `outcome`: of a call that it answers;
-  // `has_run`: it took effect although it failed.
+  // Performs one step and returns whether there was one; otherwise the test has to wait. If the step answers
+  // a call, the call gets `outcome`; `has_run` means that it takes effect even if the outcome is a failure.
   bool RunStep(Outcome outcome, bool has_run) {
     if (journal_wakeup <= environment.clock.now) {
       journal_wakeup = Time::max();
@@ -119,7 +121,7 @@
     return jobs.Deliver();
   }
 
-  // Until the next timer is due.
+  // Advances the clock to the next timer, by 5 s at most, and runs the timers that are due.
   void Wait() {
     Time& now = environment.clock.now;
     const Time next = std::min({policy_wakeup, manager_wakeup, now + std::chrono::seconds(5)});
@@ -134,13 +136,14 @@
     }
   }
 
-  // Runs for so long by the test's clock.
+  // Runs steps until `duration` has passed on the test's clock.
   void RunFor(std::chrono::seconds duration, Outcome outcome, bool has_run = false) {
     const Time until = environment.clock.now + duration;
     while (environment.clock.now < until) {
       if (!RunStep(outcome, has_run)) Wait();
     }
   }
+  // Runs steps until `done` returns true.
   template <typename Predicate>
   void RunUntil(Outcome outcome, Predicate done) {
     while (!done()) {
@@ -148,7 +151,7 @@
     }
   }
 
-  // A client submits a message; true if it was accepted.
+  // Submits a message as a client and returns whether it was accepted.
   bool Submit(const std::string& class_name, const std::string& name,
               IngressProtocol protocol = IngressProtocol::kPlatform) {
     const bool is_event = protocol == IngressProtocol::kCloudEvents;
@@ -183,7 +186,7 @@
   dead_letter::DeadLetterManager manager;
   MessagePipeline pipeline;
   std::vector<CallRequest> calls;
-  std::map<std::uint64_t, std::string> names;  // of messages that were called
+  std::map<std::uint64_t, std::string> names;  // names by message number, for messages with a started call
   std::vector<std::uint64_t> notifications;
   bool policy_run_due = false;
 
@@ -229,7 +232,7 @@
   }
 };
 
-// The store of a node that is not running.
+// Opens the store of a node that is not running.
 inline dead_letter::Database OpenStore(const SimulatedWorld& environment) {
   dead_letter::Database::Settings settings;
   settings.path = environment.folder.path + "/kept/kept.db";
--- a/tests/dead_letter/store_test.cpp
+++ b/tests/dead_letter/store_test.cpp
@@ -1,4 +1,5 @@
-// The dead-letter store: what it finds, what it evicts, old and damaged files.
+// Tests of the dead-letter store: filters, storing, claims, eviction, reviews of due messages, migration of
+// older schemas, and damaged, locked, missing and full files.
 #include <sqlite3.h>
 #include <sys/stat.h>
 
@@ -35,11 +36,11 @@
   return dead_letter;
 }
 
-void FiltersFindInSqlWhatMatchesFinds() {
+void SqlFiltersFindTheMessagesThatMatch() {
   assert(rc::check("filters", [](const std::vector<DeadLetter>& messages, const Condition& printed) {
     const TemporaryFolder folder;
     Database::Settings settings = SettingsIn(folder);
-    settings.rows_before_index = *rc::gen::inRange(0, 5);  // rows first, then the index
+    settings.rows_before_index = *rc::gen::inRange(0, 5);  // small, so that List uses both rows and index
     Database db(settings);
     const Time now(80'000'000);
     const Condition filter = ParseCondition(Print(printed), kClasses);
@@ -76,24 +77,24 @@
   dead_letter.first_uncertain_endpoint = "s-2";
   const Database::Entry entry{dead_letter, false, Time(0), 5};
   db.Store({entry});
-  db.Store({entry});  // twice is once
+  db.Store({entry});  // storing again changes nothing
   assert(db.Count(Condition(), Time(0)) == 1 && db.Show(dead_letter.id, true) == dead_letter);
   struct stat mode {};
   assert(::stat((folder.path + "/kept.db").c_str(), &mode) == 0 && (mode.st_mode & 0777) == 0600);
-  // The same number for another message: the clock was set back while the journal was empty.
+  // Another message gets the same number if the clock is set back while the journal is empty.
   DeadLetter other = FailedMessage(7);
   other.ended_at = Time(99);
   db.Store({{other, false, Time(0), {}}});
   assert(db.Count(Condition(), Time(0)) == 2 && db.HighestNumber("n0") == 8);
 }
 
-void OneRedriveIsInFlightAndItsResultCountsOnce() {
+void OneClaimAtATimeAndItsResultIsRecordedOnce() {
   const TemporaryFolder folder;
   Database db(SettingsIn(folder));
   db.Store({{FailedMessage(1), false, Time(0), 11}});
   std::optional<DeadLetter> claimed = db.Claim({"n0", 1}, "r");
   assert(claimed && claimed->request.body.size() == 10 && !db.Claim({"n0", 1}, "r"));
-  assert(db.MarkResubmitted(11, 2) == 0);  // too late: a redrive is in flight
+  assert(db.MarkResubmitted(11, 2) == 0);  // has no effect on a claimed message
   DeadLetter result = *claimed;
   result.attempts = 2;
   result.history.resize(2);
@@ -103,19 +104,19 @@
   assert(after.state == DeadLetterState::kStored && after.redrives == 1 && after.attempts == 2 &&
          after.final_status == FinalStatus::kFailed);
   assert(after.not_before == Time(500));
-  assert(db.MarkResubmitted(11, 1) == 0 && db.MarkResubmitted(11, 2) == 1);  // only by a later message
+  assert(db.MarkResubmitted(11, 1) == 0 && db.MarkResubmitted(11, 2) == 1);  // only a later message counts
   assert(!db.Claim({"n0", 1}, "r"));
-  // Claimed by a process that died before its journal knew.
+  // Message 3 was claimed by a process that ended before its journal recorded the redrive.
   db.Store({{FailedMessage(2), false, Time(0), {}}, {FailedMessage(3), false, Time(0), {}}});
   assert(db.Claim({"n0", 2}, "r") && db.Claim({"n0", 3}, "r"));
   assert(db.Reconcile({{"n0", 2}}, false, Time(9)) == 1);
   assert(db.Show({"n0", 2}, false)->state == DeadLetterState::kClaimed &&
          db.Show({"n0", 3}, false)->state == DeadLetterState::kStored);
   assert(db.Reconcile({}, true, Time(9)) == 1 &&
-         db.Show({"n0", 2}, false)->first_uncertain_attempt);  // the journal is gone
+         db.Show({"n0", 2}, false)->first_uncertain_attempt);  // may have run, because the journal was lost
 }
 
-void EvictionTakesTheLowestPriorityAndTheOldest() {
+void EvictionRemovesTheLowestPriorityWeightAndTheOldestFirst() {
   const TemporaryFolder folder;
   Database::Settings settings = SettingsIn(folder);
   settings.budget_bytes = 2'000'000;
@@ -142,7 +143,7 @@
   assert(by_age.for_age > 0 && by_age.for_space == 0);
 }
 
-void BlockedRulesAreSpreadByTheirRateAndReviewedOnce() {
+void MessagesOfBlockedRulesAreReviewedAtTheRateOfTheRule() {
   const TemporaryFolder folder;
   Database db(SettingsIn(folder));
   std::vector<Database::Entry> entries;
@@ -158,16 +159,18 @@
   const Timestamp now{Time(1'000'000), Time(1), 1};
   RulePacer pacer;
   assert(db.Due({slow, site, first, now, {}, 5}, pacer).list.size() == 5);
-  assert(db.Due({slow, site, first, now, {0}, 5}, pacer).list.empty());  // its destination can't take any
+  assert(db.Due({slow, site, first, now, {0}, 5}, pacer).list.empty());  // the destination is excluded
   const Time blocked_until = now.wall_time + std::chrono::seconds(1);
   pacer.BlockUntil("a", blocked_until);
   Database::Candidates due = db.Due({slow, site, first, now, {}, 5}, pacer);
   assert(due.list.empty() && due.next_review == blocked_until);
-  assert(pacer.TakeSlot("a", 10) == now.wall_time + std::chrono::seconds(5));  // 40 of them, 10 a second
+  assert(pacer.TakeSlot("a", 10) ==
+         now.wall_time + std::chrono::seconds(5));  // after 40 slots, 10 per second
   const Timestamp later{now.wall_time + std::chrono::milliseconds(1450), Time(2), 1};
   pacer.Clear();
   assert(db.Due({slow, site, first, later, {}, 50}, pacer).list.size() == 5);
-  // Another file: what the old one held is looked at anew; what an operator holds is not.
+  // With another rule file, messages that the old rules held are reviewed again, but messages that an
+  // operator holds are not.
   const RuleSet hold = ParseRules("rule h: when destination = 0 then hold;", {});
   assert(db.Generation(1) == first && db.Generation(2) == first + 1);
   assert(db.Due({hold, site, first + 1, later, {}, 50}, pacer).held == 40);
@@ -178,7 +181,7 @@
   assert(db.Due({slow, site, first + 2, later, {}, 50}, pacer).list.size() == 39);
 }
 
-void OlderSchemasAreMigratedAndNewerOnesRefused() {
+void OlderSchemasAreMigratedAndNewerOnesRejected() {
   const TemporaryFolder folder;
   const std::string path = folder.path + "/kept.db";
   sqlite3* raw = nullptr;
@@ -216,7 +219,7 @@
     });
   };
   for (std::uint64_t n = 1; n <= 50; ++n) assert(!store_message(n));
-  // Locked by another process.
+  // The file is locked by another connection.
   sqlite3* raw = nullptr;
   assert(sqlite3_open(path.c_str(), &raw) == SQLITE_OK);
   assert(sqlite3_exec(raw, "BEGIN EXCLUSIVE", nullptr, nullptr, nullptr) == SQLITE_OK);
@@ -225,15 +228,15 @@
   sqlite3_exec(raw, "ROLLBACK", nullptr, nullptr, nullptr);
   sqlite3_close(raw);
   assert(!store_message(51));
-  // Removed under a running node.
+  // The file is removed while it is in use.
   std::filesystem::remove(path);
   error = store_message(52);
   assert(error && error->file_replaced && !store_message(52));
-  // Cut to a part of its pages.
+  // The file is truncated in the middle of a page.
   ReopeningDatabase(SettingsIn(folder)).Run([&](Database& db) {
     for (std::uint64_t n = 1; n <= 50; ++n) db.Store({{FailedMessage(n, "aviso", 5000), false, Time(0), {}}});
   });
-  for (const char* part : {"-wal", "-shm"}) std::filesystem::remove(path + part);
+  for (const char* suffix : {"-wal", "-shm"}) std::filesystem::remove(path + suffix);
   std::filesystem::resize_file(path, std::filesystem::file_size(path) / 2 + 100);
   ReopeningDatabase cut(SettingsIn(folder));
   const auto use = [](Database& db) {
@@ -243,9 +246,9 @@
   error = cut.Run(use);
   assert(error && error->kind == StoreError::Kind::kDamaged && error->file_replaced);
   assert(!cut.Run(use));
-  // Nonsense in the place of its pages.
+  // The file contains something other than a database.
   ReopeningDatabase(SettingsIn(folder)).Run([](Database&) {});
-  for (const char* part : {"-wal", "-shm"}) std::filesystem::remove(path + part);
+  for (const char* suffix : {"-wal", "-shm"}) std::filesystem::remove(path + suffix);
   std::ofstream(path, std::ios::binary | std::ios::trunc) << std::string(20000, 'z');
   ReopeningDatabase second(SettingsIn(folder));
   error = second.Run([](Database&) {});
@@ -274,12 +277,12 @@
 
 int main() {
   using namespace sagetally::dead_letter;
-  FiltersFindInSqlWhatMatchesFinds();
+  SqlFiltersFindTheMessagesThatMatch();
   StoredMessagesAreReadUnchanged();
-  OneRedriveIsInFlightAndItsResultCountsOnce();
-  EvictionTakesTheLowestPriorityAndTheOldest();
-  BlockedRulesAreSpreadByTheirRateAndReviewedOnce();
-  OlderSchemasAreMigratedAndNewerOnesRefused();
+  OneClaimAtATimeAndItsResultIsRecordedOnce();
+  EvictionRemovesTheLowestPriorityWeightAndTheOldestFirst();
+  MessagesOfBlockedRulesAreReviewedAtTheRateOfTheRule();
+  OlderSchemasAreMigratedAndNewerOnesRejected();
   DamagedLockedAndMissingFilesAreReported();
   AFullStoreIsReported();
   std::puts("8 passed, 0 failed");
