--- a/src/dead_letter/redrive_policy.h
+++ b/src/dead_letter/redrive_policy.h
@@ -12,6 +12,7 @@
 
 namespace sagetally::dead_letter {
 
+// Whether a dead letter may be redriven now, possibly later, or no longer.
 enum class RedriveDecision : std::uint8_t { kAllowed, kRetryLater, kForbidden };
 
 // Why the policy does not allow a redrive.
@@ -32,6 +33,7 @@
 // Returns the word for a reason in the store and in operators' output.
 std::string_view Name(DecisionReason reason);
 
+// A decision of the policy with its reason.
 struct RedriveDecisionResult {
   RedriveDecision decision = RedriveDecision::kAllowed;
   DecisionReason reason = DecisionReason::kNone;
@@ -56,7 +58,8 @@
   bool redrive_deferred = false;
 };
 
-// `class_settings` are those of the message's class, or null if that class is not configured.
+// Decides whether a dead letter may be redriven at `now`. `class_settings` are those of the message's class,
+// or null if that class is not configured.
 RedriveDecisionResult DecideRedrive(const DeadLetter& dead_letter, const ClassSettings* class_settings,
                                     const RedrivePolicySettings& policy, const Timestamp& now);
 
--- a/src/dead_letter/redrive_rules.h
+++ b/src/dead_letter/redrive_rules.h
@@ -38,6 +38,7 @@
   kKey,
   kAttribute
 };
+// The operators of comparisons. kPresent is a field name without an operator.
 enum class Operator : std::uint8_t {
   kPresent,
   kEqual,
@@ -48,6 +49,7 @@
   kGreaterOrEqual,
   kIn
 };
+// The types of values. Words are not quoted, strings are.
 enum class LiteralType : std::uint8_t { kWord, kString, kNumber, kDuration, kSize, kBool };
 
 // A value as written in a rule.
--- a/src/dead_letter/rule_fields.h
+++ b/src/dead_letter/rule_fields.h
@@ -11,6 +11,7 @@
 
 namespace sagetally::dead_letter {
 
+// The description of a field.
 struct FieldInfo {
   std::string_view name;  // in the rule language
   Field field;
@@ -19,6 +20,7 @@
   std::string_view column;    // of the table `kept` in the store
 };
 
+// Returns the description of a field.
 const FieldInfo& InfoOf(Field field);
 
 // Sets `field` in every comparison of `condition`, which was read from `text`, and checks operators and
--- a/src/dead_letter/rule_files.h
+++ b/src/dead_letter/rule_files.h
@@ -18,9 +18,11 @@
 
 // Returns the store's folder: the configured one, or `kept` in the state folder.
 std::string DatabaseFolder(const DeadLetterSettings& settings, const std::string& state_folder);
+// Returns the database file in the store's folder, and the control socket in the state folder.
 std::string DatabasePath(const std::string& folder);
 std::string SocketPath(const std::string& state_folder);
 
+// Derive the settings of the store, the review and the manager from the configuration.
 Database::Settings DatabaseSettings(const DeadLetterSettings& settings, const std::string& folder);
 ReviewSettings MakeReviewSettings(const SiteSettings& site, const DeadLetterSettings& settings);
 DeadLetterManager::Settings MakeManagerSettings(const Config& config, const DeadLetterSettings& settings);
--- a/src/dead_letter/rule_parser.cpp
+++ b/src/dead_letter/rule_parser.cpp
@@ -122,7 +122,7 @@
 const auto word_def = x3::lexeme[!reserved >> letter >> *word_rest];
 const auto text_def = x3::lexeme[('"' >> *(('\\' >> x3::char_("\\\"")) | ~x3::char_("\"\\\n"))) > '"'];
 
-// Fails the parse if the number exceeds the limit.
+// Sets the number. Fails the parse if it exceeds the limit.
 struct SetNumber {
   std::int64_t limit;
   template <typename Context>
--- a/src/dead_letter/storage/database.h
+++ b/src/dead_letter/storage/database.h
@@ -20,6 +20,7 @@
 
 namespace sagetally::dead_letter {
 
+// The number of messages of a group.
 struct NamedCount {
   std::string name;
   std::int64_t count = 0;
@@ -126,10 +127,12 @@
   // Returns the messages that match, without bodies, in the order of storing, starting after the message
   // `after`.
   Page List(const Condition& filter, Time now, const std::optional<DeadLetterId>& after, int limit);
+  // Returns a message, or nothing if there is none with that id.
   std::optional<DeadLetter> Show(const DeadLetterId& id, bool with_body);
   // Calls `visit` for all messages that match, in the order of storing, until `visit` returns false.
   void ForEach(const Condition& filter, Time now, bool with_body,
                const std::function<bool(const DeadLetter&)>& visit);
+  // Counts the messages that match.
   std::int64_t Count(const Condition& filter, Time now);
   // Counts the messages by the value of `column`, which is reason, class, destination, state or end. The
   // result is ordered by name.
--- a/src/dead_letter/storage/job_runner.h
+++ b/src/dead_letter/storage/job_runner.h
@@ -21,6 +21,7 @@
   bool file_replaced = false;  // the file was damaged or missing and is replaced by a new one
 };
 
+// Runs jobs on the dead-letter store in the order of their submission.
 class JobRunner {
  public:
   virtual ~JobRunner() = default;
@@ -31,6 +32,7 @@
   virtual bool Run(Job job, Done done) = 0;
 };
 
+// The result of a job until it is passed to the event loop.
 struct JobResult {
   JobRunner::Done done;
   std::optional<JobError> error;
--- a/src/dead_letter/storage/store_error.h
+++ b/src/dead_letter/storage/store_error.h
@@ -7,6 +7,7 @@
 
 namespace sagetally::dead_letter {
 
+// Thrown when an operation on the store fails.
 struct StoreError : std::runtime_error {
   enum class Kind {
     kBusy,         // another process holds the lock; a later attempt may succeed
--- a/src/dead_letter/storage/worker.h
+++ b/src/dead_letter/storage/worker.h
@@ -10,8 +10,10 @@
 
 namespace sagetally::dead_letter {
 
+// The JobRunner of a running node.
 class Worker : public JobRunner {
  public:
+  // Run returns false while this many jobs wait.
   static constexpr std::size_t kMaxQueuedJobs = 64;
 
   // Calls `wake` on the worker's thread whenever there are new results for Deliver.
--- a/tests/dead_letter/golden_test.cpp
+++ b/tests/dead_letter/golden_test.cpp
@@ -169,7 +169,8 @@
 
 // ---- The same operations write the same rows.
 
-Message EndedMessage(std::uint64_t number, FailureReason reason, FinalStatus status = FinalStatus::kFailed) {
+Message CompletedMessage(std::uint64_t number, FailureReason reason,
+                         FinalStatus status = FinalStatus::kFailed) {
   const std::string binary_text("\x00\x01\xff\"\n body with \xc3\xa9", 18);
   Message message;
   message.number = number;
@@ -214,14 +215,15 @@
   return entry;
 }
 
-constexpr std::uint64_t kFirstOperated = 110;
-DeadLetterId OperatedId(std::uint64_t offset) { return {"n0", kFirstOperated + offset}; }
+// The number of the first of the 11 messages that RunOperations changes.
+constexpr std::uint64_t kFirstTargetNumber = 110;
+DeadLetterId TargetId(std::uint64_t offset) { return {"n0", kFirstTargetNumber + offset}; }
 
 // Returns a message that failed for `reason`, with the attempts that lead to it.
 Message MessageFailedFor(FailureReason reason) {
   const bool shed = reason == FailureReason::kShed;
-  Message message = EndedMessage(100 + static_cast<std::uint64_t>(reason), reason,
-                                 shed ? FinalStatus::kRejected : FinalStatus::kFailed);
+  Message message = CompletedMessage(100 + static_cast<std::uint64_t>(reason), reason,
+                                     shed ? FinalStatus::kRejected : FinalStatus::kFailed);
   switch (reason) {
     case FailureReason::kAttemptsExhausted:
       for (int outcome = 1; outcome < 8; ++outcome) AddAttempt(message, static_cast<Outcome>(outcome));
@@ -249,7 +251,7 @@
         EntryOf(MessageFailedFor(static_cast<FailureReason>(reason)), reason % 4 == 0 ? "n1" : "n0"));
   }
   for (std::uint64_t offset = 0; offset < 11; ++offset) {
-    Message message = EndedMessage(kFirstOperated + offset, FailureReason::kExpiredAfterAttempts);
+    Message message = CompletedMessage(kFirstTargetNumber + offset, FailureReason::kExpiredAfterAttempts);
     AddAttempt(message, Outcome::kRejected, milliseconds(250));
     entries.push_back(EntryOf(message, "n0"));
   }
@@ -274,7 +276,7 @@
   database.Store({entry});
 }
 
-void Operate(Database& database) {
+void RunOperations(Database& database) {
   const Timestamp now{kStart + seconds(280), seconds(1280), kBootId};
   ReviewSettings review;
   review.class_names = kClasses;
@@ -287,14 +289,15 @@
       kClasses);
   RulePacer pacer;
   database.Due({rules, review, database.Generation(kRulesHash), now, {}, 100}, pacer);
-  Redrive(database, OperatedId(0), FinalStatus::kDelivered, Outcome::kOk, Time(0));
-  Redrive(database, OperatedId(1), FinalStatus::kFailed, Outcome::kReset, kStart + seconds(400));
-  Redrive(database, OperatedId(1), FinalStatus::kFailed, Outcome::kError, kStart + seconds(500));
-  database.Claim(OperatedId(2), "again");
-  database.Claim(OperatedId(3), "again");
-  database.Unclaim(OperatedId(3), kStart + seconds(600));
+  Redrive(database, TargetId(0), FinalStatus::kDelivered, Outcome::kOk, Time(0));
+  Redrive(database, TargetId(1), FinalStatus::kFailed, Outcome::kReset, kStart + seconds(400));
+  Redrive(database, TargetId(1), FinalStatus::kFailed, Outcome::kError, kStart + seconds(500));
+  database.Claim(TargetId(2), "again");
+  database.Claim(TargetId(3), "again");
+  database.Unclaim(TargetId(3), kStart + seconds(600));
   ASSERT_EQ(
-      database.MarkResubmitted(IdentityOf(EndedMessage(114, FailureReason::kNone).request).value(), 2000), 1);
+      database.MarkResubmitted(IdentityOf(CompletedMessage(114, FailureReason::kNone).request).value(), 2000),
+      1);
   const auto act = [&](RuleAction::Kind action, const std::string& id) {
     const Condition filter = ParseCondition("id = \"" + id + "\"", kClasses);
     ASSERT_EQ(
@@ -304,9 +307,9 @@
   act(RuleAction::Kind::kHold, "dead-115");
   act(RuleAction::Kind::kDrop, "dead-116");
   act(RuleAction::Kind::kRedrive, "dead-117");
-  database.Claim(OperatedId(8), "again");
+  database.Claim(TargetId(8), "again");
   // The journal was lost while message 118 was claimed, so it may have run.
-  database.Reconcile({OperatedId(2)}, true, kStart + seconds(310));
+  database.Reconcile({TargetId(2)}, true, kStart + seconds(310));
 }
 
 // Returns each row of a query as text, with the type of each value.
@@ -339,7 +342,7 @@
   {
     Database database(SettingsFor(RewrittenPath(), false));
     StoreMessages(database);
-    Operate(database);
+    RunOperations(database);
   }
   for (const char* query : {"SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY name",
                             "SELECT * FROM kept ORDER BY seq", "SELECT * FROM rules", "PRAGMA user_version",
--- a/tests/dead_letter/redrive_test.cpp
+++ b/tests/dead_letter/redrive_test.cpp
@@ -110,7 +110,8 @@
   return settings;
 }
 
-DeadLetter Failed(const char* name, int attempts, bool may_have_run, Timestamp first = {100s, 50s, 9}) {
+DeadLetter FailedDeadLetter(const char* name, int attempts, bool may_have_run,
+                            Timestamp first = {100s, 50s, 9}) {
   DeadLetter dead_letter;
   dead_letter.class_name = name;
   dead_letter.request.idempotency_key = "key";
@@ -129,31 +130,34 @@
     return DecideRedrive(dead_letter, settings.FindClass(dead_letter.class_name), policy, now).reason;
   };
   const Timestamp soon{102s, 52s, 9};
-  assert(reason(Failed("pagamento", 1, true), soon) == DecisionReason::kMayHaveTakenEffect);
-  assert(reason(Failed("pagamento", 1, false), soon) == DecisionReason::kNone);
-  assert(reason(Failed("aviso", 5, true), soon) == DecisionReason::kNone);
-  assert(reason(Failed("aviso", 6, true), soon) == DecisionReason::kAttemptsExhausted);
-  assert(reason(Failed("pedido", 1, true), soon) == DecisionReason::kNone);
-  assert(reason(Failed("gone", 0, false), soon) == DecisionReason::kClassUnknown);
+  assert(reason(FailedDeadLetter("pagamento", 1, true), soon) == DecisionReason::kMayHaveTakenEffect);
+  assert(reason(FailedDeadLetter("pagamento", 1, false), soon) == DecisionReason::kNone);
+  assert(reason(FailedDeadLetter("aviso", 5, true), soon) == DecisionReason::kNone);
+  assert(reason(FailedDeadLetter("aviso", 6, true), soon) == DecisionReason::kAttemptsExhausted);
+  assert(reason(FailedDeadLetter("pedido", 1, true), soon) == DecisionReason::kNone);
+  assert(reason(FailedDeadLetter("gone", 0, false), soon) == DecisionReason::kClassUnknown);
   const RedriveDecisionResult within =
-      DecideRedrive(Failed("pedido", 1, true), &settings.classes[1], settings.policy, soon);
+      DecideRedrive(FailedDeadLetter("pedido", 1, true), &settings.classes[1], settings.policy, soon);
   assert(within.latest_send_time == Time(110s) - kWindowMargin);
-  assert(reason(Failed("pedido", 1, true), {110s, 60s, 9}) == DecisionReason::kDeduplicationWindowExpired);
-  assert(reason(Failed("pedido", 1, true), {109800ms, 59800ms, 9}) ==
+  assert(reason(FailedDeadLetter("pedido", 1, true), {110s, 60s, 9}) ==
+         DecisionReason::kDeduplicationWindowExpired);
+  assert(reason(FailedDeadLetter("pedido", 1, true), {109800ms, 59800ms, 9}) ==
          DecisionReason::kDeduplicationWindowExpired);
   // The wall clock was set back by 8 s or forward by 9 s. The larger of the two elapsed times counts, by the
   // steady clock and by the wall clock.
-  assert(reason(Failed("pedido", 1, true), {103s, 61s, 9}) == DecisionReason::kDeduplicationWindowExpired);
-  assert(reason(Failed("pedido", 1, true), {111s, 52s, 9}) == DecisionReason::kDeduplicationWindowExpired);
-  assert(reason(Failed("pedido", 1, true), {102s, 2s, 8}) ==
+  assert(reason(FailedDeadLetter("pedido", 1, true), {103s, 61s, 9}) ==
+         DecisionReason::kDeduplicationWindowExpired);
+  assert(reason(FailedDeadLetter("pedido", 1, true), {111s, 52s, 9}) ==
+         DecisionReason::kDeduplicationWindowExpired);
+  assert(reason(FailedDeadLetter("pedido", 1, true), {102s, 2s, 8}) ==
          DecisionReason::kClockUncertain);  // the machine was restarted
-  assert(reason(Failed("pedido", 1, true), {102s, 49s, 9}) == DecisionReason::kClockUncertain);
-  assert(reason(Failed("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) ==
+  assert(reason(FailedDeadLetter("pedido", 1, true), {102s, 49s, 9}) == DecisionReason::kClockUncertain);
+  assert(reason(FailedDeadLetter("pedido", 1, true, {100s, 50s, 0}), {102s, 52s, 0}) ==
          DecisionReason::kClockUncertain);
-  DeadLetter dead_letter = Failed("pedido", 1, true);
+  DeadLetter dead_letter = FailedDeadLetter("pedido", 1, true);
   dead_letter.request.idempotency_key.clear();
   assert(reason(dead_letter, soon) == DecisionReason::kNoKey);
-  dead_letter = Failed("pedido", 0, false);
+  dead_letter = FailedDeadLetter("pedido", 0, false);
   dead_letter.final_status = FinalStatus::kRejected;
   assert(reason(dead_letter, soon) == DecisionReason::kNone &&
          reason(dead_letter, soon, false) == DecisionReason::kClientMayRetry);
@@ -178,7 +182,7 @@
     Timestamp now{first.wall_time + elapsed + step, first.steady_time + elapsed, 9};
     if (rebooted) now = {now.wall_time, Time(*rc::gen::inRange<std::int64_t>(0, 900'000'000)), 10};
     const RedriveDecisionResult result =
-        DecideRedrive(Failed("pedido", 1, true, first), &settings.classes[1], settings.policy, now);
+        DecideRedrive(FailedDeadLetter("pedido", 1, true, first), &settings.classes[1], settings.policy, now);
     if (rebooted) RC_ASSERT(result.decision == RedriveDecision::kForbidden);
     if (result.decision != RedriveDecision::kAllowed) return;
     const Duration call = *result.latest_send_time - now.wall_time;
