--- a/src/admin/admin_request.cpp
+++ b/src/admin/admin_request.cpp
@@ -8,7 +8,7 @@
   AdminCommand command;
 };
 
-// The words on the wire.
+// The request lines of the protocol, without their line ends.
 constexpr CommandWord kCommandWords[] = {{"STATUS", AdminCommand::kStatus},
                                          {"METRICS", AdminCommand::kMetrics},
                                          {"PAUSE", AdminCommand::kPause},
@@ -29,8 +29,8 @@
   if (line_end + 1 < bytes.size()) return Malformed("one line for each connection");
   std::string_view line = bytes.substr(0, line_end);
   if (line.ends_with('\r')) line.remove_suffix(1);
-  for (const CommandWord& known : kCommandWords) {
-    if (line == known.word) return {AdminRequest::State::kComplete, known.command, ""};
+  for (const CommandWord& entry : kCommandWords) {
+    if (line == entry.word) return {AdminRequest::State::kComplete, entry.command, ""};
   }
   return Malformed("expected STATUS, METRICS, PAUSE or RESUME");
 }
--- a/src/admin/admin_request.h
+++ b/src/admin/admin_request.h
@@ -1,5 +1,5 @@
-// The operators' line protocol on the admin server: parsing of a request line and dispatch to the process's
-// handlers. Called by net's AdminServer on the event loop's thread. No I/O.
+// The line protocol of the admin server: parses a request line and dispatches it to the handlers of the
+// process. AdminServer in src/net calls it on the event loop's thread. It does no I/O.
 #ifndef SAGETALLY_SRC_ADMIN_ADMIN_REQUEST_H_
 #define SAGETALLY_SRC_ADMIN_ADMIN_REQUEST_H_
 
@@ -10,26 +10,27 @@
 
 namespace sagetally {
 
-// The requests of the protocol; kNone stands for a line that is incomplete or malformed.
+// The requests of the protocol. kNone stands for a line that is incomplete or malformed.
 enum class AdminCommand { kNone, kStatus, kMetrics, kPause, kResume };
 
-// Longest request line in bytes, its line end included.
+// Maximum length of a request line in bytes, including its line end.
 constexpr std::size_t kMaxAdminLineBytes = 64;
 
-// What the bytes received on one connection amount to.
+// Result of parsing the bytes received on one connection.
 struct AdminRequest {
   enum class State { kIncomplete, kComplete, kMalformed };
 
   State state = State::kIncomplete;
-  AdminCommand command = AdminCommand::kNone;  // set if kComplete
-  std::string error = {};                      // what is wrong; set if kMalformed
+  AdminCommand command = AdminCommand::kNone;  // set if the state is kComplete
+  std::string error = {};                      // description of the error; set if the state is kMalformed
 };
 
-// Parses all bytes received on a connection so far: one word in capitals, ended by LF or CRLF, and nothing
-// else.
+// Parses all bytes received on a connection so far. A valid request is one word in capital letters, ended by
+// LF or CRLF, with nothing before or after it.
 AdminRequest ParseAdminRequest(std::string_view bytes);
 
-// What a process answers with. Each handler returns its whole response, the last LF included.
+// The handlers that a process registers, one for each command. Each returns the whole response, including the
+// final LF.
 struct AdminHandlers {
   std::function<std::string()> status;
   std::function<std::string()> metrics;
@@ -37,7 +38,8 @@
   std::function<std::string()> resume;
 };
 
-// Returns the response to a request that is not incomplete. A malformed one calls no handler.
+// Returns the response to a complete or malformed request. A malformed request gets an error line, and no
+// handler is called.
 std::string HandleAdminRequest(const AdminRequest& request, const AdminHandlers& handlers);
 
 }  // namespace sagetally
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -47,7 +47,8 @@
       ++counts->rejected;
       break;
     case FinalStatus::kExpired:
-      // Without an attempt its client withdrew it; with one, the endpoint reported it as expired.
+      // If no attempt was made, the client withdrew the message. Otherwise the endpoint reported it as
+      // expired.
       ++(message.attempts == 0 ? counts->rejected : counts->failed);
       break;
     case FinalStatus::kFailed:
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -1,5 +1,6 @@
-// The counters that operators read through the admin server. Owns them for the process, which starts at 0;
-// the message pipeline feeds it through the port MetricsRecorder, on the event loop's thread. No I/O.
+// The metrics that operators read through the admin server. Metrics owns the counters of this process, which
+// start at 0 with each process. The message pipeline updates them through the interface MetricsRecorder, on
+// the event loop's thread. No I/O.
 #ifndef SAGETALLY_SRC_ADMIN_METRICS_H_
 #define SAGETALLY_SRC_ADMIN_METRICS_H_
 
@@ -12,31 +13,32 @@
 
 namespace sagetally {
 
-// Values that are not counted but sampled when the metrics are read.
+// Gauges. The caller samples their values when the metrics are read.
 struct GaugeValues {
-  std::size_t in_progress = 0;        // messages accepted and not completed, those of an earlier process too
-  std::size_t known_endpoints = 0;    // endpoints in the list, draining ones too
-  std::size_t avoided_endpoints = 0;  // of these: draining or ejected
+  std::size_t in_progress = 0;        // accepted and not completed messages, including an earlier process's
+  std::size_t known_endpoints = 0;    // endpoints in the endpoint list, including draining ones
+  std::size_t avoided_endpoints = 0;  // known endpoints that are draining or ejected
 };
 
-// Counts completions by message class, and attempts.
+// Counts completed messages by class, and the attempts of all classes together.
 class Metrics : public MetricsRecorder {
  public:
-  // `classes` are the names of the message classes, by number.
+  // `classes` holds the names of the message classes; the index of a name is the number of its class.
   explicit Metrics(std::vector<std::string> classes)
       : classes_(std::move(classes)), counts_(classes_.size()) {}
 
-  // Counts a message that this process or an earlier one accepted and that has completed here, by its final
-  // status: delivered; rejected (deferred, or withdrawn by its client before it was sent); otherwise failed,
-  // also when its endpoint reported it as expired. A message of a class that is not configured counts
-  // nowhere.
+  // Counts a message that has completed in this process, whether this process or an earlier one accepted it.
+  // A delivered message counts as delivered. A message that was deferred, or that its client withdrew before
+  // it was sent, counts as rejected. Every other message counts as failed, including one that its endpoint
+  // reported as expired. A message whose class is not configured is not counted.
   void RecordCompletion(const Message& message) override;
-  // Counts a message that was rejected without having been accepted. `message_class` may be out of range.
+  // Counts a message that was rejected on arrival, without having been accepted. A `message_class` that is
+  // out of range is ignored.
   void RecordRejection(int message_class) override;
-  // Counts a call whose last byte was written to an endpoint.
+  // Counts an attempt: a call whose last byte has been written to an endpoint.
   void RecordCallWritten() override { ++attempts_; }
 
-  // Returns counters and gauges in statsd's line form: "balancer.passed.aviso:812|c",
+  // Returns the counters and gauges in the statsd line format, for example "balancer.passed.aviso:812|c" and
   // "balancer.in_progress:14|g".
   std::string FormatStatsd(const GaugeValues& gauges) const;
 
@@ -47,11 +49,11 @@
     std::uint64_t failed = 0;
   };
 
-  // The counts of a class, or null if it is not configured.
+  // Returns the counts of a class, or null if the class is not configured.
   ClassCounts* FindCounts(int message_class);
 
   const std::vector<std::string> classes_;
-  std::vector<ClassCounts> counts_;  // by class
+  std::vector<ClassCounts> counts_;  // indexed by class
   std::uint64_t attempts_ = 0;
 };
 
--- a/src/admin/readiness.h
+++ b/src/admin/readiness.h
@@ -1,5 +1,6 @@
-// Whether this process serves: one state machine behind /healthz, the admin server, SIGTERM and the process
-// handover. Called on the event loop's thread; times come from the caller. No I/O.
+// The state machine that decides whether this process accepts messages. It is shared by /healthz, the admin
+// server, the SIGTERM handler and the process handover. It runs on the event loop's thread, receives the time
+// from its callers and does no I/O.
 #ifndef SAGETALLY_SRC_ADMIN_READINESS_H_
 #define SAGETALLY_SRC_ADMIN_READINESS_H_
 
@@ -11,52 +12,57 @@
 
 namespace sagetally {
 
-// The phases of a process's life, from start to shutdown.
+// Tracks the phase of the process, from start to shutdown.
 class Readiness {
  public:
-  // In order: a process goes forward through them, except that a drain can be resumed. kHandedOver: another
-  // process has taken over the pending messages, and this one only completes the calls it has in flight.
+  // A process moves forward through the phases in this order and may skip some. The only step back is from
+  // kDraining to kServing, when a drain is ended by Resume(). In kHandedOver another process has taken over
+  // the pending messages, and this process only completes its calls in flight.
   enum class Phase { kStarting, kServing, kDraining, kHandedOver, kStopping };
 
-  // Delay from a pause to the closing of clients' idle connections. The load balancer in front polls /healthz
-  // ten times a second and sends new connections for 0.2 s more; a client closed upon earlier would come back
-  // here.
+  // Delay between a pause and the closing of clients' idle connections. The load balancer in front of this
+  // process polls /healthz ten times a second and routes new connections here for 0.2 s more. A client whose
+  // connection was closed earlier would reconnect to this process.
   static constexpr Duration kIdleCloseDelay = std::chrono::milliseconds(400);
-  // Time from a pause or a shutdown during which requests on open connections are still accepted.
+  // Time after a pause or the start of a shutdown during which requests on open connections are still
+  // accepted.
   static constexpr Duration kAcceptDuration = std::chrono::milliseconds(2000);
 
   Phase phase() const { return phase_; }
-  // Whether /healthz reports this process as healthy.
+  // Returns whether /healthz reports this process as healthy.
   bool IsReady() const { return phase_ == Phase::kServing && (!can_record || can_record()); }
-  // Whether each response is the last one on its connection.
+  // Returns whether the process closes each client connection after the next response on it.
   bool IsClosingConnections() const { return phase_ > Phase::kServing; }
-  // Whether a message that arrives at `now` may be accepted; other limits apply beside this one.
+  // Returns whether a message that arrives at `now` may be accepted. Other limits apply in addition to this
+  // one.
   bool IsAccepting(Time now) const;
 
-  // Ends kStarting, and has no effect in a later phase. A pause that came before takes effect now.
+  // Leaves kStarting for kServing, or for kDraining if Pause() was called before. Has no effect in a later
+  // phase.
   void OnStarted();
-  // Starts a drain; a second call has no effect. Returns false if the process has been handed over or is
-  // stopping.
+  // Starts a drain. Has no effect if a drain has already started. During kStarting the drain begins with
+  // OnStarted(). Returns false if the process has been handed over or is stopping.
   bool Pause(Time now);
-  // Ends a drain; a second call has no effect. Returns false if the process has been handed over or is
-  // stopping.
+  // Ends a drain. Has no effect if the process is not draining. Returns false if the process has been handed
+  // over or is stopping.
   bool Resume();
-  // Another process has taken over.
+  // Records that another process has taken over the pending messages. Has no effect during a shutdown.
   void HandOver();
-  // Starts the shutdown; a second call has no effect.
+  // Starts the shutdown. A second call has no effect.
   void Stop(Time now);
 
-  // The status in the words of the admin server. A drain is "drained" once there are neither pending messages
-  // nor connections of clients.
+  // Returns the status text that the admin server sends. A draining process reports "drained" as soon as it
+  // has neither pending messages nor client connections.
   std::string StatusWord(std::size_t pending_messages, std::size_t connections) const;
 
-  // Whether accepted messages can be written to the journal; if not set, they can.
+  // Returns whether accepted messages can be written to the journal. If it is not set, they can always be
+  // written.
   std::function<bool()> can_record;
 
  private:
   Phase phase_ = Phase::kStarting;
-  bool paused_ = false;   // while starting: whether to drain at once
-  Time accept_until_{0};  // while draining or stopping
+  bool paused_ = false;   // in kStarting: whether OnStarted() begins a drain
+  Time accept_until_{0};  // while draining or stopping, the end of the time in which requests are accepted
 };
 
 }  // namespace sagetally
--- a/src/cli/admin_commands.cpp
+++ b/src/cli/admin_commands.cpp
@@ -15,16 +15,16 @@
 namespace sagetally {
 namespace {
 
-constexpr timeval kAnswerTimeout{3, 0};
-constexpr std::size_t kReadSize = 4096;
+constexpr timeval kSocketTimeout{3, 0};  // seconds and microseconds, for each send and receive
+constexpr std::size_t kReadBytes = 4096;
 
-// No answer came, or not the whole of one.
-struct AdminUnreachable : std::runtime_error {
-  AdminUnreachable(const std::string& address, const std::string& reason)
+// Thrown if the request can't be sent or no complete response arrives.
+struct AdminRequestFailed : std::runtime_error {
+  AdminRequestFailed(const std::string& address, const std::string& reason)
       : std::runtime_error("--admin " + address + ": " + reason) {}
 };
 
-// As admin/admin_request.h reads it.
+// Returns the request line that ParseAdminRequest expects for the command, without its line end.
 const char* RequestWord(AdminCommand command) {
   switch (command) {
     case AdminCommand::kStatus:
@@ -53,16 +53,16 @@
   return ::send(socket.get(), line.data(), line.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(line.size());
 }
 
-std::string ReadToEnd(const FileDescriptor& socket) {
+std::string ReadUntilClosed(const FileDescriptor& socket) {
   std::string text;
-  char chunk[kReadSize];
+  char chunk[kReadBytes];
   ssize_t size = 0;
   while ((size = ::recv(socket.get(), chunk, sizeof chunk, 0)) > 0) text.append(chunk, size);
   return text;
 }
 
-bool IsComplete(AdminCommand command, const std::string& answer) {
-  return answer.ends_with(command == AdminCommand::kMetrics ? "end\n" : "\n");
+bool IsComplete(AdminCommand command, const std::string& response) {
+  return response.ends_with(command == AdminCommand::kMetrics ? "end\n" : "\n");
 }
 
 }  // namespace
@@ -70,15 +70,15 @@
 int RunAdminCommand(AdminCommand command, const std::string& admin, std::ostream& out, std::ostream& errors) {
   const Address address = ParseAddress(admin, "--admin");
   const FileDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  ::setsockopt(socket.get(), SOL_SOCKET, SO_RCVTIMEO, &kAnswerTimeout, sizeof kAnswerTimeout);
-  ::setsockopt(socket.get(), SOL_SOCKET, SO_SNDTIMEO, &kAnswerTimeout, sizeof kAnswerTimeout);
+  ::setsockopt(socket.get(), SOL_SOCKET, SO_RCVTIMEO, &kSocketTimeout, sizeof kSocketTimeout);
+  ::setsockopt(socket.get(), SOL_SOCKET, SO_SNDTIMEO, &kSocketTimeout, sizeof kSocketTimeout);
   if (!Connect(socket, address) || !SendLine(socket, std::string(RequestWord(command)) + "\n")) {
-    throw AdminUnreachable(admin, std::strerror(errno));
+    throw AdminRequestFailed(admin, std::strerror(errno));
   }
-  const std::string answer = ReadToEnd(socket);
-  if (!IsComplete(command, answer)) throw AdminUnreachable(admin, "no whole answer");
-  const bool is_error = answer.starts_with("error");
-  (is_error ? errors : out) << answer;
+  const std::string response = ReadUntilClosed(socket);
+  if (!IsComplete(command, response)) throw AdminRequestFailed(admin, "the response is incomplete");
+  const bool is_error = response.starts_with("error");
+  (is_error ? errors : out) << response;
   return is_error ? 1 : 0;
 }
 
--- a/src/cli/admin_commands.h
+++ b/src/cli/admin_commands.h
@@ -1,4 +1,5 @@
-// `sagetally status|metrics|pause|resume`: one request to the operators' interface of a running process.
+// `sagetally status|metrics|pause|resume`: sends one request to the admin server of a running process. Called
+// by the program's main function.
 #ifndef SAGETALLY_SRC_CLI_ADMIN_COMMANDS_H_
 #define SAGETALLY_SRC_CLI_ADMIN_COMMANDS_H_
 
@@ -9,9 +10,9 @@
 
 namespace sagetally {
 
-// Sends `command` to the process at `admin` (HOST:PORT) and prints its answer, an error to `errors`. Returns
-// the exit code, 1 if the answer is an error. Throws std::runtime_error naming the address if no answer comes
-// within 3 s.
+// Sends `command` to the process at `admin` (HOST:PORT). Prints its response to `out`, or to `errors` if it
+// is an error. Returns the exit code, which is 1 for an error response. Throws std::runtime_error naming the
+// address if no complete response arrives or the process sends nothing for 3 s.
 int RunAdminCommand(AdminCommand command, const std::string& admin, std::ostream& out, std::ostream& errors);
 
 }  // namespace sagetally
--- a/src/cli/dead_letter_commands.cpp
+++ b/src/cli/dead_letter_commands.cpp
@@ -20,20 +20,22 @@
 
 using Json = nlohmann::json;
 
-constexpr mode_t kExportFileMode = 0600;  // bodies may be private
+constexpr mode_t kExportFileMode = 0600;  // only for the owner, as bodies may be confidential
 
-// The fields of the answers are those of the protocol, docs/kept.md.
-std::string TextOf(const Json& object, const char* key) {
+// The field names below are those of the control protocol, which docs/kept.md describes.
+std::string GetText(const Json& object, const char* key) {
   const Json& value = object.at(key);
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-std::int64_t NumberOf(const Json& object, const char* key) { return object.at(key).get<std::int64_t>(); }
+std::int64_t GetNumber(const Json& object, const char* key) { return object.at(key).get<std::int64_t>(); }
 
-std::string YesOrNo(const Json& object, const char* key) { return object.at(key).get<bool>() ? "yes" : "no"; }
+std::string FormatYesOrNo(const Json& object, const char* key) {
+  return object.at(key).get<bool>() ? "yes" : "no";
+}
 
-// The id by which the next page is asked for; empty: this was the last one.
-std::string NextPage(const Json& page) {
+// Returns the id after which the next page begins, or an empty string if this is the last page.
+std::string GetNextPageId(const Json& page) {
   return page.at("next").is_string() ? page.at("next").get<std::string>() : "";
 }
 
@@ -41,16 +43,16 @@
   Table table(
       {"KEPT", "ENDED", "CLASS", "DEST", "STATE", "REASON", "TRIES", "RESENT", "MAY HAVE RUN", "SIZE"});
   for (const Json& message : messages) {
-    table.Add({TextOf(message, "kept"), FormatTime(NumberOf(message, "ended_us")), TextOf(message, "class"),
-               TextOf(message, "destination"), TextOf(message, "state"), TextOf(message, "reason"),
-               TextOf(message, "attempts"), TextOf(message, "resends"), YesOrNo(message, "may_have_run"),
-               FormatSize(NumberOf(message, "body_size"))});
+    table.Add({GetText(message, "kept"), FormatTime(GetNumber(message, "ended_us")),
+               GetText(message, "class"), GetText(message, "destination"), GetText(message, "state"),
+               GetText(message, "reason"), GetText(message, "attempts"), GetText(message, "resends"),
+               FormatYesOrNo(message, "may_have_run"), FormatSize(GetNumber(message, "body_size"))});
   }
   table.Print(out);
 }
 
-void List(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out) {
-  const Json page = source.Ask(
+void ListDeadLetters(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out) {
+  const Json page = source.SendRequest(
       {{"op", "list"}, {"filter", command.filter}, {"limit", command.limit}, {"after", command.after}});
   if (command.as_json) {
     for (const Json& message : page.at("messages")) out << message.dump() << "\n";
@@ -64,32 +66,32 @@
   Table table({"FIELD", "VALUE"});
   for (const char* key : {"kept", "id", "key", "class", "destination", "form", "state", "end", "reason",
                           "attempts", "resends", "may_have_run", "rule", "ground"}) {
-    table.Add({key, TextOf(message, key)});
+    table.Add({key, GetText(message, key)});
   }
-  table.Add({"taken", FormatTime(NumberOf(message, "taken_us"))});
-  table.Add({"deadline", FormatTime(NumberOf(message, "deadline_us"))});
-  table.Add({"ended", FormatTime(NumberOf(message, "ended_us"))});
-  table.Add({"body_size", FormatSize(NumberOf(message, "body_size"))});
+  table.Add({"taken", FormatTime(GetNumber(message, "taken_us"))});
+  table.Add({"deadline", FormatTime(GetNumber(message, "deadline_us"))});
+  table.Add({"ended", FormatTime(GetNumber(message, "ended_us"))});
+  table.Add({"body_size", FormatSize(GetNumber(message, "body_size"))});
   for (const auto& [name, value] : message.at("attributes").items()) {
     table.Add({"attribute " + name, value.get<std::string>()});
   }
-  if (with_body) table.Add({"body_base64", TextOf(message, "body_base64")});
+  if (with_body) table.Add({"body_base64", GetText(message, "body_base64")});
   table.Print(out);
 }
 
 void PrintHistory(const Json& history, std::ostream& out) {
   Table table({"SENT", "ENDPOINT", "OUTCOME", "MAY HAVE RUN", "TOLD WAIT"});
   for (const Json& attempt : history) {
-    const std::string outcome = attempt.at("outcome").is_null() ? "cut off" : TextOf(attempt, "outcome");
-    table.Add({FormatTime(NumberOf(attempt, "at_us")), TextOf(attempt, "endpoint"), outcome,
-               YesOrNo(attempt, "may_have_run"), TextOf(attempt, "told_wait_ms") + " ms"});
+    const std::string outcome = attempt.at("outcome").is_null() ? "cut off" : GetText(attempt, "outcome");
+    table.Add({FormatTime(GetNumber(attempt, "at_us")), GetText(attempt, "endpoint"), outcome,
+               FormatYesOrNo(attempt, "may_have_run"), GetText(attempt, "told_wait_ms") + " ms"});
   }
   table.Print(out);
 }
 
-void Show(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out) {
+void ShowDeadLetter(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out) {
   const Json message =
-      source.Ask({{"op", "show"}, {"id", command.id}, {"body", command.with_body}}).at("message");
+      source.SendRequest({{"op", "show"}, {"id", command.id}, {"body", command.with_body}}).at("message");
   if (command.as_json) {
     out << message.dump() << "\n";
     return;
@@ -99,18 +101,18 @@
   PrintHistory(message.at("history"), out);
 }
 
-void Stats(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out) {
-  Json stats = source.Ask({{"op", "stats"}, {"by", command.by}});
-  if (source.is_running()) stats["live"] = source.Ask({{"op", "status"}}).at("live");
+void PrintStats(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out) {
+  Json stats = source.SendRequest({{"op", "stats"}, {"by", command.by}});
+  if (source.is_running()) stats["live"] = source.SendRequest({{"op", "status"}}).at("live");
   if (command.as_json) {
     out << stats.dump() << "\n";
     return;
   }
   Table table({command.by, "MESSAGES"});
   for (const auto& [name, count] : stats.at("counts").items()) table.Add({name, count.dump()});
-  table.Add({"all", TextOf(stats, "all")});
+  table.Add({"all", GetText(stats, "all")});
   table.Print(out);
-  out << "store: " << FormatSize(NumberOf(stats, "used_bytes")) << "\n";
+  out << "store: " << FormatSize(GetNumber(stats, "used_bytes")) << "\n";
   if (!stats.contains("live")) return;
   out << "since the node's start:";
   for (const auto& [name, count] : stats["live"].items()) out << " " << name << "=" << count.dump();
@@ -118,65 +120,65 @@
 }
 
 std::int64_t CountAll(DeadLetterSource& source) {
-  return NumberOf(source.Ask({{"op", "stats"}, {"by", "state"}}), "all");
+  return GetNumber(source.SendRequest({{"op", "stats"}, {"by", "state"}}), "all");
 }
 
-std::int64_t ExportTo(std::ostream& out, DeadLetterSource& source, const DeadLetterOptions& command,
-                      Progress& progress) {
+std::int64_t WriteAllPages(std::ostream& out, DeadLetterSource& source, const DeadLetterOptions& command,
+                           Progress& progress) {
   const int page_size = command.with_body ? dead_letter::kMaxPageSizeWithBodies : dead_letter::kMaxPageSize;
   std::string after;
   std::int64_t written = 0;
   do {
-    const Json page = source.Ask({{"op", "list"},
-                                  {"filter", command.filter},
-                                  {"limit", page_size},
-                                  {"after", after},
-                                  {"body", command.with_body}});
+    const Json page = source.SendRequest({{"op", "list"},
+                                          {"filter", command.filter},
+                                          {"limit", page_size},
+                                          {"after", after},
+                                          {"body", command.with_body}});
     for (const Json& message : page.at("messages")) out << message.dump() << "\n";
     const auto count = static_cast<std::int64_t>(page.at("messages").size());
     written += count;
     progress.Advance(count);
-    after = NextPage(page);
+    after = GetNextPageId(page);
   } while (!after.empty());
   out.flush();
   return written;
 }
 
-// Never over a file that exists.
-std::ofstream MakeExportFile(const std::string& path) {
+// Creates a new file. Throws std::runtime_error if the file exists, so that no file is overwritten.
+std::ofstream CreateExportFile(const std::string& path) {
   const FileDescriptor fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kExportFileMode));
   if (fd.get() < 0) throw std::runtime_error(path + ": can't be made, or exists");
   return std::ofstream(path);
 }
 
-void Export(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out,
-            std::ostream& progress_out) {
+void ExportDeadLetters(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out,
+                       std::ostream& progress_out) {
   if (command.output.empty()) {
     Progress progress(progress_out, CountAll(source));
-    ExportTo(out, source, command, progress);
+    WriteAllPages(out, source, command, progress);
     if (!out) throw std::runtime_error("can't write: standard output");
     return;
   }
-  std::ofstream file = MakeExportFile(command.output);
+  std::ofstream file = CreateExportFile(command.output);
   Progress progress(progress_out, CountAll(source));
-  const std::int64_t written = ExportTo(file, source, command, progress);
+  const std::int64_t written = WriteAllPages(file, source, command, progress);
   if (!file) throw std::runtime_error("can't write: " + command.output);
   out << written << " messages written to " << command.output << "\n";
 }
 
-// Adds the numbers of `part`, those of objects in it too, to the same ones of `sum`.
-void AddUp(Json& sum, const Json& part) {
-  for (const auto& [key, value] : part.items()) {
+// Adds each number in `addend`, including those in nested objects, to the number with the same key in `sum`.
+void AddNumbers(Json& sum, const Json& addend) {
+  for (const auto& [key, value] : addend.items()) {
     if (value.is_object()) {
       if (!sum.contains(key)) sum[key] = Json::object();
-      AddUp(sum[key], value);
+      AddNumbers(sum[key], value);
     } else if (value.is_number()) {
       sum[key] = sum.value(key, std::int64_t{0}) + value.get<std::int64_t>();
     }
   }
 }
 
-std::string ReasonsText(const Json& reasons) {
+std::string FormatReasons(const Json& reasons) {
   std::string text;
   for (const auto& [reason, count] : reasons.items()) {
     if (!text.empty()) text += ", ";
@@ -185,79 +187,81 @@
   return text;
 }
 
-Json TryAll(DeadLetterSource& source, const std::string& path, const std::string& rules, Progress& progress) {
+Json DryRunOnAllPages(DeadLetterSource& source, const std::string& path, const std::string& rules,
+                      Progress& progress) {
   Json sum = Json::object();
   std::string after;
   do {
-    Json part;
+    Json page_counts;
     try {
-      part = source.Ask({{"op", "try"}, {"rules", rules}, {"after", after}});
+      page_counts = source.SendRequest({{"op", "try"}, {"rules", rules}, {"after", after}});
     } catch (const std::exception& error) {
       throw std::runtime_error(path + ": " + error.what());
     }
-    progress.Advance(NumberOf(part, "looked_at"));
-    after = NextPage(part);
-    part.erase("v");
-    AddUp(sum, part);
+    progress.Advance(GetNumber(page_counts, "looked_at"));
+    after = GetNextPageId(page_counts);
+    page_counts.erase("v");
+    AddNumbers(sum, page_counts);
   } while (!after.empty());
   return sum;
 }
 
-void Try(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out,
-         std::ostream& progress_out) {
+void DryRunRules(DeadLetterSource& source, const DeadLetterOptions& command, std::ostream& out,
+                 std::ostream& progress_out) {
   const std::string rules = dead_letter::ReadTextFile(command.rules);
   Progress progress(progress_out, CountAll(source));
-  const Json sum = TryAll(source, command.rules, rules, progress);
+  const Json sum = DryRunOnAllPages(source, command.rules, rules, progress);
   if (command.as_json) {
     out << sum.dump() << "\n";
     return;
   }
   Table table({"RULE", "MATCHED", "RESEND", "LATER", "HOLD", "DROP", "NOT ALLOWED"});
-  const dead_letter::RuleSet parsed = dead_letter::ParseRules(rules, {});  // in the file's order
+  // The parsed rules are in the order of the file, which the JSON object has lost.
+  const dead_letter::RuleSet parsed = dead_letter::ParseRules(rules, {});
   for (const dead_letter::Rule& rule : parsed.rules) {
     const Json& counts = sum.at("rules").at(rule.name);
     const auto count = [&](const char* key) { return std::to_string(counts.value(key, std::int64_t{0})); };
     table.Add({rule.name, count("matched"), count("resend"), count("later"), count("hold"), count("drop"),
-               ReasonsText(counts.value("grounds", Json::object()))});
+               FormatReasons(counts.value("grounds", Json::object()))});
   }
   table.Print(out);
-  out << "no rule matches: " << TextOf(sum, "unmatched") << ", over or under way: " << TextOf(sum, "over")
-      << "\n";
+  out << "no rule matches: " << GetText(sum, "unmatched")
+      << ", completed or being redriven: " << GetText(sum, "over") << "\n";
 }
 
-Json ActOnAll(DeadLetterSource& source, const DeadLetterOptions& command, const std::string& action,
-              Progress& progress) {
+Json ApplyActionToAllPages(DeadLetterSource& source, const DeadLetterOptions& command,
+                           const std::string& action, Progress& progress) {
   Json sum = {{"changed", 0}, {"forbidden", 0}, {"grounds", Json::object()}};
   Json cursor = 0;
   while (!cursor.is_null()) {
-    Json part = source.Ask({{"op", "act"},
-                            {"action", action},
-                            {"filter", command.filter},
-                            {"cursor", cursor},
-                            {"only_count", !command.yes}});
-    cursor = part.at("cursor");
-    part.erase("v");
-    part.erase("cursor");
-    progress.Advance(NumberOf(part, "changed") + NumberOf(part, "forbidden"));
-    AddUp(sum, part);
+    Json page_counts = source.SendRequest({{"op", "act"},
+                                           {"action", action},
+                                           {"filter", command.filter},
+                                           {"cursor", cursor},
+                                           {"only_count", !command.yes}});
+    cursor = page_counts.at("cursor");
+    page_counts.erase("v");
+    page_counts.erase("cursor");
+    progress.Advance(GetNumber(page_counts, "changed") + GetNumber(page_counts, "forbidden"));
+    AddNumbers(sum, page_counts);
   }
   return sum;
 }
 
-void Act(DeadLetterSource& source, const DeadLetterOptions& command, const std::string& action,
-         std::ostream& out, std::ostream& progress_out) {
+void ApplyAction(DeadLetterSource& source, const DeadLetterOptions& command, const std::string& action,
+                 std::ostream& out, std::ostream& progress_out) {
   Progress progress(progress_out, CountAll(source));
-  Json sum = ActOnAll(source, command, action, progress);
+  Json sum = ApplyActionToAllPages(source, command, action, progress);
   if (command.as_json) {
     sum["done"] = command.yes;
     out << sum.dump() << "\n";
     return;
   }
-  out << (command.yes ? "" : "would ") << action << ": " << TextOf(sum, "changed") << " messages\n";
-  if (NumberOf(sum, "forbidden") > 0) {
-    out << "not allowed: " << TextOf(sum, "forbidden") << " (" << ReasonsText(sum.at("grounds")) << ")\n";
+  out << (command.yes ? "" : "would ") << action << ": " << GetText(sum, "changed") << " messages\n";
+  if (GetNumber(sum, "forbidden") > 0) {
+    out << "not allowed: " << GetText(sum, "forbidden") << " (" << FormatReasons(sum.at("grounds")) << ")\n";
   }
-  if (!command.yes) out << "nothing was changed; --yes does it\n";
+  if (!command.yes) out << "nothing was changed; use --yes to apply the action\n";
 }
 
 void CheckRules(const DeadLetterOptions& command, const Options& options, std::ostream& out) {
@@ -265,7 +269,7 @@
   const auto rules =
       dead_letter::ReadRules(command.rules, review ? review->class_names : std::vector<std::string>());
   out << rules->rules.size() << " rules can be used"
-      << (review ? "" : "; classes were not checked: no --config") << "\n";
+      << (review ? "" : "; classes were not checked, as --config is not set") << "\n";
 }
 
 }  // namespace
@@ -279,31 +283,31 @@
   const std::unique_ptr<DeadLetterSource> source = OpenDeadLetterSource(command.state, options);
   switch (command.command.value()) {
     case DeadLetterCommand::kList:
-      List(*source, command, out);
+      ListDeadLetters(*source, command, out);
       break;
     case DeadLetterCommand::kShow:
-      Show(*source, command, out);
+      ShowDeadLetter(*source, command, out);
       break;
     case DeadLetterCommand::kStats:
-      Stats(*source, command, out);
+      PrintStats(*source, command, out);
       break;
     case DeadLetterCommand::kExport:
-      Export(*source, command, out, progress);
+      ExportDeadLetters(*source, command, out, progress);
       break;
     case DeadLetterCommand::kTry:
-      Try(*source, command, out, progress);
+      DryRunRules(*source, command, out, progress);
       break;
     case DeadLetterCommand::kResend:
-      Act(*source, command, "resend", out, progress);
+      ApplyAction(*source, command, "resend", out, progress);
       break;
     case DeadLetterCommand::kHold:
-      Act(*source, command, "hold", out, progress);
+      ApplyAction(*source, command, "hold", out, progress);
       break;
     case DeadLetterCommand::kDrop:
-      Act(*source, command, "drop", out, progress);
+      ApplyAction(*source, command, "drop", out, progress);
       break;
     case DeadLetterCommand::kCheckRules:
-      break;  // above, without a source
+      break;  // handled above, as it needs no source
   }
   return 0;
 }
--- a/src/cli/dead_letter_source.cpp
+++ b/src/cli/dead_letter_source.cpp
@@ -18,16 +18,16 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kReadSize = 65536;
+constexpr std::size_t kReadBytes = 65536;
 
-// Asks by the control socket.
+// Sends requests to the control socket of a running node.
 class RunningNode : public DeadLetterSource {
  public:
   explicit RunningNode(FileDescriptor socket) : socket_(std::move(socket)) {}
   bool is_running() const override { return true; }
 
  private:
-  std::string Answer(const Json& request) override {
+  std::string ExecuteRequest(const Json& request) override {
     SendAll(request.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n");
     return ReadLine();
   }
@@ -44,7 +44,7 @@
   std::string ReadLine() {
     std::size_t end = 0;
     while ((end = received_.find('\n')) == std::string::npos) {
-      char chunk[kReadSize];
+      char chunk[kReadBytes];
       const ssize_t size = ::recv(socket_.get(), chunk, sizeof chunk, 0);
       if (size <= 0) throw DeadLetterSourceError("the node closed the control socket");
       received_.append(chunk, static_cast<std::size_t>(size));
@@ -58,7 +58,7 @@
   std::string received_;
 };
 
-// Reads the database file.
+// Executes requests on the database file of a stopped node, read-only.
 class StoppedNode : public DeadLetterSource {
  public:
   StoppedNode(const std::string& path, std::optional<dead_letter::ReviewSettings> review)
@@ -73,7 +73,7 @@
     return settings;
   }
 
-  std::string Answer(const Json& request) override {
+  std::string ExecuteRequest(const Json& request) override {
     const std::vector<std::string> classes = review_ ? review_->class_names : std::vector<std::string>();
     const dead_letter::OperatorRequest operation = dead_letter::ParseOperatorRequest(request.dump(), classes);
     if (operation.IsWrite()) {
@@ -88,7 +88,7 @@
   SystemClock clock_;
 };
 
-// Empty if nobody listens there.
+// Returns a connected socket, or an empty descriptor if no process listens at `path`.
 FileDescriptor ConnectTo(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -103,12 +103,12 @@
 
 }  // namespace
 
-Json DeadLetterSource::Ask(Json request) {
+Json DeadLetterSource::SendRequest(Json request) {
   request["v"] = dead_letter::kControlVersion;
-  Json answer = Json::parse(Answer(request), nullptr, false);
-  if (!answer.is_object()) throw DeadLetterSourceError("the node's answer can't be read");
-  if (!answer.value("ok", false)) throw DeadLetterRequestRejected(answer.value("error", "refused"));
-  return answer;
+  Json response = Json::parse(ExecuteRequest(request), nullptr, false);
+  if (!response.is_object()) throw DeadLetterSourceError("the node's response is not a JSON object");
+  if (!response.value("ok", false)) throw DeadLetterRequestRejected(response.value("error", "refused"));
+  return response;
 }
 
 std::unique_ptr<DeadLetterSource> OpenDeadLetterSource(const std::string& state, const Options& options) {
--- a/src/cli/dead_letter_subcommands.cpp
+++ b/src/cli/dead_letter_subcommands.cpp
@@ -3,12 +3,12 @@
 namespace sagetally {
 namespace {
 
-constexpr int kMaxListLimit = 1000;
+constexpr int kMaxListLimit = 1000;  // messages on a page
 
 CLI::App* AddCommand(CLI::App* parent, const char* name, const char* description, DeadLetterCommand command,
                      DeadLetterOptions& options) {
   CLI::App* subcommand = parent->add_subcommand(name, description);
-  subcommand->fallthrough();  // the program's options may stand behind
+  subcommand->fallthrough();  // the program's options may follow the subcommand
   subcommand->callback([&options, command] { options.command = command; });
   return subcommand;
 }
@@ -17,7 +17,7 @@
   subcommand->add_option("--state", options.state, "the node's state folder")
       ->envname("BALANCER_STATE")
       ->required();
-  subcommand->add_flag("--json", options.as_json, "one JSON value a line instead of a table")
+  subcommand->add_flag("--json", options.as_json, "one JSON value per line instead of a table")
       ->envname("SAGETALLY_JSON");
 }
 
@@ -30,20 +30,19 @@
 
 void AddList(CLI::App* kept, DeadLetterOptions& options) {
   CLI::App* list =
-      AddCommand(kept, "list", "a page of kept messages, oldest first", DeadLetterCommand::kList, options);
+      AddCommand(kept, "list", "a page of dead letters, oldest first", DeadLetterCommand::kList, options);
   AddStoreOptions(list, options);
   AddFilter(list, options);
   list->add_option("--limit", options.limit, "messages on a page")
       ->envname("SAGETALLY_LIMIT")
       ->check(CLI::Range(1, kMaxListLimit))
       ->capture_default_str();
-  list->add_option("--after", options.after, "the id at the end of the last page")
-      ->envname("SAGETALLY_AFTER");
+  list->add_option("--after", options.after, "the last id of the previous page")->envname("SAGETALLY_AFTER");
 }
 
 void AddShow(CLI::App* kept, DeadLetterOptions& options) {
   CLI::App* show =
-      AddCommand(kept, "show", "one message with its whole history", DeadLetterCommand::kShow, options);
+      AddCommand(kept, "show", "one dead letter with all its attempts", DeadLetterCommand::kShow, options);
   AddStoreOptions(show, options);
   show->add_option("id", options.id, "NODE/NUMBER, as list prints it")->envname("SAGETALLY_ID")->required();
   show->add_flag("--body", options.with_body, "print the body too")->envname("SAGETALLY_BODY");
@@ -52,7 +51,7 @@
 void AddStats(CLI::App* kept, DeadLetterOptions& options) {
   CLI::App* stats = AddCommand(kept, "stats", "counts and sizes", DeadLetterCommand::kStats, options);
   AddStoreOptions(stats, options);
-  stats->add_option("--by", options.by, "what to count by")
+  stats->add_option("--by", options.by, "the field by which messages are counted")
       ->envname("SAGETALLY_BY")
       ->check(CLI::IsMember({"reason", "class", "destination", "state", "end"}))
       ->capture_default_str();
@@ -63,9 +62,11 @@
       AddCommand(kept, "export", "matching messages as JSON lines", DeadLetterCommand::kExport, options);
   AddStoreOptions(exported, options);
   AddFilter(exported, options);
-  exported->add_option("--output", options.output, "a file that must not exist; absent: standard output")
+  exported
+      ->add_option("--output", options.output,
+                   "the file to create, which must not exist; default: standard output")
       ->envname("SAGETALLY_OUTPUT");
-  exported->add_flag("--body", options.with_body, "with the bodies, in base64")->envname("SAGETALLY_BODY");
+  exported->add_flag("--body", options.with_body, "include the bodies, in base64")->envname("SAGETALLY_BODY");
 }
 
 void AddRulesFile(CLI::App* subcommand, DeadLetterOptions& options) {
@@ -73,20 +74,21 @@
 }
 
 void AddTry(CLI::App* kept, DeadLetterOptions& options) {
-  CLI::App* dry_run = AddCommand(kept, "try", "what a rule file would do, without doing it",
-                                 DeadLetterCommand::kTry, options);
+  CLI::App* dry_run =
+      AddCommand(kept, "try", "dry run: shows what a rule file would do", DeadLetterCommand::kTry, options);
   AddStoreOptions(dry_run, options);
   AddRulesFile(dry_run, options);
 }
 
 void AddAction(CLI::App* kept, const char* name, DeadLetterCommand command, DeadLetterOptions& options) {
-  CLI::App* action =
-      AddCommand(kept, name, "by hand, for all that match; the judge still decides", command, options);
+  CLI::App* action = AddCommand(
+      kept, name, "manual action on all matching messages; resend skips messages that may not be redriven",
+      command, options);
   AddStoreOptions(action, options);
   action->add_option("--filter,filter", options.filter, "a condition of the rule language")
       ->envname("SAGETALLY_FILTER")
       ->required();
-  action->add_flag("--yes", options.yes, "do it; without this only counts are printed")
+  action->add_flag("--yes", options.yes, "apply the action; without this flag only counts are printed")
       ->envname("SAGETALLY_YES");
 }
 
@@ -94,7 +96,7 @@
   CLI::App* rules = kept->add_subcommand("rules", "rule files");
   rules->require_subcommand(1);
   rules->fallthrough();
-  CLI::App* check = AddCommand(rules, "check", "reads a rule file and says what is wrong",
+  CLI::App* check = AddCommand(rules, "check", "checks a rule file and reports errors",
                                DeadLetterCommand::kCheckRules, options);
   AddRulesFile(check, options);
 }
@@ -102,8 +104,7 @@
 }  // namespace
 
 void AddDeadLetterCommands(CLI::App& app, DeadLetterOptions& options) {
-  CLI::App* kept =
-      app.add_subcommand("kept", "undeliverable messages: inspect them, send them again by rule");
+  CLI::App* kept = app.add_subcommand("kept", "dead letters: inspect them and redrive them by rule");
   kept->require_subcommand(1);
   kept->fallthrough();
   AddList(kept, options);
--- a/src/cli/flags.h
+++ b/src/cli/flags.h
@@ -1,4 +1,5 @@
-// Settings of a JSON file as flags and environment variables, for the command line of every program.
+// Defines flags and environment variables for the settings of a JSON file. Used for the command line of every
+// program.
 #ifndef SAGETALLY_SRC_CLI_FLAGS_H_
 #define SAGETALLY_SRC_CLI_FLAGS_H_
 
@@ -11,8 +12,8 @@
 
 namespace sagetally {
 
-// The environment variable of a setting: "cloudevents.listen" with "SAGETALLY_" is
-// SAGETALLY_CLOUDEVENTS_LISTEN.
+// Returns the environment variable of a setting. For example, it is SAGETALLY_CLOUDEVENTS_LISTEN for the path
+// "cloudevents.listen" and the prefix "SAGETALLY_".
 inline std::string VariableFor(const std::string& prefix, std::string path) {
   for (char& character : path) {
     const bool is_separator = character == '.' || character == '-';
@@ -21,8 +22,8 @@
   return prefix + path;
 }
 
-// Makes each of `names` a flag, in the help's group `group`, and a variable. The values given are put into
-// `settings`, which must outlive the parsing.
+// Adds a flag and an environment variable for each of `names`, in the group `group` of the help text. Parsing
+// stores the given values in `settings`, which must outlive the parsing.
 inline void AddSettings(CLI::App& app, const std::vector<SettingName>& names, const std::string& prefix,
                         Overrides& settings, const std::string& group) {
   for (const SettingName& setting : names) {
--- a/src/cli/journal_commands.cpp
+++ b/src/cli/journal_commands.cpp
@@ -15,7 +15,8 @@
 
 constexpr int kExitDamaged = 1;
 
-// Of a state folder, a journal or a snapshot of one.
+// Returns the journal's folder. `path` is a state folder, a journal's folder or a snapshot of one of these.
+// Throws std::runtime_error if there is no journal.
 std::string FindJournalFolder(const std::string& path) {
   PosixFileSystem files;
   for (const std::string& folder : {path + "/journal", path}) {
@@ -26,7 +27,7 @@
   throw std::runtime_error(path + ": expected a state folder, a journal or a snapshot of one");
 }
 
-// The names and fields of the output are those that operators' scripts read.
+// Operators' scripts parse the output, so its names and fields are stable and differ from those of the code.
 const char* FinalStatusName(const Message& message) {
   switch (message.final_status) {
     case FinalStatus::kPending:
@@ -43,7 +44,7 @@
   return "?";
 }
 
-// The number of a class that the manifest doesn't have.
+// Returns the name of a class, or its number as text if the manifest doesn't have the class.
 std::string ClassName(const Manifest& manifest, int number) {
   const auto index = static_cast<std::size_t>(number);
   return index < manifest.classes.size() ? manifest.classes[index] : std::to_string(number);
@@ -90,8 +91,8 @@
   table.Print(out);
 }
 
-void Stats(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
-           std::ostream& out) {
+void PrintStats(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
+                std::ostream& out) {
   const Json stats = MakeStats(report, messages);
   if (options.as_json) {
     out << stats.dump() << "\n";
@@ -119,8 +120,8 @@
   if (report.lost_messages > 0) out << report.lost_messages << " messages are lost\n";
 }
 
-int Verify(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
-           std::ostream& out) {
+int VerifyJournal(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
+                  std::ostream& out) {
   const int exit_code = report.is_damaged() ? kExitDamaged : 0;
   if (options.as_json) {
     out << MakeStats(report, messages).dump() << "\n";
@@ -161,15 +162,15 @@
   return options.all || message.final_status == FinalStatus::kPending || message.notification_pending;
 }
 
-void Show(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
-          std::ostream& out) {
+void ShowMessages(const JournalOptions& options, const ReplayReport& report, const MessageTable& messages,
+                  std::ostream& out) {
   Table table({"number", "id", "class", "to", "state", "attempts", "may have run", "deadline"});
   int shown = 0;
-  int left_out = 0;
+  int omitted = 0;
   for (const auto& [number, message] : messages.messages()) {
     if (!IsShown(options, message)) continue;
     if (shown == options.limit) {
-      ++left_out;
+      ++omitted;
       continue;
     }
     ++shown;
@@ -182,18 +183,18 @@
   }
   if (options.as_json) return;
   table.Print(out);
-  if (left_out > 0) out << left_out << " more (--limit)\n";
+  if (omitted > 0) out << omitted << " more (--limit)\n";
 }
 
 struct CopyDescription {
-  const char* what;   // "snapshot" or "restored": also the field's name in JSON
-  std::string where;  // the folder that was written
+  const char* label;   // "snapshot" or "restored"; also the name of the field in JSON
+  std::string folder;  // the folder that was written
 };
 
 void PrintCopy(const JournalOptions& options, const CopyDescription& copy, const SnapshotResult& result,
                std::ostream& out) {
   if (options.as_json) {
-    const Json json = {{copy.what, copy.where},
+    const Json json = {{copy.label, copy.folder},
                        {"segments", result.segments},
                        {"bytes", result.bytes},
                        {"node", result.manifest.node},
@@ -201,18 +202,18 @@
     out << json.dump() << "\n";
     return;
   }
-  out << copy.what << ": " << copy.where << ", " << result.segments << " segments, "
+  out << copy.label << ": " << copy.folder << ", " << result.segments << " segments, "
       << FormatSize(static_cast<std::int64_t>(result.bytes)) << ", node " << result.manifest.node
       << ", epoch " << result.manifest.epoch << "\n";
 }
 
-void Snapshot(const JournalOptions& options, std::ostream& out) {
+void TakeSnapshot(const JournalOptions& options, std::ostream& out) {
   PosixFileSystem files;
   const SnapshotResult result = WriteSnapshot(files, FindJournalFolder(options.state), options.output);
   PrintCopy(options, {"snapshot", options.output}, result, out);
 }
 
-void Restore(const JournalOptions& options, std::ostream& out) {
+void RestoreJournal(const JournalOptions& options, std::ostream& out) {
   PosixFileSystem files;
   files.MakeFolder(options.state);
   const SnapshotResult result =
@@ -221,18 +222,18 @@
   PrintCopy(options, {"restored", options.state}, result, out);
 }
 
-int Read(const JournalOptions& options, std::ostream& out) {
+int ReadJournal(const JournalOptions& options, std::ostream& out) {
   PosixFileSystem files;
   MessageTable messages;
   const ReplayReport report = ReplayLive(files, FindJournalFolder(options.state), messages);
   switch (options.command.value()) {
     case JournalCommand::kVerify:
-      return Verify(options, report, messages, out);
+      return VerifyJournal(options, report, messages, out);
     case JournalCommand::kShow:
-      Show(options, report, messages, out);
+      ShowMessages(options, report, messages, out);
       return 0;
     default:
-      Stats(options, report, messages, out);
+      PrintStats(options, report, messages, out);
       return 0;
   }
 }
@@ -242,13 +243,13 @@
 int RunJournalCommand(const JournalOptions& options, std::ostream& out) {
   switch (options.command.value()) {
     case JournalCommand::kSnapshot:
-      Snapshot(options, out);
+      TakeSnapshot(options, out);
       return 0;
     case JournalCommand::kRestore:
-      Restore(options, out);
+      RestoreJournal(options, out);
       return 0;
     default:
-      return Read(options, out);
+      return ReadJournal(options, out);
   }
 }
 
--- a/src/cli/journal_commands.h
+++ b/src/cli/journal_commands.h
@@ -1,4 +1,5 @@
-// `sagetally journal ...`: reads, copies and restores the journal of a node, running or stopped.
+// `sagetally journal ...`: reads and copies the journal of a running or stopped node, and restores that of a
+// stopped one. Called by the program's main function.
 #ifndef SAGETALLY_SRC_CLI_JOURNAL_COMMANDS_H_
 #define SAGETALLY_SRC_CLI_JOURNAL_COMMANDS_H_
 
@@ -8,8 +9,8 @@
 
 namespace sagetally {
 
-// `options` must have a command. Returns the exit code, 1 if kVerify finds damage. Throws std::runtime_error
-// naming the folder or file at fault.
+// Runs `options.command`, which must be set, and prints the result to `out`. Returns the exit code, which is
+// 1 if kVerify finds damage. Throws std::runtime_error naming the folder or file at fault.
 int RunJournalCommand(const JournalOptions& options, std::ostream& out);
 
 }  // namespace sagetally
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -17,11 +17,11 @@
     app.add_option(flag, value, text)->envname(variable);
   };
   add("--config", options.config, "BALANCER_CONFIG", "the platform's configuration, a JSON file");
-  add("--name", options.name, "BALANCER_NAME", "this node's name; goes before the file");
-  add("--listen", options.listen, "BALANCER_LISTEN", "address for clients; goes before the file");
-  add("--admin", options.admin, "BALANCER_ADMIN", "address of the operators' door; goes before the file");
-  add("--discovery", options.discovery, "BALANCER_DISCOVERY", "address of discovery; goes before the file");
-  add("--state", options.state, "BALANCER_STATE", "the folder that lasts; goes before the file");
+  add("--name", options.name, "BALANCER_NAME", "this node's name; overrides the file");
+  add("--listen", options.listen, "BALANCER_LISTEN", "address for clients; overrides the file");
+  add("--admin", options.admin, "BALANCER_ADMIN", "address of the admin server; overrides the file");
+  add("--discovery", options.discovery, "BALANCER_DISCOVERY", "address of discovery; overrides the file");
+  add("--state", options.state, "BALANCER_STATE", "the persistent state folder; overrides the file");
   add("--node-file", options.node_file, "SAGETALLY_NODE_FILE", "the operator's JSON file; may be absent");
 }
 
@@ -31,20 +31,20 @@
                                                   {"info", LogLevel::kInfo},
                                                   {"warning", LogLevel::kWarning},
                                                   {"error", LogLevel::kError}};
-  app.add_option("--log-format", log.format, "text or json, one line an event")
+  app.add_option("--log-format", log.format, "text or json, one line per event")
       ->envname("SAGETALLY_LOG_FORMAT")
       ->transform(CLI::CheckedTransformer(formats).description(""))
       ->option_text("text|json");
-  app.add_option("--log-level", log.level, "the least level that is written")
+  app.add_option("--log-level", log.level, "the lowest level that is written")
       ->envname("SAGETALLY_LOG_LEVEL")
       ->transform(CLI::CheckedTransformer(levels).description(""))
       ->option_text("debug|info|warning|error");
 }
 
 void AddServingCommands(CLI::App& app, CommandLine& line) {
-  // The options may stand on either side of these words; `sagetally` alone serves.
-  app.add_subcommand("serve", "serves until SIGTERM (as without a sub-command)")->fallthrough();
-  app.add_subcommand("check-config", "reads all configuration, says what is wrong, and ends")
+  // The options may stand before or after the subcommand. Without a subcommand `sagetally` serves.
+  app.add_subcommand("serve", "serves until SIGTERM (the default without a subcommand)")->fallthrough();
+  app.add_subcommand("check-config", "reads all configuration, reports errors and exits")
       ->fallthrough()
       ->callback([&line] { line.command = CommandLine::Command::kCheckConfig; });
 }
@@ -55,10 +55,11 @@
   const char* description;
 };
 constexpr AdminSubcommand kAdminSubcommands[] = {
-    {"status", AdminCommand::kStatus, "whether the process behind --admin is ready to serve"},
-    {"metrics", AdminCommand::kMetrics, "its figures"},
-    {"pause", AdminCommand::kPause, "empties it: no new messages, what is held goes on"},
-    {"resume", AdminCommand::kResume, "back to work"},
+    {"status", AdminCommand::kStatus, "reports whether the process at --admin is ready to serve"},
+    {"metrics", AdminCommand::kMetrics, "prints the metrics of the process"},
+    {"pause", AdminCommand::kPause,
+     "starts a drain: no new messages are accepted, pending ones are completed"},
+    {"resume", AdminCommand::kResume, "ends a drain: new messages are accepted again"},
 };
 
 void AddAdminCommands(CLI::App& app, CommandLine& line) {
@@ -72,7 +73,7 @@
   }
 }
 
-// To the program and each subcommand.
+// Adds --version to the program and, recursively, to each subcommand.
 void AddVersion(CLI::App& app) {
   app.set_version_flag("--version", std::string("sagetally ") + SAGETALLY_VERSION);
   for (CLI::App* subcommand : app.get_subcommands({})) AddVersion(*subcommand);
@@ -82,9 +83,9 @@
   app.require_subcommand(0, 1);
   AddPlatformOptions(app, line.options);
   AddLogOptions(app, line.options.log);
-  // Each leaf of the schema is a flag and a variable.
+  // Each setting of the schema of node.json is a flag and an environment variable.
   AddSettings(app, NodeFileSettingNames(), "SAGETALLY_", line.options.node_settings,
-              "Settings of the operator's file, which go before it");
+              "Settings that override the operator's file");
   AddServingCommands(app, line);
   AddAdminCommands(app, line);
   AddDeadLetterCommands(app, line.dead_letter);
@@ -94,7 +95,7 @@
 
 }  // namespace
 
-Config Options::ReadConfiguration(ConfigRequirements needs) const {
+Config Options::ReadConfiguration(ConfigRequirements requirements) const {
   const std::map<std::string, std::string> given = {
       {"BALANCER_CONFIG", config}, {"BALANCER_NAME", name},           {"BALANCER_LISTEN", listen},
       {"BALANCER_ADMIN", admin},   {"BALANCER_DISCOVERY", discovery}, {"BALANCER_STATE", state}};
@@ -104,12 +105,12 @@
         if (found == given.end() || found->second.empty()) return nullptr;
         return found->second.c_str();
       },
-      needs);
+      requirements);
 }
 
 CommandLine ParseCommandLine(int argc, const char* const* argv) {
   CommandLine line;
-  CLI::App app{"sagetally: delivers messages to partner systems, each with exactly one end"};
+  CLI::App app{"sagetally: delivers messages to partner systems, each with exactly one final status"};
   AddAll(app, line);
   try {
     app.parse(argc, argv);
@@ -119,7 +120,7 @@
     return line;
   }
   if (line.command == CommandLine::Command::kAdmin && line.options.admin.empty()) {
-    std::cerr << "--admin (BALANCER_ADMIN): expected the address of the operators' door\n";
+    std::cerr << "--admin (BALANCER_ADMIN): expected the address of the admin server\n";
     line.command = CommandLine::Command::kNone;
     line.exit_code = kExitUsage;
     return line;
--- a/src/cli/subcommands.h
+++ b/src/cli/subcommands.h
@@ -1,5 +1,5 @@
-// The groups of subcommands, each added to the program's command line by a function of its own. What is
-// parsed lands in the options, which must outlive the parsing.
+// Functions that add groups of subcommands to the program's command line. Parsing stores the values in the
+// options that are passed, which must outlive the parsing. Called by ParseCommandLine.
 #ifndef SAGETALLY_SRC_CLI_SUBCOMMANDS_H_
 #define SAGETALLY_SRC_CLI_SUBCOMMANDS_H_
 
@@ -9,9 +9,9 @@
 
 namespace sagetally {
 
-// `sagetally kept ...`
+// Adds `sagetally kept ...`.
 void AddDeadLetterCommands(CLI::App& app, DeadLetterOptions& options);
-// `sagetally journal ...`
+// Adds `sagetally journal ...`.
 void AddJournalCommands(CLI::App& app, JournalOptions& options);
 
 }  // namespace sagetally
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -10,12 +10,13 @@
 namespace sagetally {
 namespace {
 
-constexpr std::int64_t kProgressWidth = 40;
+constexpr std::int64_t kProgressWidth = 40;  // characters
 constexpr const char* kEraseLine = "\r\033[K";
 
-// Below each limit a size is shown in the next smaller unit.
-constexpr std::int64_t kMinKilobytes = 10'000;
-constexpr std::int64_t kMinMegabytes = 10'000'000;
+// The smallest sizes, in bytes, that are shown in kilobytes and in megabytes. A smaller size is shown in the
+// next smaller unit.
+constexpr std::int64_t kMinBytesShownAsKilobytes = 10'000;
+constexpr std::int64_t kMinBytesShownAsMegabytes = 10'000'000;
 
 }  // namespace
 
@@ -55,8 +56,8 @@
 }
 
 std::string FormatSize(std::int64_t bytes) {
-  if (bytes < kMinKilobytes) return fmt::format("{} B", bytes);
-  if (bytes < kMinMegabytes) return fmt::format("{:.1f} kB", static_cast<double>(bytes) / 1e3);
+  if (bytes < kMinBytesShownAsKilobytes) return fmt::format("{} B", bytes);
+  if (bytes < kMinBytesShownAsMegabytes) return fmt::format("{:.1f} kB", static_cast<double>(bytes) / 1e3);
   return fmt::format("{:.1f} MB", static_cast<double>(bytes) / 1e6);
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kDefaultSockets = 1024;
 constexpr std::size_t kMinSockets = 64;
 
-// Runs a part of the reading; an error in it is said to be in `section`.
+// Calls `read`, and prefixes `section` to the key and the message of a FormatError that it throws.
 template <typename Read>
 void ReadSection(const char* section, Read read) {
   try {
@@ -57,8 +57,8 @@
   return update;
 }
 
-// Reads one configuration. The methods follow the order of the fields, which decides which one an error names
-// if several are wrong.
+// Reads one configuration. If several fields are wrong, the error names the one that is read first, so the
+// order of the calls in Read() is observable.
 class ConfigReader {
  public:
   ConfigReader(Value root, const Environment& environment, ConfigRequirements requirements)
@@ -76,7 +76,8 @@
   }
 
  private:
-  // The value of a key that a variable of the environment may override.
+  // Returns the value of `key`, or that of the environment variable `variable` if it overrides the key. In a
+  // reload a value in the file has precedence over the variable.
   std::string Lookup(const char* variable, const char* key) const {
     const char* overriding = environment_(variable);
     auto value = Get<std::string>(root_, key, "");
@@ -103,7 +104,7 @@
     }
   }
 
-  // In hexadecimal digits.
+  // Reads the seed, which is written in hexadecimal digits.
   void ReadSeed() {
     const auto text = Get<std::string>(root_, "seed", "0");
     const char* end = text.data() + text.size();
@@ -113,23 +114,23 @@
   }
 
   void ReadLimits() {
-    config_.disk_limit_bytes = Bytes(kDefaultDiskMegabytes);
+    config_.disk_limit_bytes = ToBytes(kDefaultDiskMegabytes);
     config_.socket_limit = kDefaultSockets;
-    config_.memory_limit_bytes = Bytes(kDefaultMemoryMegabytes);
+    config_.memory_limit_bytes = ToBytes(kDefaultMemoryMegabytes);
     const std::optional<Value> limits = Find(root_, "limits");
     if (!limits) return;
     ReadSection("limits", [&] {
-      config_.disk_limit_bytes = Bytes(Get<double>(*limits, "disk_mb", kDefaultDiskMegabytes));
+      config_.disk_limit_bytes = ToBytes(Get<double>(*limits, "disk_mb", kDefaultDiskMegabytes));
       config_.socket_limit = Get<std::size_t>(*limits, "sockets", kDefaultSockets);
-      config_.memory_limit_bytes = Bytes(Get<double>(*limits, "memory_mb", kDefaultMemoryMegabytes));
+      config_.memory_limit_bytes = ToBytes(Get<double>(*limits, "memory_mb", kDefaultMemoryMegabytes));
       if (config_.socket_limit < kMinSockets) {
-        throw FormatError("'sockets' must be 64 at least",
-                          {"sockets", "64 at least", std::to_string(config_.socket_limit)});
+        throw FormatError("'sockets' must be at least 64",
+                          {"sockets", "at least 64", std::to_string(config_.socket_limit)});
       }
     });
   }
 
-  static std::size_t Bytes(double megabytes) {
+  static std::size_t ToBytes(double megabytes) {
     return static_cast<std::size_t>(megabytes * kBytesPerMegabyte);
   }
 
@@ -158,7 +159,7 @@
 
 }  // namespace
 
-Address ParseAddress(std::string_view text, const char* what) {
+Address ParseAddress(std::string_view text, const char* key) {
   const std::size_t colon = text.rfind(':');
   if (colon != std::string_view::npos && colon > 0) {
     Address address;
@@ -170,8 +171,8 @@
       return address;
     }
   }
-  throw FormatError(std::string(what) + ": '" + std::string(text) + "' is no address",
-                    {what, "an IPv4 address in numbers and a port", std::string(text)});
+  throw FormatError(std::string(key) + ": '" + std::string(text) + "' is not an address",
+                    {key, "a numeric IPv4 address and a port", std::string(text)});
 }
 
 EndpointListUpdate ReadEndpointList(Value list, const SiteSettings& site) {
@@ -189,21 +190,25 @@
   return ConfigReader(json::Parse(parser, text), environment, requirements).Read();
 }
 
-DescriptorLimits DivideDescriptors(const Config& config, bool events_on, bool plain_on) {
-  // Journal, its compaction, discovery, notifications, gossip, and the event loop's own.
-  static constexpr std::size_t kOther = 24;
+DescriptorLimits DivideDescriptors(const Config& config, bool has_cloudevents, bool has_platform) {
+  // Descriptors for the journal, its compaction, discovery, notifications, gossip and the event loop itself.
+  static constexpr std::size_t kOtherDescriptors = 24;
+  // Maximum body of one request with CloudEvents, in bytes.
   static constexpr std::size_t kMaxBatchBytes = 1024 * 1024;
   const std::size_t clients = config.socket_limit / 3;
-  DescriptorLimits shares;
-  if (config.admin) shares.admin_connections = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
-  shares.endpoint_connections = config.socket_limit - clients - kOther - shares.admin_connections;
-  if (events_on) shares.cloudevents_connections = plain_on ? std::max<std::size_t>(4, clients / 8) : clients;
-  shares.platform_connections = clients - shares.cloudevents_connections;
-  if (events_on) {
-    shares.cloudevents_body_bytes =
-        std::min(kMaxBatchBytes, config.memory_limit_bytes / 4 / shares.cloudevents_connections);
-  }
-  return shares;
+  DescriptorLimits descriptors;
+  if (config.admin) descriptors.admin_connections = std::clamp<std::size_t>(config.socket_limit / 16, 8, 32);
+  descriptors.endpoint_connections =
+      config.socket_limit - clients - kOtherDescriptors - descriptors.admin_connections;
+  if (has_cloudevents) {
+    descriptors.cloudevents_connections = has_platform ? std::max<std::size_t>(4, clients / 8) : clients;
+  }
+  descriptors.platform_connections = clients - descriptors.cloudevents_connections;
+  if (has_cloudevents) {
+    descriptors.cloudevents_body_bytes =
+        std::min(kMaxBatchBytes, config.memory_limit_bytes / 4 / descriptors.cloudevents_connections);
+  }
+  return descriptors;
 }
 
 Config ReadConfig(const Environment& environment, ConfigRequirements requirements) {
--- a/src/config/format_error.h
+++ b/src/config/format_error.h
@@ -1,5 +1,6 @@
-// Errors in text that is read from outside: configuration, operators' files, JSON from other processes. Each
-// has its message for people, and what it is about in fields.
+// Errors in text that comes from outside the process: configuration, operators' files, JSON from other
+// processes. Each error has a message for people, and its details in separate fields. Thrown by the readers
+// of such text, on any thread.
 #ifndef SAGETALLY_SRC_CONFIG_FORMAT_ERROR_H_
 #define SAGETALLY_SRC_CONFIG_FORMAT_ERROR_H_
 
@@ -9,20 +10,20 @@
 
 namespace sagetally {
 
-// Where a text is wrong. A field is empty where its reader doesn't know it.
+// Describes the fault in a text. A field that the reader of the text can't fill in is empty.
 struct FormatFault {
-  std::string key = {};       // as the format names it: a field, a JSON pointer or a variable
-  std::string expected = {};  // what should stand there
-  std::string found = {};     // what stands there
+  std::string key = {};       // a field name, a JSON pointer or an environment variable
+  std::string expected = {};  // the values or the type that would be valid
+  std::string found = {};     // the invalid value or its type
 };
 
-// A text is not in the form that its reader expects.
+// Thrown if a text is not in the format that its reader expects.
 class FormatError : public std::runtime_error {
  public:
   explicit FormatError(const std::string& message, FormatFault fault = FormatFault())
       : std::runtime_error(message), fault_(std::move(fault)) {}
 
-  // An error whose message is made from its fields: "KEY: expected EXPECTED, found FOUND".
+  // Returns an error whose message is built from its fields: "KEY: expected EXPECTED, found FOUND".
   static FormatError Unexpected(FormatFault fault) {
     const std::string message = fault.key + ": expected " + fault.expected + ", found " + fault.found;
     return FormatError(message, std::move(fault));
@@ -37,13 +38,13 @@
   FormatFault fault_;
 };
 
-// A configuration file can't be used.
+// Thrown if a configuration file can't be used.
 class ConfigError : public FormatError {
  public:
   ConfigError(const std::string& message, std::string file, FormatFault fault = FormatFault())
       : FormatError(message, std::move(fault)), file_(std::move(file)) {}
 
-  // The path of the file; empty if it is not known which one to read.
+  // The path of the file. Empty if BALANCER_CONFIG, which names the file, is not set.
   const std::string& file() const { return file_; }
 
  private:
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -82,8 +82,8 @@
 }  // namespace internal
 
 Duration Milliseconds(double milliseconds) {
-  static constexpr double kLargest = 1e12;
-  if (std::abs(milliseconds) > kLargest) Malformed("time out of range");
+  static constexpr double kMaxMilliseconds = 1e12;
+  if (std::abs(milliseconds) > kMaxMilliseconds) Malformed("time out of range");
   return Duration(std::llround(milliseconds * 1000.0));
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,6 +1,6 @@
-// Reading JSON with simdjson: typed access to fields, with errors that name the field, and quoting for JSON
-// that is written. Used by every reader of JSON from outside but the operators' files, which need a document
-// they can change.
+// Reads JSON with simdjson: gives typed access to fields, with errors that name the field. Also quotes
+// strings for JSON that is written. Every reader of JSON from outside the process uses it except the readers
+// of operators' files, which need a document that they can modify. Callable on any thread.
 #ifndef SAGETALLY_SRC_CONFIG_JSON_H_
 #define SAGETALLY_SRC_CONFIG_JSON_H_
 
@@ -20,17 +20,19 @@
 
 using Value = simdjson::dom::element;
 
-// Throws FormatError.
+// Throws FormatError with `message`.
 [[noreturn]] void Malformed(const std::string& message);
+// Throws FormatError saying that the field `name` holds a `value` of a type other than `expected`.
 [[noreturn]] void ThrowWrongType(Value value, const char* name, const char* expected);
 
-// Parses a document. The values in it last as long as `parser` and until it parses the next one. Throws
+// Parses a document. Its values are valid until `parser` is destroyed or parses the next document. Throws
 // FormatError.
 Value Parse(simdjson::dom::parser& parser, std::string_view text);
 
-// Returns the field's value, or nothing if it is absent or null. Throws FormatError if `object` is no object.
+// Returns the field's value, or nothing if it is absent or null. Throws FormatError if `object` is not an
+// object.
 std::optional<Value> Find(Value object, const char* name);
-// The same: sets `out` and returns true if the field has a value.
+// Does the same, but sets `out` and returns true if the field has a value.
 bool Find(Value object, const char* name, Value& out);
 // Returns the field's value. Throws FormatError if it is absent or null.
 Value Require(Value object, const char* name);
@@ -39,18 +41,19 @@
 
 bool AsBoolean(Value value, const char* name);
 std::string AsString(Value value, const char* name);
-// A finite number.
+// Throws FormatError if the number is not finite.
 double AsNumber(Value value, const char* name, const char* expected);
 
-// Also takes a number that is written with a fraction or an exponent, if it is whole.
+// Also accepts a number that is written with a fraction or an exponent, if its value is whole.
 template <typename T>
 T AsInteger(Value value, const char* name) {
-  static constexpr double kLargestExact = 9e15;  // doubles beyond it don't hold every whole number
+  // Doubles beyond this value can't represent every whole number.
+  static constexpr double kMaxExactInteger = 9e15;
   static constexpr const char* kExpected = "a whole number in its range";
   std::uint64_t whole = 0;
   if (value.get(whole) == simdjson::SUCCESS && std::in_range<T>(whole)) return static_cast<T>(whole);
   const double number = AsNumber(value, name, kExpected);
-  const bool is_whole = std::trunc(number) == number && std::abs(number) <= kLargestExact;
+  const bool is_whole = std::trunc(number) == number && std::abs(number) <= kMaxExactInteger;
   if (!is_whole || !std::in_range<T>(static_cast<std::int64_t>(number))) {
     ThrowWrongType(value, name, kExpected);
   }
@@ -74,36 +77,37 @@
   }
 }
 
-// Returns a field that must be there. Throws FormatError.
+// Returns the value of a required field. Throws FormatError.
 template <typename T>
 T Get(Value object, const char* name) {
   return As<T>(Require(object, name), name);
 }
-// Returns a field, or `default_value` if it is absent or null. Throws FormatError.
+// Returns the value of a field, or `default_value` if the field is absent or null. Throws FormatError.
 template <typename T>
 T Get(Value object, const char* name, T default_value) {
   const std::optional<Value> value = Find(object, name);
   return value ? As<T>(*value, name) : default_value;
 }
 
-// Returns a time given in milliseconds, rounded to microseconds. Throws FormatError beyond 1e12 ms.
+// Converts milliseconds to a duration, rounded to microseconds. Throws FormatError beyond 1e12 ms.
 Duration Milliseconds(double milliseconds);
-// Returns a field in milliseconds. Throws FormatError.
+// Returns the value of a required field that is given in milliseconds. Throws FormatError.
 Duration GetMs(Value object, const char* name);
+// Does the same, but returns `default_milliseconds` if the field is absent or null.
 Duration GetMs(Value object, const char* name, double default_milliseconds);
 
-// Returns a field that must be there and hold an array. Throws FormatError.
+// Returns the array in a required field. Throws FormatError.
 simdjson::dom::array List(Value object, const char* name);
-// Calls `use(item)` for each item of a field that is an array; not at all if it is absent or null. Throws
-// FormatError.
+// Calls `use(item)` for each item of the array in a field. Does nothing if the field is absent or null.
+// Throws FormatError.
 template <typename Use>
 void ForEach(Value object, const char* name, Use use) {
-  // An array of simdjson's that was never read must not be walked.
+  // A simdjson array that was not set by a successful read must not be iterated over.
   if (!Find(object, name)) return;
   for (const Value item : List(object, name)) use(item);
 }
 
-// Returns a string as JSON, in quotes. `text` must be UTF-8.
+// Returns `text` as a JSON string, in quotes and with escapes. `text` must be UTF-8.
 std::string Quote(std::string_view text);
 
 }  // namespace sagetally::json
--- a/src/config/json_stream.cpp
+++ b/src/config/json_stream.cpp
@@ -3,7 +3,7 @@
 namespace sagetally {
 namespace {
 
-bool IsSpaceInLine(char c) { return c == ' ' || c == '\t' || c == '\r'; }
+bool IsSpaceWithinLine(char c) { return c == ' ' || c == '\t' || c == '\r'; }
 
 }  // namespace
 
@@ -13,7 +13,7 @@
     const bool ends_blank_line = EndsBlankLine(c);
     if (IsBetweenObjects()) {
       if (ends_blank_line) on_blank_line();
-      if (IsSpaceInLine(c) || c == '\n') continue;
+      if (IsSpaceWithinLine(c) || c == '\n') continue;
       if (c != '{') return false;
     } else if (ends_blank_line || partial_.size() >= max_object_bytes_) {
       return false;
@@ -28,7 +28,7 @@
 
 bool JsonStream::EndsBlankLine(char c) {
   const bool ends_blank_line = c == '\n' && is_line_blank_;
-  is_line_blank_ = c == '\n' || (is_line_blank_ && IsSpaceInLine(c));
+  is_line_blank_ = c == '\n' || (is_line_blank_ && IsSpaceWithinLine(c));
   return ends_blank_line;
 }
 
--- a/src/config/json_stream.h
+++ b/src/config/json_stream.h
@@ -1,5 +1,5 @@
-// Cuts a stream of JSON objects into single ones, whether each stands on a line or is indented over many.
-// Used for the platform's endpoint list, on the event loop's thread. No I/O.
+// Splits a stream of JSON objects into single objects. An object may be on one line or span many lines. Used
+// for the platform's endpoint list, on the event loop's thread. No I/O.
 #ifndef SAGETALLY_SRC_CONFIG_JSON_STREAM_H_
 #define SAGETALLY_SRC_CONFIG_JSON_STREAM_H_
 
@@ -10,34 +10,35 @@
 
 namespace sagetally {
 
-// Splits one stream; holds at most one object that is not complete yet.
+// Splits one stream. Buffers at most one object, the one that is not complete yet.
 class JsonStream {
  public:
-  // `max_object_bytes` limits the length of one object.
+  // `max_object_bytes` is the maximum length of one object in bytes.
   explicit JsonStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
-  // Takes the next bytes of the stream. Calls `on_object` with the text of each object that is complete now,
-  // and `on_blank_line` for each empty line between objects. Returns false if the bytes can't be, or begin,
-  // an object, or if it is too long: then nothing that follows can be trusted. An empty line within an object
-  // is such a fault: the peer sends them only between objects, so the rest of that object won't come.
+  // Processes the next bytes of the stream. Calls `on_object` with the text of each object that is complete
+  // now, and `on_blank_line` for each blank line between objects. Returns false if the bytes are not part of
+  // an object, or if an object is too long. The rest of the stream can't be trusted then. A blank line within
+  // an object is also such an error: the peer sends blank lines only between objects, so the rest of that
+  // object will never arrive.
   bool Add(std::string_view text, const std::function<void(const std::string&)>& on_object,
            const std::function<void()>& on_blank_line);
-  // Forgets what has come, for a new stream.
+  // Discards all state, to begin a new stream.
   void Clear() { *this = JsonStream(max_object_bytes_); }
 
  private:
   bool IsBetweenObjects() const { return depth_ == 0; }
-  // Returns whether `c` ends a line that holds nothing but white space.
+  // Updates `is_line_blank_`. Returns whether `c` ends a line that contains only white space.
   bool EndsBlankLine(char c);
-  // Appends a character of an object. Returns true if it is the object's last.
+  // Appends a character to the current object. Returns whether it is the last character of the object.
   bool AppendToObject(char c);
 
   std::size_t max_object_bytes_;
   std::string partial_;  // the object that is not complete yet
-  int depth_ = 0;        // of brackets that are open
+  int depth_ = 0;        // number of open brackets and braces
   bool in_string_ = false;
   bool is_escaped_ = false;  // the last character was a backslash in a string
-  // Nothing but white space has come since a line's end or the stream's beginning.
+  // Whether only white space has arrived since the last line end or the beginning of the stream.
   bool is_line_blank_ = true;
 };
 
--- a/src/config/node_file.cpp
+++ b/src/config/node_file.cpp
@@ -98,14 +98,14 @@
   return settings;
 }
 
-// Checks what the schema can't say: which sections a role needs and which it can't have.
+// Checks the rules that the schema can't express: which sections a role requires and which it can't have.
 void CheckRole(const NodeFile& file, const std::string& role) {
   if (file.role != Role::kBoth && (!file.cloudevents || !file.eureka)) {
     throw FormatError::Unexpected(
-        {"/role", "the keys cloudevents and eureka beside the role " + role, "only some of them"});
+        {"/role", "both keys cloudevents and eureka with the role " + role, "at least one of them missing"});
   }
   if (file.role == Role::kForwarder && file.dead_letters) {
-    throw FormatError::Unexpected({"/kept", "a role that holds messages (both, planner)", "forwarder"});
+    throw FormatError::Unexpected({"/kept", "a role that stores messages (both, planner)", "forwarder"});
   }
 }
 
@@ -113,7 +113,7 @@
   try {
     return Json::parse(text);
   } catch (const Json::parse_error& error) {
-    throw FormatError(std::string("no JSON: ") + error.what(), {"", "JSON", ""});
+    throw FormatError(std::string("invalid JSON: ") + error.what(), {"", "JSON", ""});
   }
 }
 
@@ -148,7 +148,7 @@
     return ParseNodeFile(file ? text.str() : "{}", overrides);
   } catch (const FormatError& error) {
     throw ConfigError(path + ": " + error.what(), path, error.fault());
-  } catch (const std::exception& error) {  // an override that doesn't fit the file's shape
+  } catch (const std::exception& error) {  // for example an override inside a value that is not an object
     throw ConfigError(path + ": " + error.what(), path);
   }
 }
--- a/src/config/parse_number.h
+++ b/src/config/parse_number.h
@@ -1,4 +1,4 @@
-// Reading numbers from text that comes from outside.
+// Parses numbers in text that comes from outside the process. Callable on any thread.
 #ifndef SAGETALLY_SRC_CONFIG_PARSE_NUMBER_H_
 #define SAGETALLY_SRC_CONFIG_PARSE_NUMBER_H_
 
@@ -9,8 +9,8 @@
 
 namespace sagetally {
 
-// Returns the number that the whole of `text` writes, in decimal and without white space; nothing if it is no
-// number or out of the range of T.
+// Parses all of `text` as a decimal number without white space. Returns no value if it is not a number or is
+// out of the range of T.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text) {
   T value{};
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,6 +1,6 @@
-// Validation of operators' JSON files by JSON Schema, with errors that say where, what was expected and what
-// was found; and settings from the command line and the environment that override a file's. Used by the
-// readers of node.json and of the load test's files, before any thread starts.
+// Validates operators' JSON files against a JSON Schema. Errors name the location, the expected value and the
+// value that was found. Also applies settings from the command line and the environment that override those
+// of a file. Used by the readers of node.json and of the load test's files, before any thread starts.
 #ifndef SAGETALLY_SRC_CONFIG_SCHEMA_H_
 #define SAGETALLY_SRC_CONFIG_SCHEMA_H_
 
@@ -12,23 +12,24 @@
 
 namespace sagetally {
 
-// Checks a document against a schema. Throws FormatError whose key is a JSON pointer: "/cloudevents/listen:
-// expected an address, found 7".
+// Checks a document against a schema. Throws FormatError whose key is a JSON pointer, with a message such as
+// "/cloudevents/listen: expected an address, found 7".
 void ValidateAgainstSchema(const nlohmann::json& schema, const nlohmann::json& document);
 
-// One setting of a schema: a value that is not an object with properties of its own.
+// One setting of a schema. A setting is a value that is not an object with properties of its own.
 struct SettingName {
-  std::string path;  // the keys that lead to it, with points between: "cloudevents.listen"
+  std::string path;  // the keys that lead to it, separated by dots: "cloudevents.listen"
   std::string description;
 };
 // Returns all settings of a schema.
 std::vector<SettingName> SettingNames(const nlohmann::json& schema);
 
-// Settings that override a file's, by path: {"cloudevents.listen", "127.0.0.1:9080"}.
+// Settings that override those of a file, by path, for example {"cloudevents.listen", "127.0.0.1:9080"}.
 using Overrides = std::map<std::string, std::string>;
-// Sets overrides in a document. A text becomes what the schema wants at its path: a number, a boolean, a list
-// with commas between its items, or JSON for a list whose items have parts of their own. A text that is none
-// of these stays one, for Validate to reject. The paths must be the schema's.
+// Applies `overrides` to `document`. Each text is converted to the type that the schema gives for its path: a
+// number, a boolean, a list with commas between its items, or a list written as JSON, which is needed if its
+// items are objects or lists. A text that can't be converted stays a string, which ValidateAgainstSchema then
+// rejects. Every path must exist in the schema.
 void ApplyOverrides(const nlohmann::json& schema, nlohmann::json& document, const Overrides& overrides);
 
 // The text of deploy/schema/node.schema.json.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,7 +11,8 @@
 using json::GetMs;
 using json::Value;
 
-// Returns a field that is an object; an absent one reads as an empty object.
+// Returns the object in a field, or an empty object if the field is absent. Throws FormatError if the value
+// is not an object.
 Value FindSection(Value params, const char* name) {
   static simdjson::dom::parser parser;
   static const Value kEmpty = json::Parse(parser, "{}");
@@ -59,20 +60,20 @@
   }
 }
 
-// The lists of `specifics` have an item for each kind, in order; items beyond the kinds are ignored.
+// The lists in `specifics` have one item for each kind, in the same order. Excess items are ignored.
 void ReadKindsAndZones(Value params, Value specifics, SiteSettings& site) {
   ForEach(params, "flavors",
           [&](Value name) { site.kinds.push_back(json::As<std::string>(name, "flavors")); });
   ForEach(params, "zones", [&](Value name) { site.zones.push_back(json::As<std::string>(name, "zones")); });
   std::vector<DestinationKindSettings>& kinds = site.policy.kinds;
   kinds.resize(std::max<std::size_t>(1, site.kinds.size()));
-  std::size_t next = 0;
+  std::size_t index = 0;
   ForEach(specifics, "kindApart", [&](Value is_apart) {
-    if (next < kinds.size()) kinds[next++].per_endpoint_limits = json::As<bool>(is_apart, "kindApart");
+    if (index < kinds.size()) kinds[index++].per_endpoint_limits = json::As<bool>(is_apart, "kindApart");
   });
-  next = 0;
+  index = 0;
   ForEach(specifics, "bundleMax", [&](Value max_size) {
-    if (next < kinds.size()) kinds[next++].max_batch_size = json::As<int>(max_size, "bundleMax");
+    if (index < kinds.size()) kinds[index++].max_batch_size = json::As<int>(max_size, "bundleMax");
   });
   ForEach(specifics, "feeByZone",
           [&](Value price) { site.policy.zone_prices.push_back(json::As<double>(price, "feeByZone")); });
@@ -113,7 +114,8 @@
 
 }  // namespace
 
-// The order of the fields decides which one an error names if several are wrong.
+// If several fields are wrong, the error names the one that is read first, so the order of the calls is
+// observable.
 SiteSettings ReadSettings(Value params) {
   SiteSettings site;
   Settings& settings = site.policy;
--- a/src/logging/logger.cpp
+++ b/src/logging/logger.cpp
@@ -13,14 +13,15 @@
 
 constexpr std::chrono::seconds kRateWindow{1};
 
-// Bytes that are no UTF-8 are replaced, as what a peer sends must not end the process.
+// Replaces bytes that are not valid UTF-8, as data from a peer must not terminate the process by an
+// exception.
 std::string Dump(const Json& value) { return value.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 Json ToJson(const LogField::Value& value) {
   return std::visit([](const auto& content) { return Json(content); }, value);
 }
 
-// A text without spaces and the like stands as it is, everything else as JSON.
+// A string of plain characters is written unchanged, every other value as JSON.
 std::string ToText(const LogField::Value& value) {
   static constexpr char kPlainCharacters[] =
       "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
--- a/src/logging/logger.h
+++ b/src/logging/logger.h
@@ -1,5 +1,5 @@
-// The structured log: a line for each event, with the event's name and its fields, as text or as JSON. Owned
-// by the role that runs in the process, and used on the event loop's thread.
+// The structured log. It writes one line for each event, with the name of the event and its fields, as text
+// or as JSON. The program's main function owns it, and it is used on the event loop's thread.
 #ifndef SAGETALLY_SRC_LOGGING_LOGGER_H_
 #define SAGETALLY_SRC_LOGGING_LOGGER_H_
 
@@ -18,7 +18,9 @@
 
 namespace sagetally {
 
+// The format of a line.
 enum class LogFormat { kText, kJson };
+// The severity of an event, in ascending order.
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
 // One field of an event. Its name is a lower-case word.
@@ -41,24 +43,27 @@
   Value value;
 };
 
+// The options of a log.
 struct LogOptions {
   LogFormat format = LogFormat::kText;
-  LogLevel level = LogLevel::kInfo;  // lines below it are not written
-  int burst = 20;                    // most lines of one event in a second
+  LogLevel level = LogLevel::kInfo;  // events below this level are not written
+  int burst = 20;                    // maximum number of lines per event in one second
 };
 
-// Writes events to one sink, and limits each event's rate on its own: the first line after a time in which
-// lines were suppressed says how many, in the field `left_out`. Not safe across threads: other threads hand
-// their events to the event loop's.
+// Writes events to one sink and limits the rate of each event separately. The first line of an event after
+// some were suppressed gives their number in the field `left_out`. Not thread-safe: other threads must pass
+// their events to the event loop's thread.
 class Logger {
  public:
-  // Writes to standard output, flushed line by line.
+  // Writes to standard output, and flushes after each line.
   explicit Logger(LogOptions options = LogOptions());
+  // Writes to `sink`.
   Logger(LogOptions options, spdlog::sink_ptr sink);
 
-  // Whether lines of this level are written; to be asked before costly fields are made.
+  // Returns whether lines of this level are written. Check this before computing expensive fields.
   bool IsEnabled(LogLevel level) const { return level >= options_.level; }
-  // Writes one line. The event's name is lower-case words joined by points, such as "watch.lost".
+  // Writes one line, unless the level or the rate limit suppresses it. The name of an event consists of
+  // lower-case words joined by dots, such as "watch.lost".
   void Write(LogLevel level, std::string_view event, const std::vector<LogField>& fields = {});
   void Info(std::string_view event, const std::vector<LogField>& fields = {}) {
     Write(LogLevel::kInfo, event, fields);
@@ -71,7 +76,7 @@
   }
 
  private:
-  // The lines of one event in a second.
+  // Counts the lines of one event within one second.
   struct RateWindow {
     std::chrono::steady_clock::time_point begin{};
     int written_lines = 0;
@@ -79,14 +84,14 @@
   };
 
   RateWindow& FindWindow(std::string_view event);
-  // Returns whether the event may write a line now, and counts it.
+  // Returns whether the event may write a line now, and counts the line as written or suppressed.
   bool AdmitLine(RateWindow& window) const;
   std::string FormatEvent(std::string_view event) const;
   void AppendField(const std::string& name, const LogField::Value& value, std::string& line) const;
 
   const LogOptions options_;
   spdlog::logger logger_;
-  std::map<std::string, RateWindow, std::less<>> windows_;  // by event
+  std::map<std::string, RateWindow, std::less<>> windows_;  // by event name
 };
 
 }  // namespace sagetally
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// The program: reads the command line, wires one role to its event loop and runs it until it is asked to shut
-// down.
+// The program's entry point. Parses the command line, then runs a subcommand, or creates the node for the
+// configured role with its event loop and runs it until it is asked to shut down.
 #include <csignal>
 #include <exception>
 #include <iostream>
@@ -21,11 +21,11 @@
 constexpr int kExitFailure = 1;
 constexpr int kMaxHandoverAttempts = 3;
 
-ConfigRequirements RequirementsOf(const NodeFile& node_file) {
+ConfigRequirements GetRequirements(const NodeFile& node_file) {
   return {.discovery = node_file.role == Role::kBoth, .state = node_file.role != Role::kForwarder};
 }
 
-// Constructs and starts a node; again if the process that it takes over from has aborted the handover.
+// Constructs and starts a node. Retries if the predecessor process aborts the handover.
 template <typename Node>
 std::unique_ptr<Node> StartNode(EventLoop& loop, Logger& log, const Config& config,
                                 const NodeFile& node_file) {
@@ -41,7 +41,7 @@
   }
 }
 
-// A configuration that can't be used is one line in the log, and the old one stays.
+// Reloads the configuration. If the new one can't be used, logs the error and keeps the old one.
 template <typename Node>
 void ReloadConfiguration(Node& node, Logger& log, const Options& options, ConfigRequirements requirements) {
   requirements.is_reload = true;
@@ -52,13 +52,13 @@
   }
 }
 
-// Signals are handled from before the node logs that it is ready.
+// Runs one node until it shuts down. The signal handlers are installed before the node logs that it is ready.
 template <typename Node>
 void Run(const Options& options, const Config& config, const NodeFile& node_file,
          const ConfigRequirements& requirements) {
   Logger log(options.log);
   EventLoop loop;
-  std::unique_ptr<Node> node;  // the signals' callbacks run in the loop, which runs only once there is a node
+  std::unique_ptr<Node> node;  // not null in the signal callbacks, as the loop runs only after it is set
   const Signal terminate(loop, SIGTERM, [&] { node->Shutdown(); });
   const Signal interrupt(loop, SIGINT, [&] { node->Shutdown(); });
   const Signal hang_up(loop, SIGHUP, [&] { ReloadConfiguration(*node, log, options, requirements); });
@@ -71,10 +71,10 @@
 
 void Serve(const Options& options) {
   const NodeFile node_file = options.ReadNode();
-  const ConfigRequirements requirements = RequirementsOf(node_file);
+  const ConfigRequirements requirements = GetRequirements(node_file);
   const Config config = options.ReadConfiguration(requirements);
   if (node_file.role == Role::kForwarder) {
-    if (config.admin) throw std::runtime_error("admin: expected none, a forwarder has no door");
+    if (config.admin) throw std::runtime_error("admin: expected none, a forwarder has no admin server");
     Run<Forwarder>(options, config, node_file, requirements);
   } else {
     Run<Dispatcher>(options, config, node_file, requirements);
@@ -83,7 +83,7 @@
 
 void CheckConfig(const Options& options) {
   const NodeFile node_file = options.ReadNode();
-  const Config config = options.ReadConfiguration(RequirementsOf(node_file));
+  const Config config = options.ReadConfiguration(GetRequirements(node_file));
   MakeJournalSettings(config, node_file.journal);
   if (node_file.dead_letters && !node_file.dead_letters->rules_path.empty()) {
     dead_letter::ReadRules(node_file.dead_letters->rules_path, config.site.classes);
@@ -116,7 +116,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until there is a configuration that can be read again
+  std::signal(SIGHUP, SIG_IGN);  // until a node handles it by reloading its configuration
   try {
     return sagetally::RunCommand(sagetally::ParseCommandLine(argc, argv));
   } catch (const std::exception& error) {
--- a/tests/config/format_error_test.cpp
+++ b/tests/config/format_error_test.cpp
@@ -1,4 +1,4 @@
-// Errors of configuration files: what they name in their fields, and that their texts follow from them.
+// Tests the errors of configuration files: the contents of their fields, and the messages built from them.
 #undef NDEBUG
 #include "config/format_error.h"
 
@@ -42,14 +42,15 @@
   const std::string path_;
 };
 
-// The configuration with `from` replaced by `to`.
-std::string Changed(const std::string& from, const std::string& to) {
+// Returns the configuration with `old_text` replaced by `new_text`.
+std::string ReplaceInConfig(const std::string& old_text, const std::string& new_text) {
   std::string text = kConfigText;
-  const std::size_t place = text.find(from);
-  assert(place != std::string::npos);
-  return text.replace(place, from.size(), to);
+  const std::size_t position = text.find(old_text);
+  assert(position != std::string::npos);
+  return text.replace(position, old_text.size(), new_text);
 }
 
+// Calls `read`, asserts that it throws an Error, and returns the error.
 template <typename Error>
 Error Catch(const std::function<void()>& read) {
   std::optional<Error> caught;
@@ -65,15 +66,15 @@
 void ConfigurationErrorsNameKeyExpectedAndFound() {
   ParseConfig(kConfigText, NoEnvironment);
   const struct {
-    const char* from;
-    const char* to;
-    const char* text;
+    const char* old_text;
+    const char* new_text;
+    const char* message;
     const char* key;
     const char* expected;
     const char* found;
   } table[] = {
-      {R"("sockets":64)", R"("sockets":9)", "limits: 'sockets' must be 64 at least", "limits.sockets",
-       "64 at least", "9"},
+      {R"("sockets":64)", R"("sockets":9)", "limits: 'sockets' must be at least 64", "limits.sockets",
+       "at least 64", "9"},
       {R"("callsOut":8)", R"("callsOut":"x")", "settings: wrong type of 'callsOut'", "settings.callsOut",
        "a whole number in its range", "a string"},
       {R"("callsOut":8)", R"("callsOut":1.5)", "settings: wrong type of 'callsOut'", "settings.callsOut",
@@ -81,22 +82,23 @@
       {R"("slo":1,)", "", "settings: missing field 'slo'", "settings.slo", "a value", "nothing"},
       {R"("pure")", R"("holy")", "settings: unknown idempotency 'holy'", "settings.idempotency",
        "one of pure, token, side_effect", "holy"},
-      {"127.0.0.1:0", "a.test:80", "listen: 'a.test:80' is no address", "listen",
-       "an IPv4 address in numbers and a port", "a.test:80"},
+      {"127.0.0.1:0", "a.test:80", "listen: 'a.test:80' is not an address", "listen",
+       "a numeric IPv4 address and a port", "a.test:80"},
       {R"("settings":)", R"("other":)", "settings: missing field 'settings'", "settings", "a value",
        "nothing"},
       {R"("limits":{"sockets":64})", R"("limits":[])", "limits: no object around 'disk_mb'", "limits.disk_mb",
        "an object", "an array"},
   };
   for (const auto& row : table) {
-    const auto error = Catch<FormatError>([&] { ParseConfig(Changed(row.from, row.to), NoEnvironment); });
-    assert(error.what() == std::string(row.text));
+    const auto error =
+        Catch<FormatError>([&] { ParseConfig(ReplaceInConfig(row.old_text, row.new_text), NoEnvironment); });
+    assert(error.what() == std::string(row.message));
     assert(error.key() == row.key && error.expected() == row.expected && error.found() == row.found);
   }
 }
 
 void ConfigurationErrorsNameTheFile() {
-  const TemporaryFile file(Changed(R"("name":"n0")", R"("name":7)"));
+  const TemporaryFile file(ReplaceInConfig(R"("name":"n0")", R"("name":7)"));
   const auto environment = [&](const char* variable) -> const char* {
     return std::string(variable) == "BALANCER_CONFIG" ? file.path().c_str() : nullptr;
   };
@@ -115,7 +117,7 @@
          file.path() + ": " + error.key() + ": expected " + error.expected() + ", found " + error.found());
 }
 
-// Callers that know nothing of the typed errors catch them as before.
+// Callers that don't use the typed errors can catch them as std::runtime_error.
 void ErrorsAreRuntimeErrors() {
   Catch<std::runtime_error>([] { ParseConfig("{", NoEnvironment); });
   Catch<std::runtime_error>([] { ParseNodeFile("{"); });
