--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server, drains and metrics of a whole dispatcher, on real sockets.
+// Tests the admin server, drains and metrics of a complete dispatcher on real sockets.
 #include "../app/world.h"
 
 namespace sagetally {
@@ -30,44 +30,45 @@
   }
 };
 
-// The head of a platform request whose body has four bytes.
+// Returns the request line and headers of a platform request whose body has four bytes.
 std::string RequestHead(const std::string& id) {
   return "POST /aviso HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id +
          "\r\nX-Class: aviso\r\nX-Deadline: 9000m\r\nX-Envelope: dest=7\r\nContent-Length: 4\r\n\r\n";
 }
 
-// Guards against callers that block the admin server: with incomplete lines, or by taking all the clients'
-// descriptors.
+// Guards against callers that make the admin server unavailable, either by incomplete request lines or by
+// using up all descriptors for client connections.
 void AdminServerAnswersWhileOthersHoldConnections() {
   AdminWorld w;
   w.Start();
-  std::vector<std::unique_ptr<RawClient>> crowd;
+  std::vector<std::unique_ptr<RawClient>> admin_clients;
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(std::make_unique<RawClient>(w.loop, w.dispatcher->admin_port(), i % 2 ? "STAT" : ""));
+    admin_clients.push_back(
+        std::make_unique<RawClient>(w.loop, w.dispatcher->admin_port(), i % 2 ? "STAT" : ""));
     clients.push_back(std::make_unique<RawClient>(w.loop, w.dispatcher->port(), "POST /av"));
   }
   const auto started_at = std::chrono::steady_clock::now();
   for (int i = 0; i < 20; ++i) assert(w.SendAdminLine("STATUS\n") == "done ready\n");
   assert(std::chrono::steady_clock::now() - started_at < 20 * 1s);
   std::size_t open = 0;
-  for (const auto& client : crowd) open += client->closed ? 0 : 1;
+  for (const auto& client : admin_clients) open += client->closed ? 0 : 1;
   assert(open <= DivideDescriptors(ParseConfig(w.ConfigText(), [](const char*) { return nullptr; }), false)
                      .admin_connections);
-  for (const char* noise : {"status\n", "\n", "STATUS\nSTATUS\n", "\xff\xff\n", "PAUSE \n"}) {
-    assert(w.SendAdminLine(noise).starts_with("error "));
+  for (const char* malformed : {"status\n", "\n", "STATUS\nSTATUS\n", "\xff\xff\n", "PAUSE \n"}) {
+    assert(w.SendAdminLine(malformed).starts_with("error "));
   }
   assert(w.SendAdminLine(std::string(4000, 'x')).starts_with("error "));
-  assert(w.HealthStatus() == 200);  // none of these was a pause
-  // A line in pieces, and a client that leaves before its response.
+  assert(w.HealthStatus() == 200);  // no malformed line was executed as PAUSE
+  // A request line may arrive in pieces, and a client may disconnect before its response.
   RawClient pieces(w.loop, w.dispatcher->admin_port(), "STA");
-  RunUntil(w.loop, [&] { return crowd.back()->closed || true; });
+  RunUntil(w.loop, [&] { return admin_clients.back()->closed || true; });
   pieces.Write("TUS\r");
   assert(w.SendAdminLine("STATUS\n") == "done ready\n");
   pieces.Write("\n");
   RunUntil(w.loop, [&] { return pieces.closed; });
   assert(pieces.received == "done ready\n");
-  { const RawClient leaves(w.loop, w.dispatcher->admin_port(), "METRICS\n"); }
+  { const RawClient disconnecting(w.loop, w.dispatcher->admin_port(), "METRICS\n"); }
   assert(w.SendAdminLine("STATUS\n") == "done ready\n");
 }
 
@@ -76,9 +77,9 @@
   w.endpoints[0]->default_status = 0;
   w.Start();
   RawClient idle(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
-  RawClient half(w.loop, w.dispatcher->port(), RequestHead("half") + "12");
-  RawClient asking(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
-  RunUntil(w.loop, [&] { return !idle.received.empty() && !asking.received.empty(); });
+  RawClient incomplete(w.loop, w.dispatcher->port(), RequestHead("half") + "12");
+  RawClient active(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
+  RunUntil(w.loop, [&] { return !idle.received.empty() && !active.received.empty(); });
   assert(w.AwaitStatus(w.Post("aviso", "before")) == 202);
   RunUntil(w.loop, [&] { return w.CountCalls() == 1; });
   const auto paused_at = std::chrono::steady_clock::now();
@@ -86,22 +87,22 @@
   assert(w.SendAdminLine("PAUSE\n") == "done draining\n");
   assert(w.HealthStatus() == 503 && w.SendAdminLine("STATUS\n") == "error draining\n");
   // A request on an open connection is still accepted, and its response is the last one on that connection.
-  asking.received.clear();
-  asking.Write(RequestHead("open") + "1234");
-  RunUntil(w.loop, [&] { return asking.closed; });
-  assert(asking.received.find(" 202 ") != std::string::npos &&
-         asking.received.find("Connection: close") != std::string::npos);
+  active.received.clear();
+  active.Write(RequestHead("open") + "1234");
+  RunUntil(w.loop, [&] { return active.closed; });
+  assert(active.received.find(" 202 ") != std::string::npos &&
+         active.received.find("Connection: close") != std::string::npos);
   assert(w.SendAdminLine("PAUSE\n") == "done draining\n");
   RunUntil(w.loop, [&] { return idle.closed; });
-  assert(time_since_pause() >= Readiness::kIdleCloseDelay && !half.closed);
-  half.Write("34");
-  RunUntil(w.loop, [&] { return half.closed; });
-  assert(half.received.find(" 202 ") != std::string::npos);
-  // A client that ignores all this is rejected in the end, with a Retry-After.
+  assert(time_since_pause() >= Readiness::kIdleCloseDelay && !incomplete.closed);
+  incomplete.Write("34");
+  RunUntil(w.loop, [&] { return incomplete.closed; });
+  assert(incomplete.received.find(" 202 ") != std::string::npos);
+  // A client that still sends requests after kAcceptDuration is rejected with a Retry-After.
   RunUntil(w.loop, [&] { return time_since_pause() > Readiness::kAcceptDuration + 200ms; });
   ClientRequest& late = w.Post("aviso", "late");
   assert(w.AwaitStatus(late) == 503 && HeaderValue(late.headers, "Retry-After") == "1.000");
-  // Pending messages are delivered: the drain rejected none of them.
+  // The pending messages are delivered; the drain rejects none of them.
   assert(w.Metric("in_progress") == 3 && w.Metric("dropped.aviso") == 1);
   w.endpoints[0]->Release();
   RunUntil(w.loop, [&] { return w.CountCallsOf("open") == 1 && w.CountCallsOf("half") == 1; });
@@ -113,17 +114,18 @@
   RawClient keep_alive(w.loop, w.dispatcher->port(), "GET /healthz HTTP/1.1\r\n\r\n");
   RunUntil(w.loop, [&] { return !keep_alive.received.empty(); });
   assert(keep_alive.received.find("Connection: close") == std::string::npos);
-  // A drain that is resumed before its idle connections are closed closes none.
+  // A drain that is resumed before kIdleCloseDelay is over closes no idle connections.
   w.SendAdminLine("PAUSE\n");
   w.SendAdminLine("RESUME\n");
-  const auto resumed = std::chrono::steady_clock::now();
-  RunUntil(w.loop,
-           [&] { return std::chrono::steady_clock::now() - resumed > Readiness::kIdleCloseDelay + 200ms; });
+  const auto resumed_at = std::chrono::steady_clock::now();
+  RunUntil(w.loop, [&] {
+    return std::chrono::steady_clock::now() - resumed_at > Readiness::kIdleCloseDelay + 200ms;
+  });
   assert(!keep_alive.closed);
 }
 
-// A pause is not stored: the next process serves. A paused process shuts down cleanly.
-void PauseDoesNotOutliveTheProcess() {
+// A pause is not stored, so the next process accepts messages. A paused process shuts down cleanly.
+void PauseEndsWithTheProcess() {
   AdminWorld w;
   w.endpoints[0]->default_status = 0;
   w.Start();
@@ -149,9 +151,11 @@
   assert(w.Metric("known_endpoints") == 1 && w.Metric("skipped_endpoints") == 0);
   assert(w.AwaitStatus(w.Post("aviso", "a")) == 202);
   RunUntil(w.loop, [&] { return w.Metric("passed.aviso") == 1; });
-  assert(w.AwaitStatus(w.Post("aviso", "b")) == 202);  // 500 first, then delivered
+  // The first attempt of "b" gets status 500, and the second delivers it.
+  assert(w.AwaitStatus(w.Post("aviso", "b")) == 202);
   RunUntil(w.loop, [&] { return w.Metric("passed.aviso") == 2; });
-  assert(w.AwaitStatus(w.Post("pagamento", "c")) == 202);  // the connection breaks: it may have run
+  // The connection breaks during the attempt of "c", so it may have run and is not retried.
+  assert(w.AwaitStatus(w.Post("pagamento", "c")) == 202);
   RunUntil(w.loop, [&] { return w.Metric("bad_gateway.pagamento") == 1; });
   assert(w.Metric("upstream_tries") == 4 && w.Metric("in_progress") == 0);
   w.endpoints[0]->default_status = 0;
@@ -162,7 +166,7 @@
   assert(w.Metric("in_progress") + w.Metric("dropped.pedido") == 8);
   const std::uint64_t written = w.Metric("upstream_tries");
   assert(written == w.CountCalls());
-  w.Post("nothing", "x");  // malformed: counts for no class
+  w.Post("nothing", "x");  // malformed, so it is not counted for any class
   assert(w.AwaitStatus(*w.client_requests.back()) == 400 &&
          w.Metric("dropped.pedido") == static_cast<std::uint64_t>(rejected));
 }
@@ -174,7 +178,7 @@
   using namespace sagetally;
   AdminServerAnswersWhileOthersHoldConnections();
   PausedDispatcherDrainsAndResumes();
-  PauseDoesNotOutliveTheProcess();
+  PauseEndsWithTheProcess();
   MetricsCountEveryFinalStatus();
   std::puts("4 passed, 0 failed");
 }
--- a/tests/admin/golden_test.cpp
+++ b/tests/admin/golden_test.cpp
@@ -1,6 +1,6 @@
-// The metrics page and the status words, made again and compared byte for byte with those of the program
-// before its code was renamed. tests/golden/README.md says how the files were made, make_golden.cpp what they
-// were made from.
+// Compares the metrics page and the status texts byte for byte with golden files, which an earlier version of
+// the program wrote before its identifiers were renamed. tests/golden/README.md explains how the files were
+// created, and make_golden.cpp contains their input.
 #undef NDEBUG
 #include <fmt/format.h>
 
@@ -29,19 +29,20 @@
   return bytes.str();
 }
 
-// Prints the first line that differs, so that a failure says more than an assertion.
-void ExpectSameBytes(const std::string& made, const std::string& golden) {
-  if (made == golden) return;
-  std::istringstream made_lines(made);
+// Asserts that both texts are equal. If not, prints the first line that differs, which an assertion alone
+// does not show.
+void ExpectSameBytes(const std::string& actual, const std::string& golden) {
+  if (actual == golden) return;
+  std::istringstream actual_lines(actual);
   std::istringstream golden_lines(golden);
-  std::string made_line;
+  std::string actual_line;
   std::string golden_line;
   do {
-    if (!std::getline(made_lines, made_line)) made_line = "(end)";
+    if (!std::getline(actual_lines, actual_line)) actual_line = "(end)";
     if (!std::getline(golden_lines, golden_line)) golden_line = "(end)";
-  } while (made_line == golden_line && made_lines && golden_lines);
-  std::fprintf(stderr, "made:   %s\ngolden: %s\n", made_line.c_str(), golden_line.c_str());
-  assert(made == golden);
+  } while (actual_line == golden_line && actual_lines && golden_lines);
+  std::fprintf(stderr, "actual: %s\ngolden: %s\n", actual_line.c_str(), golden_line.c_str());
+  assert(actual == golden);
 }
 
 void RecordCompletions(Metrics& metrics, int message_class, FinalStatus status, int attempts, int times) {
@@ -62,12 +63,12 @@
     RecordCompletions(metrics, i, FinalStatus::kFailed, 2, 21 + i);
     metrics.RecordRejection(i);
   }
-  RecordCompletions(metrics, kUnknownClass, FinalStatus::kDelivered, 1, 1);  // counts nowhere
+  RecordCompletions(metrics, kUnknownClass, FinalStatus::kDelivered, 1, 1);  // is not counted
   for (int i = 0; i < 1234; ++i) metrics.RecordCallWritten();
   ExpectSameBytes(metrics.FormatStatsd(kGauges), ReadGolden("metrics.txt"));
 }
 
-// One line of operate.json, without the comma after it.
+// Returns one line of operate.json, without the trailing comma.
 std::string StatusLine(const Readiness& readiness, std::size_t pending_messages, std::size_t connections) {
   return fmt::format(R"(  {{"phase_number":{},"held":{},"connections":{},"ready":{},"word":"{}"}})",
                      static_cast<int>(readiness.phase()), pending_messages, connections, readiness.IsReady(),
@@ -95,15 +96,15 @@
   return lines;
 }
 
-void StatusWordsAreUnchanged() {
-  std::string made = "{\n \"metrics_gauges\": {\n";
-  made += fmt::format("  \"in_progress\": {},\n", kGauges.in_progress);
-  made += fmt::format("  \"known_endpoints\": {},\n", kGauges.known_endpoints);
-  made += fmt::format("  \"skipped_endpoints\": {}\n }},\n \"status\": [\n", kGauges.avoided_endpoints);
+void StatusTextsAreUnchanged() {
+  std::string actual = "{\n \"metrics_gauges\": {\n";
+  actual += fmt::format("  \"in_progress\": {},\n", kGauges.in_progress);
+  actual += fmt::format("  \"known_endpoints\": {},\n", kGauges.known_endpoints);
+  actual += fmt::format("  \"skipped_endpoints\": {}\n }},\n \"status\": [\n", kGauges.avoided_endpoints);
   const std::vector<std::string> lines = StatusLines();
-  for (const std::string& line : lines) made += line + (&line == &lines.back() ? "\n" : ",\n");
-  made += " ]\n}\n";
-  ExpectSameBytes(made, ReadGolden("expected/operate.json"));
+  for (const std::string& line : lines) actual += line + (&line == &lines.back() ? "\n" : ",\n");
+  actual += " ]\n}\n";
+  ExpectSameBytes(actual, ReadGolden("expected/operate.json"));
 }
 
 }  // namespace
@@ -111,6 +112,6 @@
 
 int main() {
   sagetally::MetricsPageIsUnchanged();
-  sagetally::StatusWordsAreUnchanged();
+  sagetally::StatusTextsAreUnchanged();
   std::puts("2 passed, 0 failed");
 }
--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -1,5 +1,6 @@
-// Random histories of a dispatcher with restarts. Its clients and endpoints count on their own how messages
-// end; each completion moves exactly one counter of the metrics, in the process in which it happens.
+// Runs random sequences of events, including restarts, on a dispatcher. The simulated clients and endpoints
+// count the completed messages independently. Each completion must increment exactly one counter of the
+// metrics, in the process in which the message completes.
 #include <set>
 
 #include "../pipeline/pipeline_node.h"
@@ -9,15 +10,16 @@
 
 constexpr int kClasses = 3;
 
-// What clients and endpoints have seen of one process, by class.
+// Completions and rejections that clients and endpoints have observed in one process, by class.
 struct ExpectedCounts {
   std::array<std::uint64_t, kClasses> delivered{};
   std::array<std::uint64_t, kClasses> rejected{};
   std::array<std::uint64_t, kClasses> failed{};
-  std::array<std::uint64_t, kClasses> client_left{};  // rejected or failed, unseen
+  // Messages that were rejected or failed; their clients left before they could observe which.
+  std::array<std::uint64_t, kClasses> client_left{};
 };
 
-// One dispatcher through random events and restarts.
+// Runs random events and restarts on one dispatcher.
 class RandomHistory {
  public:
   explicit RandomHistory(std::uint64_t seed) : random_(seed) { Restart(); }
@@ -33,7 +35,8 @@
       case 4:
         return Draw(3) == 0 ? Restart() : SubmitNew(1);
       case 5:
-        return node_->AdvanceTime(std::chrono::milliseconds(1 << Draw(13)));  // up to beyond every deadline
+        // Advances by 1 ms to 8.192 s. The messages' deadlines are at most 9.001 s after their submission.
+        return node_->AdvanceTime(std::chrono::milliseconds(1 << Draw(13)));
       case 6:
         return AcknowledgeNotification();
       case 7:
@@ -47,7 +50,7 @@
   void Check() {
     const std::string text = node_->metrics.FormatStatsd({});
     const auto counter = [&](const std::string& name, int message_class) {
-      const std::string prefix = "balancer." + name + "." + names_[message_class] + ":";
+      const std::string prefix = "balancer." + name + "." + class_names_[message_class] + ":";
       return std::stoull(text.substr(text.find(prefix) + prefix.size()));
     };
     for (int i = 0; i < kClasses; ++i) {
@@ -55,7 +58,7 @@
       const std::uint64_t failed = counter("bad_gateway", i);
       assert(counter("passed", i) == expected_.delivered[i]);
       assert(rejected >= expected_.rejected[i] && failed >= expected_.failed[i]);
-      // Messages whose clients left before the response count as either.
+      // Messages whose clients left before the response are counted as rejected or as failed.
       assert(rejected + failed == expected_.rejected[i] + expected_.failed[i] + expected_.client_left[i]);
     }
     std::size_t pending = 0;
@@ -64,7 +67,7 @@
   }
 
   int completions = 0;
-  int restarts = -1;  // the first start counts too
+  int restarts = -1;  // -1, as the first start also increments it
 
  private:
   struct KnownMessage {
@@ -73,8 +76,8 @@
     bool completed = false;
   };
 
-  // A number from 0 to `largest`.
-  int Draw(int largest) { return boost::random::uniform_int_distribution<int>(0, largest)(random_); }
+  // Returns a random number from 0 to `max`.
+  int Draw(int max) { return boost::random::uniform_int_distribution<int>(0, max)(random_); }
 
   void Restart() {
     node_.reset();
@@ -88,7 +91,8 @@
   }
   void OnNotified(const Message& message) {
     KnownMessage& known = messages_.at(message.request.id);
-    if (std::exchange(known.completed, true)) return;  // notified again: counted where it completed
+    // A repeated notification is not counted: the message was counted when it completed.
+    if (std::exchange(known.completed, true)) return;
     ++completions;
     const bool is_rejected = message.final_status == FinalStatus::kRejected;
     ++(is_rejected ? expected_.rejected : expected_.failed)[known.message_class];
@@ -103,11 +107,12 @@
     Request request;
     request.id = id;
     request.message_class = message_class;
-    request.destination = Draw(20) == 0 ? 8 : 7;  // 8 has no endpoint
+    request.destination = Draw(20) == 0 ? 8 : 7;  // destination 8 has no endpoint
     request.time_left = std::chrono::milliseconds(1 + Draw(9000));
     request.body =
-        std::string(Draw(4) == 0 ? Draw(12'000) : 0, 'b');  // so that the disk fills up now and then
-    request.protocol = IngressProtocol::kCloudEvents;       // these are remembered, and may come again
+        std::string(Draw(4) == 0 ? Draw(12'000) : 0, 'b');  // large bodies fill the disk now and then
+    // CloudEvents are remembered after completion and may be submitted again.
+    request.protocol = IngressProtocol::kCloudEvents;
     return request;
   }
   void Submit(std::vector<Request> requests) {
@@ -144,13 +149,15 @@
   void SubmitNew(int size) {
     std::vector<Request> requests;
     for (int i = 0; i < size; ++i) {
-      const std::string id = "m" + std::to_string(next_++);
+      const std::string id = "m" + std::to_string(next_message_id_++);
       requests.push_back(MakeRequest(id, Draw(kClasses - 1)));
     }
-    if (Draw(20) == 0) requests.back().time_left = Duration(0);  // malformed: none of them counts
+    // A malformed message: no message of the request is counted.
+    if (Draw(20) == 0) requests.back().time_left = Duration(0);
     Submit(std::move(requests));
   }
-  // A message that is pending, or whose completion is remembered: the same response, and no count.
+  // Submits a duplicate of a message that is pending or whose completion is remembered. It gets the same
+  // response and is not counted.
   void SubmitDuplicate() {
     for (const auto& [id, known] : messages_) {
       if (!known.accepted || Draw(3) != 0) continue;
@@ -163,7 +170,7 @@
       return;
     }
   }
-  // The oldest call in flight gets a result.
+  // Completes the oldest call in flight with a random outcome.
   void CompleteCall() {
     if (node_->calls.empty()) return;
     static constexpr Outcome kOutcomes[] = {Outcome::kOk,       Outcome::kOk,      Outcome::kError,
@@ -171,7 +178,8 @@
                                             Outcome::kReset};
     KnownMessage& known = messages_.at(node_->calls.front().request->id);
     const Outcome outcome = kOutcomes[Draw(6)];
-    const bool is_expired = outcome == Outcome::kRejected && Draw(3) == 0;  // by the endpoint's own word
+    // Whether the endpoint reports the message as expired.
+    const bool is_expired = outcome == Outcome::kRejected && Draw(3) == 0;
     if ((outcome == Outcome::kOk || is_expired) && !std::exchange(known.completed, true)) {
       ++completions;
       ++(is_expired ? expected_.failed : expected_.delivered)[known.message_class];
@@ -180,18 +188,18 @@
   }
 
   const Config config_ = ConfigWithOneEndpoint();
-  const std::vector<std::string> names_ = config_.site.classes;
+  const std::vector<std::string> class_names_ = config_.site.classes;
   FaultInjectingFileSystem disk_;
   TestClock clock_;
   boost::random::mt19937_64 random_;
   std::unique_ptr<PipelineNode> node_;
   ExpectedCounts expected_;
   std::map<std::string, KnownMessage> messages_;
-  int next_ = 0;
+  int next_message_id_ = 0;
   bool draining_ = false;
 };
 
-void EachCompletionMovesOneCounterThroughRandomHistories() {
+void EachCompletionIncrementsOneCounterInRandomHistories() {
   int completions = 0;
   int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
@@ -212,6 +220,6 @@
 
 int main() {
   using namespace sagetally;
-  EachCompletionMovesOneCounterThroughRandomHistories();
+  EachCompletionIncrementsOneCounterInRandomHistories();
   std::puts("1 passed, 0 failed");
 }
--- a/tests/admin/readiness_test.cpp
+++ b/tests/admin/readiness_test.cpp
@@ -1,4 +1,4 @@
-// Admin requests, readiness and metrics, without I/O.
+// Tests the parsing of admin requests, readiness and metrics, without I/O.
 #undef NDEBUG
 #include "admin/readiness.h"
 
@@ -37,7 +37,7 @@
       {"STATUS \n", State::kMalformed, AdminCommand::kNone},
       {"STATUS\r\r\n", State::kMalformed, AdminCommand::kNone},
       {"STATUSES\n", State::kMalformed, AdminCommand::kNone},
-      {"PAUSE\nRESUME\n", State::kMalformed, AdminCommand::kNone},  // neither is run
+      {"PAUSE\nRESUME\n", State::kMalformed, AdminCommand::kNone},  // neither command is executed
       {"PAUSE\nx", State::kMalformed, AdminCommand::kNone},
       {"GET /healthz HTTP/1.1\r\n", State::kMalformed, AdminCommand::kNone},
       {{"PAUSE\0\n", 7}, State::kMalformed, AdminCommand::kNone},
@@ -66,14 +66,16 @@
   assert(readiness.StatusWord(0, 1) == "draining" && readiness.StatusWord(0, 0) == "drained");
   assert(readiness.IsAccepting(10s + Readiness::kAcceptDuration - 1us) &&
          !readiness.IsAccepting(10s + Readiness::kAcceptDuration));
-  assert(readiness.Pause(11s));                                             // the second pause has no effect:
-  assert(!readiness.IsAccepting(10s + Readiness::kAcceptDuration));         // ... times count from the first
-  assert(readiness.Resume() && readiness.IsReady() && readiness.Resume());  // while draining, and once more
+  // A second pause has no effect: kAcceptDuration starts at the first one.
+  assert(readiness.Pause(11s));
+  assert(!readiness.IsAccepting(10s + Readiness::kAcceptDuration));
+  // Resuming succeeds while draining, and again while serving.
+  assert(readiness.Resume() && readiness.IsReady() && readiness.Resume());
   assert(!readiness.IsClosingConnections() && readiness.IsAccepting(99s));
   assert(readiness.Pause(20s) && readiness.IsAccepting(20s) && readiness.Resume());
 }
 
-// There is no way back.
+// Neither a pause nor a resume leaves the phases after a handover or the start of a shutdown.
 void HandoverAndShutdownAreFinal() {
   Readiness readiness;
   readiness.OnStarted();
@@ -88,7 +90,7 @@
   assert(readiness.phase() == Readiness::Phase::kStopping);
 }
 
-// The time counts from whichever came first.
+// The time in which requests are accepted starts at the pause or the shutdown, whichever came first.
 void ShutdownAcceptsForAsLongAsADrain() {
   Readiness stopping;
   Readiness paused;
@@ -104,7 +106,7 @@
   assert(paused.IsAccepting(41s) && !paused.IsAccepting(40s + Readiness::kAcceptDuration));
 }
 
-void PauseBeforeTheStartHoldsUnlessResumed() {
+void PauseBeforeTheStartTakesEffectUnlessResumed() {
   Readiness paused_early;
   assert(paused_early.Pause(1s) && paused_early.phase() == Readiness::Phase::kStarting);
   paused_early.OnStarted();
@@ -115,7 +117,7 @@
   assert(resumed_early.IsReady());
 }
 
-void EachCompletionMovesOneCounter() {
+void EachCompletionIncrementsOneCounter() {
   Metrics metrics({"aviso", "pedido"});
   Message message;
   message.request.message_class = 1;
@@ -125,7 +127,7 @@
     message.final_status = status;
     metrics.RecordCompletion(message);
   }
-  message.attempts = 0;  // withdrawn by its client unsent
+  message.attempts = 0;  // withdrawn by its client before it was sent
   metrics.RecordCompletion(message);
   metrics.RecordRejection(0);
   metrics.RecordRejection(7);  // no such class
@@ -149,7 +151,7 @@
   PauseDrainsUntilResumed();
   HandoverAndShutdownAreFinal();
   ShutdownAcceptsForAsLongAsADrain();
-  PauseBeforeTheStartHoldsUnlessResumed();
-  EachCompletionMovesOneCounter();
+  PauseBeforeTheStartTakesEffectUnlessResumed();
+  EachCompletionIncrementsOneCounter();
   std::puts("6 passed, 0 failed");
 }
--- a/tests/cli/help.sh
+++ b/tests/cli/help.sh
@@ -1,18 +1,18 @@
 #!/bin/sh
-# The help texts of sagetally and of each of its subcommands, and its version, are byte for byte as in tests/golden/help:
-# operators' scripts read them. Arguments: the program, the folder of the expected texts.
+# Checks that the help texts of sagetally and of each of its subcommands, and the version text, are equal byte for byte to
+# those in tests/golden/help, as operators' scripts parse them. Arguments: the program, the folder of the expected texts.
 set -eu
 program=$1
 expected=$2
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 
-# Help texts show the values that variables give.
+# Unsets the variables, as help texts show the values that are set by them.
 for variable in $(env | sed -n 's/^\(BALANCER_[A-Za-z0-9_]*\|SAGETALLY_[A-Za-z0-9_]*\)=.*/\1/p'); do
   unset "$variable"
 done
 
-# The usage line names the program as it was called.
+# The link gives the program the name sagetally, as the usage line shows the name by which it was called.
 ln -s "$program" "$scratch/sagetally"
 PATH=$scratch:$PATH
 
@@ -34,7 +34,7 @@
 for text in "$expected"/sagetally.txt "$expected"/sagetally-*.txt; do
   name=$(basename "$text")
   case $name in
-    sagetally-lab*) continue ;; # the other program
+    sagetally-lab*) continue ;; # sagetally-lab is another program
   esac
   checked=$((checked + 1))
   if ! cmp -s "$text" "$scratch/$name"; then
@@ -44,7 +44,7 @@
   fi
   rm -f "$scratch/$name"
 done
-# A subcommand that has no expected text.
+# The remaining texts are those of subcommands that have no expected text.
 for text in "$scratch"/*.txt; do
   [ -e "$text" ] || continue
   echo "FAILED: $(basename "$text") is not in $expected"
--- a/tests/cli/reader_output.sh
+++ b/tests/cli/reader_output.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# What `sagetally journal` and `sagetally kept` print of stored files, with their exit codes, is byte for byte as in
-# tests/golden/reader-output. Each file there begins with its command. Arguments: the program, the folder tests/golden.
+# Checks that the output and the exit codes of `sagetally journal` and `sagetally kept` on stored files are equal byte for
+# byte to tests/golden/reader-output. The first line of each file there is its command. Arguments: the program, the folder
+# tests/golden.
 set -euo pipefail
 program=$1
 golden=$2
@@ -12,7 +13,7 @@
   esac
 done
 
-cp -r "$golden" "$scratch/copy" # SQLite makes files beside what it opens
+cp -r "$golden" "$scratch/copy" # a copy, as SQLite creates files next to the database
 cd "$scratch/copy"
 rm -rf reader-output
 ln -s "$program" "$scratch/sagetally"
@@ -20,7 +21,7 @@
 
 passed=0
 failed=0
-for expected in "$golden"/reader-output/*.txt; do # in this order: restored-stats reads what journal-restore makes
+for expected in "$golden"/reader-output/*.txt; do # alphabetical order, as restored-stats reads the output of journal-restore
   command=$(sed -n '1s/^\$ //p' "$expected")
   code=0
   {
@@ -36,6 +37,6 @@
     failed=$((failed + 1))
   fi
 done
-diff -r snapshot snapshot-by-command # journal-snapshot's copy
+diff -r snapshot snapshot-by-command # the copy that journal-snapshot wrote
 echo "$passed passed, $failed failed"
 [ "$passed" -gt 20 ] && [ "$failed" = 0 ]
--- a/tests/logging/logger_test.cpp
+++ b/tests/logging/logger_test.cpp
@@ -1,4 +1,4 @@
-// The log: its text and JSON forms, and the rate limit of each event.
+// Tests the text and JSON formats of the log, and the rate limit of each event.
 #undef NDEBUG
 #include "logging/logger.h"
 
@@ -12,7 +12,7 @@
 namespace sagetally {
 namespace {
 
-void LinesHaveTheEventAndItsFields() {
+void LinesContainTheEventAndItsFields() {
   std::ostringstream out;
   const auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(out);
   Logger text_log(LogOptions{}, sink);
@@ -27,7 +27,7 @@
          line["bytes"].is_string());
 }
 
-void OneEventIsLimitedAndOthersAreNot() {
+void RateLimitAppliesToEachEventSeparately() {
   std::ostringstream out;
   Logger log(LogOptions{LogFormat::kText, LogLevel::kInfo, 3},
              std::make_shared<spdlog::sinks::ostream_sink_st>(out));
@@ -41,7 +41,7 @@
 }  // namespace sagetally
 
 int main() {
-  sagetally::LinesHaveTheEventAndItsFields();
-  sagetally::OneEventIsLimitedAndOthersAreNot();
+  sagetally::LinesContainTheEventAndItsFields();
+  sagetally::RateLimitAppliesToEachEventSeparately();
   std::puts("2 passed, 0 failed");
 }
