--- a/src/admin/readiness.cpp
+++ b/src/admin/readiness.cpp
@@ -34,8 +34,8 @@
 
 void Readiness::Stop(Time now) {
   if (phase_ == Phase::kStopping) return;
-  // A drain that has already started keeps its time limit. Before the start and after a handover no request
-  // is accepted any longer; after a handover the requests belong to the other process.
+  // A drain that has already started keeps its time limit. In kStarting and kHandedOver no requests are
+  // accepted during the shutdown; after a handover they belong to the other process.
   if (phase_ == Phase::kServing) {
     accept_until_ = now + kAcceptDuration;
   } else if (phase_ != Phase::kDraining) {
