--- a/src/estimators/durations.h
+++ b/src/estimators/durations.h
@@ -1,4 +1,4 @@
-// Conversions between durations and seconds.
+// Conversions between Duration and seconds.
 #ifndef SAGETALLY_SRC_ESTIMATORS_DURATIONS_H_
 #define SAGETALLY_SRC_ESTIMATORS_DURATIONS_H_
 
@@ -8,10 +8,10 @@
 
 namespace sagetally {
 
-// Seconds as a floating-point number, with the resolution of a microsecond.
+// Returns the duration in seconds, with the resolution of a microsecond.
 inline double ToSeconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
 
-// The nearest microsecond.
+// Returns the seconds as a duration, rounded to the nearest microsecond.
 inline Duration FromSeconds(double seconds) { return Duration(std::llround(seconds * 1e6)); }
 
 }  // namespace sagetally
--- a/src/estimators/expiry_queue.h
+++ b/src/estimators/expiry_queue.h
@@ -1,4 +1,4 @@
-// Items by the time at which they expire.
+// A queue of items in the order in which they expire. The dispatch policy keeps message ids in it.
 #ifndef SAGETALLY_SRC_ESTIMATORS_EXPIRY_QUEUE_H_
 #define SAGETALLY_SRC_ESTIMATORS_EXPIRY_QUEUE_H_
 
@@ -11,16 +11,17 @@
 
 namespace sagetally {
 
+// Strings, each with the time at which it expires. A string may be in the queue more than once.
 class ExpiryQueue {
  public:
   void Add(Time expires_at, std::string item) { items_.emplace(expires_at, std::move(item)); }
 
-  // When the next item expires, if there is one.
+  // Returns when the next item expires, or nothing if the queue is empty.
   std::optional<Time> NextExpiry() const {
     return items_.empty() ? std::nullopt : std::optional(items_.begin()->first);
   }
 
-  // Removes and returns the next item that expires before `time`.
+  // Removes and returns the next item if it expires before `time`; returns nothing otherwise.
   std::optional<std::string> PopBefore(Time time) {
     if (items_.empty() || items_.begin()->first >= time) return std::nullopt;
     return std::move(items_.extract(items_.begin()).mapped());
--- a/src/estimators/latency_estimate.h
+++ b/src/estimators/latency_estimate.h
@@ -1,4 +1,5 @@
-// Mean and variance of call latencies, as exponentially weighted moving averages.
+// Mean and variance of call latencies, as exponentially weighted moving averages. The dispatch policy uses
+// them for timeouts, relegation and the detection of overdue calls.
 #ifndef SAGETALLY_SRC_ESTIMATORS_LATENCY_ESTIMATE_H_
 #define SAGETALLY_SRC_ESTIMATORS_LATENCY_ESTIMATE_H_
 
@@ -9,14 +10,16 @@
 
 namespace sagetally {
 
-// The first samples weigh alike; from kWindow samples on, older ones are forgotten.
+// An estimate from samples. The first kWindow samples have equal weights; from then on the weights of older
+// samples decay.
 class LatencyEstimate {
  public:
   // Takes in the latency of one more answered call.
   void Add(Duration latency) {
     auto sample = static_cast<double>(latency.count());
     count_ += 1;
-    // One outlier counts as four deviations at most, so that a long tail cannot swing the estimate.
+    // A sample counts as at most the mean plus four standard deviations and half of the mean, so that a long
+    // tail does not swing the estimate.
     if (count_ > kTrustedCount) sample = std::min(sample, mean_ + 4 * std::sqrt(variance_) + 0.5 * mean_);
     const double weight = 1.0 / std::min(count_, kWindow);
     const double difference = sample - mean_;
@@ -24,27 +27,31 @@
     variance_ = (1 - weight) * (variance_ + weight * difference * difference);
   }
 
-  // Samples so far.
+  // Returns the number of samples so far.
   double Count() const { return count_; }
-  // Microseconds; 0 before the first sample.
+  // Returns the mean in microseconds; 0 before the first sample.
   double Mean() const { return mean_; }
-  // Square microseconds; 0 before the second sample.
+  // Returns the variance in square microseconds; 0 before the second sample.
   double Variance() const { return variance_; }
 
  private:
-  static constexpr double kWindow = 12.0;       // samples: follows a slowdown within about ten calls
-  static constexpr double kTrustedCount = 8.0;  // samples after which outliers are bounded
+  // Samples over which the estimate averages, so that it follows a slowdown within about ten calls.
+  static constexpr double kWindow = 12.0;
+  // Samples after which outliers are bounded.
+  static constexpr double kTrustedCount = 8.0;
 
   double count_ = 0;
   double mean_ = 0;
   double variance_ = 0;
 };
 
-constexpr double kGlobalLatencyWeight = 4.0;  // samples of `own` that `global` weighs as much as
+// `global` weighs as much in PooledLatency as this many samples of `own`.
+constexpr double kGlobalLatencyWeight = 4.0;
 
-// The mean of `own` plus `deviations` standard deviations, 0 before the first sample of `own`. While `own`
-// has few samples the estimate leans on `global`, which weighs as kGlobalLatencyWeight of them. The deviation
-// counts for one mean at most.
+// Returns the mean latency plus `deviations` standard deviations, or 0 before the first sample of `own`. The
+// mean and the deviation are weighted averages of those of `own` and `global`, so that the estimate depends
+// mostly on `global` while `own` has few samples. The standard deviation is taken to be no larger than the
+// mean.
 inline Duration PooledLatency(const LatencyEstimate& own, const LatencyEstimate& global, double deviations) {
   if (own.Count() == 0) return Duration(0);
   const double weight = own.Count() / (own.Count() + kGlobalLatencyWeight);
--- a/src/estimators/minimum.h
+++ b/src/estimators/minimum.h
@@ -1,4 +1,4 @@
-// The item with the lowest value of those offered; of equal ones the first.
+// Finds the item with the lowest value of all that are offered; if several have it, the first of them.
 #ifndef SAGETALLY_SRC_ESTIMATORS_MINIMUM_H_
 #define SAGETALLY_SRC_ESTIMATORS_MINIMUM_H_
 
@@ -6,9 +6,11 @@
 
 namespace sagetally {
 
+// `item` is the item found so far and `value` its value.
 template <typename Item>
 struct Minimum {
-  Item item = {};  // the default until one is offered with a value below `value`
+  // Default-constructed until an item with a value below `value` is offered.
+  Item item = {};
   double value = std::numeric_limits<double>::infinity();
 
   void Offer(const Item& candidate, double candidate_value) {
--- a/src/estimators/random_source.h
+++ b/src/estimators/random_source.h
@@ -1,4 +1,4 @@
-// Seeded random numbers, the same on every run.
+// A source of random numbers from a seed. The same seed gives the same numbers on every run.
 #ifndef SAGETALLY_SRC_ESTIMATORS_RANDOM_SOURCE_H_
 #define SAGETALLY_SRC_ESTIMATORS_RANDOM_SOURCE_H_
 
@@ -14,12 +14,13 @@
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  // Uniform in [low, high).
+  // Returns a number that is uniformly distributed in [low, high).
   double Uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(engine_);
   }
 
-  // `duration`, longer or shorter by up to `fraction` of it: those that failed together come back spread out.
+  // Returns `duration` with jitter: longer or shorter by up to `fraction` of it, so that dispatchers that
+  // failed together do not return together.
   Duration Jitter(Duration duration, double fraction = kDefaultFraction) {
     return FromSeconds(ToSeconds(duration) * Uniform(1 - fraction, 1 + fraction));
   }
--- a/src/estimators/sliding_window.h
+++ b/src/estimators/sliding_window.h
@@ -1,4 +1,4 @@
-// Counts events within a time window.
+// Counts the events within a sliding time window.
 #ifndef SAGETALLY_SRC_ESTIMATORS_SLIDING_WINDOW_H_
 #define SAGETALLY_SRC_ESTIMATORS_SLIDING_WINDOW_H_
 
@@ -10,15 +10,17 @@
 
 namespace sagetally {
 
+// The length of the window is given at each call; it must be the same at all of them.
 class SlidingWindow {
  public:
-  // Counts one event and drops those that are older than `length`.
+  // Counts one event and drops the events that are older than `length`.
   void Add(Time now, Duration length) {
     events_.push_back(now);
     while (events_.front() + length < now) events_.pop_front();
   }
 
-  // Events a second within `length` of the last one; a window of less than 0.1 s counts as 0.1 s.
+  // Returns the events a second in the window of `length` that ends with the last event. A window of less
+  // than 0.1 s counts as 0.1 s.
   double Rate(Duration length) const {
     return static_cast<double>(events_.size()) / std::max(kMinSeconds, ToSeconds(length));
   }
--- a/src/estimators/token_bucket.h
+++ b/src/estimators/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket whose rate is given at each refill, so that the owner may change it at any time.
+// A token bucket. Its rate is given at each refill, so that the owner may change it at any time.
 #ifndef SAGETALLY_SRC_ESTIMATORS_TOKEN_BUCKET_H_
 #define SAGETALLY_SRC_ESTIMATORS_TOKEN_BUCKET_H_
 
@@ -10,11 +10,13 @@
 namespace sagetally {
 
 struct TokenBucket {
-  double tokens = 0;   // negative after more was taken than there was
-  Time updated_at{0};  // a time in the future holds tokens back until then
+  // Tokens as of updated_at. Negative if more were taken than there were.
+  double tokens = 0;
+  // If this is in the future, tokens are held back until then.
+  Time updated_at{0};
 
-  // Adds what `rate` (tokens a second) has brought since the last refill, up to `capacity` tokens. Returns
-  // the time until a whole token is there, at least a millisecond, or 0 if there is one.
+  // Adds the tokens that came since the last refill at `rate` tokens a second, up to `capacity` tokens.
+  // Returns the time until there is a whole token, at least a millisecond, or 0 if there is one.
   Duration Refill(Time now, double rate, double capacity) {
     tokens = std::min(capacity, tokens + rate * ToSeconds(now - updated_at));
     updated_at = now;
--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -1,5 +1,6 @@
-// The decision module: takes in events, decides once by the units of src/policy and answers with actions. The
-// units are headers, as only this file uses them; each includes the ones that it builds on.
+// Implements DispatchPolicy: takes in events, decides once and answers with actions. The decisions are in the
+// headers of src/policy. They are headers because only this file uses them; each includes the ones that it
+// builds on.
 #include "sagetally/dispatch_policy.h"
 
 #include "estimators/settings_validation.h"
@@ -27,9 +28,11 @@
     Relegate(state_);
     CloseExpiredConnections(state_);
     Release(state_);
-    ShedOverflow(state_);  // last: what can leave at once is not shed for what waits
+    // Last, so that a message that can be sent at once is not shed in favour of one that waits.
+    ShedOverflow(state_);
     EraseExpired();
-    std::erase_if(state_.active, [](const auto& entry) { return entry.second->waiting_count == 0; });
+    std::erase_if(state_.active_destinations,
+                  [](const auto& entry) { return entry.second->waiting_count == 0; });
     RequestTimer();
   }
 
@@ -62,7 +65,7 @@
     Endpoint& endpoint = state_.endpoints.at(record.endpoint);
     const bool is_removed = record.state == EndpointRecord::State::kRemoved;
     endpoint.removed_at = is_removed ? std::optional(endpoint.removed_at.value_or(state_.now)) : std::nullopt;
-    // A draining or removed endpoint gets nothing more from this batch on.
+    // From this run on, an endpoint that is draining or removed gets no calls.
     endpoint.accepts_calls = record.state == EndpointRecord::State::kUp;
     const bool has_rate = record.rate > 0 && state_.settings.advertised_rates != AdvertisedRates::kNone;
     if (endpoint.accepts_calls && has_rate) endpoint.scope->advertised_rate = record.rate;
@@ -82,22 +85,26 @@
     ValidateIndex(event.message_class, state_.settings.classes.size(), "class of message", event.id);
     if (state_.messages.contains(event.id)) return;
     Message& message = AddMessage(event);
-    // The history of a message from before a restart binds as if this dispatcher had made the attempts.
-    const auto ran_at = state_.endpoints.find(event.first_uncertain_endpoint);
-    if (ran_at != state_.endpoints.end()) SetUncertainEndpoint(message, ran_at->second);
-    const auto in_flight_at = state_.endpoints.find(event.in_flight_endpoint);
-    const bool is_in_flight = in_flight_at != state_.endpoints.end();
+    // A message may have been attempted before a restart. Those attempts count as if this process had made
+    // them.
+    const auto uncertain_entry = state_.endpoints.find(event.first_uncertain_endpoint);
+    if (uncertain_entry != state_.endpoints.end()) SetUncertainEndpoint(message, uncertain_entry->second);
+    const auto in_flight_entry = state_.endpoints.find(event.in_flight_endpoint);
+    const bool is_in_flight = in_flight_entry != state_.endpoints.end();
     if (!is_in_flight && MayNotRetry(message)) return GiveUp(state_, message);
     ScheduleDeduplicationEnd(state_, message);
     GrantArrivalPermits(message);
     if (!is_in_flight) return Enqueue(state_, message);
-    --message.attempts;                              // counted anew as it is dispatched
-    MaySendTo(state_, in_flight_at->second, false);  // brings pace and budget up to this moment
-    Dispatch(state_, message, in_flight_at->second);
+    // Dispatch counts the attempt again.
+    --message.attempts;
+    // Called only to bring the pace and the recovery budget up to date.
+    MaySendTo(state_, in_flight_entry->second, false);
+    Dispatch(state_, message, in_flight_entry->second);
   }
 
   void GrantArrivalPermits(const Message& message) {
-    std::vector<RateLimitScope*> scopes;  // in the order of the list, on which the random draws depend
+    // In the order of the endpoint list, because the random draws depend on the order.
+    std::vector<RateLimitScope*> scopes;
     for (const Endpoint* endpoint : message.target->endpoints) {
       const bool is_known = std::ranges::find(scopes, endpoint->scope) != scopes.end();
       if (endpoint->accepts_calls && !is_known) scopes.push_back(endpoint->scope);
@@ -112,8 +119,9 @@
     message.settings = &state_.settings.classes[event.message_class];
     message.accepted_at = state_.now;
     message.deadline = state_.now + event.time_left;
-    // A message handed over keeps its age, so queues are in order of deadlines. One with less time left than
-    // its objective is an impatient client's and due at its deadline: as an old one it would be relegated.
+    // A message that was handed over keeps its age, so each queue is in the order of the deadlines. If less
+    // time is left than the latency objective, the client is impatient and the objective ends at the
+    // deadline. Otherwise the message would be taken for an old one and be relegated.
     message.arrived_at = message.deadline - message.settings->deadline;
     const Duration objective = message.settings->latency_objective;
     message.objective_at = event.time_left < objective ? message.deadline : message.arrived_at + objective;
@@ -142,7 +150,8 @@
       SetUncertainEndpoint(message, *message.last_endpoint);
       ScheduleDeduplicationEnd(state_, message);
     }
-    if (may_still_run && !message.key.empty()) {  // no message with the key goes out for a while
+    // No message with the same ordering key is sent for key_quiet_time.
+    if (may_still_run && !message.key.empty()) {
       Time& quiet_until = state_.ordering_keys[message.key].quiet_until;
       quiet_until = std::max(quiet_until, state_.now + state_.settings.key_quiet_time);
     }
@@ -153,6 +162,7 @@
     Enqueue(state_, message);
   }
 
+  // Whether the message must get no further attempt.
   bool MayNotRetry(const Message& message) const {
     if (message.first_uncertain_attempt && message.IsNotIdempotent()) return true;
     return message.attempts >= state_.settings.max_attempts;
@@ -163,7 +173,8 @@
     if (entry != state_.messages.end() && !entry->second.has_ended) EndMessage(state_, entry->second);
   }
 
-  // A node that stands still does what falls due in the next gap before it.
+  // Learns how late the timers fire. On a node that stands still from time to time, work that falls due
+  // during the next such gap is then done before it.
   void On(const TimerFired&) {
     const Duration delay = timer_at_ < state_.now ? state_.now - timer_at_ : Duration(0);
     state_.timer_delay = std::max(delay, state_.timer_delay * 9 / 10);
@@ -171,7 +182,8 @@
   }
   void On(const ShutdownStarted& event) { state_.shutdown_at = state_.now + event.time_left; }
   void On(const GossipReceived& event) { OnRecoveryGossip(state_, event.body); }
-  void On(const auto&) {}  // health checks tell no more than calls do
+  // Ignores health checks, which show no more than calls do.
+  void On(const auto&) {}
 
   Destination& DestinationOf(int number) {
     const auto entry = state_.destinations.find(number);
@@ -180,22 +192,25 @@
     return state_.destinations[number] = Destination{number, &state_.global_latency, queues, queues};
   }
 
-  // Guards the memory. An outage is remembered for longer than a destination takes to warm up.
+  // Bounds the use of memory: erases the ordering keys that are not in use and the endpoints that were
+  // removed long ago. The latter are kept for longer than a destination takes to warm up, so that an outage
+  // is not forgotten before that.
   void EraseExpired() {
     if (state_.now < next_expiry_at_) return;
     next_expiry_at_ = state_.now + kExpiryInterval;
     std::erase_if(state_.ordering_keys, [&](const auto& entry) {
       return entry.second.messages.empty() && entry.second.quiet_until <= state_.now;
     });
-    const Time forgotten = state_.now - kForgetAfterWarmUps * state_.settings.warm_up_time;
+    const Time forget_before = state_.now - kForgetAfterWarmUps * state_.settings.warm_up_time;
     std::erase_if(state_.endpoints, [&](const auto& entry) {
       const Endpoint& endpoint = entry.second;
-      if (endpoint.removed_at.value_or(Time::max()) > forgotten || endpoint.InFlight() > 0) return false;
+      if (endpoint.removed_at.value_or(Time::max()) > forget_before || endpoint.InFlight() > 0) return false;
       Forget(endpoint);
       return true;
     });
   }
 
+  // Removes all references to an endpoint that is erased.
   void Forget(const Endpoint& endpoint) {
     for (auto& [id, message] : state_.messages) {
       if (message.uncertain_endpoint == &endpoint) message.uncertain_endpoint = nullptr;
@@ -214,19 +229,28 @@
   }
 
   void RequestTimer() {
-    if (!state_.calls.empty()) state_.WakeBy(state_.now + kMinOverdue);  // overdue calls show by time alone
+    // No event shows that a call has become overdue, so the policy runs again to find out.
+    if (!state_.calls.empty()) state_.WakeBy(state_.now + kMinOverdueTime);
     if (state_.wake_at == Time::max() || state_.wake_at >= timer_at_) return;
     timer_at_ = state_.wake_at;
     state_.Emit(ScheduleTimer{timer_at_ - state_.now});
   }
 
-  static constexpr int kForgetAfterWarmUps = 3;  // what was removed for so many warm-up times is forgotten
+  // An endpoint that has been removed for this many warm-up times is erased.
+  static constexpr int kForgetAfterWarmUps = 3;
+  // Least time between two runs of EraseExpired.
   static constexpr Duration kExpiryInterval = seconds(1);
+  // Time after a failed subscription until the next one, with jitter.
   static constexpr Duration kSubscribeBackoff = milliseconds(500);
 
   PolicyState state_;
+  // A SubscribeEndpointList has not been answered yet.
   bool subscription_requested_ = false;
-  Time subscribe_at_ = Time::min(), next_expiry_at_ = Time::min(), timer_at_ = Time::max();  // max(): never
+  // Earliest time of the next subscription; max() if none is needed.
+  Time subscribe_at_ = Time::min();
+  Time next_expiry_at_ = Time::min();
+  // When the timer that was asked for last fires; max() if there is none.
+  Time timer_at_ = Time::max();
 };
 
 DispatchPolicy::DispatchPolicy(Settings settings, std::uint64_t seed)
--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -1,5 +1,8 @@
-// Which message goes out next, where and with which timeout; and the calls in flight. The lowest priority
-// value goes first: end of the latency objective + alpha x expected latency (NIYAMA).
+// Decides which message is sent next, to which endpoint and with which timeout, and keeps track of the calls
+// in flight. The message with the lowest priority value is sent first. The value is the end of the latency
+// objective plus alpha times the expected latency (NIYAMA). DispatchPolicy calls CancelOvertaken and Release
+// in each run, Dispatch for a call that was in flight before a restart, and CompleteAttempt when an attempt
+// has ended.
 #ifndef SAGETALLY_SRC_POLICY_RELEASE_H_
 #define SAGETALLY_SRC_POLICY_RELEASE_H_
 
@@ -8,23 +11,38 @@
 
 namespace sagetally::policy {
 
-constexpr double kRelegationGain = 3.0;  // alpha is 1 plus this times the fraction relegated
-// Timeouts: so many expected latencies, and at least so many latency objectives.
-constexpr double kTimeoutExpectedCalls = 3.0, kTimeoutObjectives = 1.2, kSuspectTimeoutObjectives = 1.0;
-constexpr double kTimeoutObjectivesAtCallLimit = 0.3;  // calls never answered keep others from going out
+// Alpha is 1 plus this times the fraction of the pending messages that are relegated.
+constexpr double kRelegationGain = 3.0;
+// The timeout of an attempt is this many expected latencies, and at least as many latency objectives as one
+// of the following three constants says.
+constexpr double kTimeoutExpectedLatencies = 3.0;
+constexpr double kTimeoutObjectives = 1.2;
+// At a suspect endpoint.
+constexpr double kSuspectTimeoutObjectives = 1.0;
+// At the limit of concurrent calls, where calls that are never answered keep others from being sent.
+constexpr double kTimeoutObjectivesAtCallLimit = 0.3;
+// The timeout of a message that is not idempotent is longer by this factor.
 constexpr double kNotIdempotentTimeoutFactor = 2.0;
-constexpr double kQueueingPrice = 0.1;  // of waiting behind one more call at an endpoint
-constexpr int kOvertakenByCalls = 2, kOvertakenExpectedCalls = 2;  // later calls answered; expected latencies
-
+// Added to the price of an endpoint for each call in flight to it, behind which a new call would wait, and
+// once if the message's last attempt went to it.
+constexpr double kQueueingPrice = 0.1;
+// A call is overtaken once as many calls that were sent later to the same endpoint have been answered as the
+// first constant says, and it has been in flight for as many expected latencies as the second says.
+constexpr int kOvertakenByCalls = 2;
+constexpr int kOvertakenExpectedLatencies = 2;
+
+// The timeout of a call that is sent now with `message` as its first message.
 inline Duration AttemptTimeout(const PolicyState& state, const Message& message, bool is_suspect) {
   double objectives = is_suspect ? kSuspectTimeoutObjectives : kTimeoutObjectives;
   if (state.WasAtCallLimit()) objectives = kTimeoutObjectivesAtCallLimit;
-  const double expected = kTimeoutExpectedCalls * ToSeconds(message.target->ExpectedLatency());
+  const double expected = kTimeoutExpectedLatencies * ToSeconds(message.target->ExpectedLatency());
   const double timeout = std::max(expected, objectives * ToSeconds(message.settings->latency_objective));
   return FromSeconds(message.IsNotIdempotent() ? kNotIdempotentTimeoutFactor * timeout : timeout);
 }
 
-// A message with an idempotency key that may have run goes only where, and while, its key is remembered.
+// Whether the endpoint would recognise a repetition of the message. A message with an idempotency key that
+// may have run is sent only to endpoints that remember the key, and only while they do. True for all other
+// messages.
 inline bool RemembersKey(const PolicyState& state, const Endpoint& endpoint, const Message& message) {
   if (!message.first_uncertain_attempt || !message.HasIdempotencyKey()) return true;
   if (HasKeyExpired(state, message)) return false;
@@ -32,7 +50,9 @@
   return message.settings->key_scope == KeyScope::kAll || &endpoint == message.uncertain_endpoint;
 }
 
-inline double Price(const PolicyState& state, Endpoint& endpoint, const Message& message) {
+// The price of sending the message to the endpoint; the endpoint with the lowest price is chosen. A retry
+// costs more at the endpoint of the last attempt.
+inline double CallPrice(const PolicyState& state, Endpoint& endpoint, const Message& message) {
   const std::vector<double>& zone_prices = state.settings.zone_prices;
   double price = kQueueingPrice * endpoint.InFlight() + endpoint.failure_score.At(state.now);
   if (!HasConnection(state, endpoint)) price += state.settings.handshake_price;
@@ -42,45 +62,55 @@
   return price;
 }
 
+// Returns the cheapest endpoint to which the message may be sent now, or nullptr.
 inline Endpoint* ChooseEndpoint(PolicyState& state, const Message& message) {
   Minimum<Endpoint*> cheapest;
   for (Endpoint* endpoint : message.target->endpoints) {
     if (!MaySendTo(state, *endpoint, message.IsNotIdempotent())) continue;
-    if (RemembersKey(state, *endpoint, message)) cheapest.Offer(endpoint, Price(state, *endpoint, message));
+    if (RemembersKey(state, *endpoint, message))
+      cheapest.Offer(endpoint, CallPrice(state, *endpoint, message));
   }
   return cheapest.item;
 }
 
-inline double Priority(const PolicyState& state, const Message& message, Duration expected) {
+// The priority value of a message, in microseconds, if a call takes `expected`. The lowest value goes first.
+inline double PriorityValue(const PolicyState& state, const Message& message, Duration expected) {
   const double alpha = 1 + kRelegationGain * state.relegated_fraction;
   return static_cast<double>(message.objective_at.count()) + alpha * static_cast<double>(expected.count());
 }
 
+// A message that can be sent now, and the endpoint for it.
 struct Candidate {
   Message* message = nullptr;
   Endpoint* endpoint = nullptr;
 };
 
+// Returns the message to send next, from the relegated messages or from the others, if one can be sent.
 inline std::optional<Candidate> FindNext(PolicyState& state, bool relegated) {
   Minimum<std::optional<Candidate>> next;
-  for (const auto& [number, destination] : state.active) {
+  for (const auto& [number, destination] : state.active_destinations) {
     const Duration expected = destination->ExpectedLatency();
-    // A call cut off by the shutdown may have run and is lost: what would not return waits instead.
-    if (state.now + std::max(expected, kMinOverdue) > state.shutdown_at) continue;
+    // A call that the shutdown cuts off may have run, and its outcome is lost. So a call that would not
+    // return before the shutdown is not made, and its message waits.
+    if (state.now + std::max(expected, kMinOverdueTime) > state.shutdown_at) continue;
     for (const MessageQueue& queue : relegated ? destination->relegated : destination->ready) {
       Message* const message = NextMessage(state, queue);
-      if (message == nullptr || Priority(state, *message, expected) >= next.value) continue;
+      if (message == nullptr || PriorityValue(state, *message, expected) >= next.value) continue;
       Endpoint* const endpoint = ChooseEndpoint(state, *message);
       if (endpoint == nullptr) continue;
-      const int calls_ahead = state.WasAtCallLimit() ? endpoint->InFlight() : 0;  // each adds one latency
-      next.Offer(Candidate{message, endpoint}, Priority(state, *message, expected * (1 + calls_ahead)));
+      // At the limit of concurrent calls, each call in flight to the endpoint counts as one more expected
+      // latency.
+      const int calls_ahead = state.WasAtCallLimit() ? endpoint->InFlight() : 0;
+      next.Offer(Candidate{message, endpoint}, PriorityValue(state, *message, expected * (1 + calls_ahead)));
     }
   }
   return next.item;
 }
 
-// The message due first that may share a call to the endpoint, or nullptr.
-inline Message* FindCompanion(PolicyState& state, const Destination& destination, const Endpoint& endpoint) {
+// Returns the message whose latency objective ends first of those that may share a call to the endpoint, or
+// nullptr. Relegated messages come after the others.
+inline Message* FindMessageForBatch(PolicyState& state, const Destination& destination,
+                                    const Endpoint& endpoint) {
   Minimum<Message*> first;
   for (const auto* queues : {&destination.ready, &destination.relegated}) {
     for (const MessageQueue& queue : *queues) {
@@ -94,6 +124,7 @@
   return first.item;
 }
 
+// Takes the message out of its queue and starts an attempt for it as part of the call.
 inline void AddToCall(PolicyState& state, Message& message, Call& call, Duration timeout) {
   Dequeue(state, message);
   message.attempts += 1;
@@ -104,12 +135,13 @@
   state.Emit(StartAttempt{message.id, call.endpoint->id, std::min(timeout, message.deadline - state.now)});
 }
 
+// Sends a call to the endpoint with the message `first` and as many others as may share the call.
 inline void Dispatch(PolicyState& state, Message& first, Endpoint& endpoint) {
   const std::uint64_t number = state.next_call_number++;
   Call& call = state.calls[number];
   call = Call{number, &endpoint, state.now, TakeConnection(state, endpoint)};
-  call.half_open_attempt = endpoint.ejected && endpoint.HasFailed(state.now);
-  endpoint.half_open_attempt |= call.half_open_attempt;
+  call.is_half_open_attempt = endpoint.ejected && endpoint.HasFailed(state.now);
+  endpoint.has_half_open_attempt |= call.is_half_open_attempt;
   endpoint.in_flight_since.insert(state.now);
   endpoint.scope->bucket.tokens -= 1;
   endpoint.scope->recent_calls.Add(state.now, state.settings.overload_duration);
@@ -119,12 +151,13 @@
   const Duration timeout = AttemptTimeout(state, first, is_suspect);
   AddToCall(state, first, call, timeout);
   while (std::ssize(call.messages) < state.settings.kinds[endpoint.kind].max_batch_size) {
-    Message* const companion = FindCompanion(state, *first.target, endpoint);
-    if (companion == nullptr) break;
-    AddToCall(state, *companion, call, timeout);
+    Message* const next = FindMessageForBatch(state, *first.target, endpoint);
+    if (next == nullptr) break;
+    AddToCall(state, *next, call, timeout);
   }
 }
 
+// Sends messages until none can be sent or the limit of concurrent calls is reached.
 inline void Release(PolicyState& state) {
   state.at_call_limit = false;
   state.suspect_calls = 0;
@@ -139,16 +172,17 @@
   }
 }
 
-// At the call limit, what later calls to the same endpoint have overtaken, on a connection that fell silent,
-// goes out again early. That ends a message that is not idempotent, so it takes twice the evidence.
+// At the limit of concurrent calls, cancels calls that later calls to the same endpoint have overtaken,
+// because their connections have probably fallen silent, so that their messages can be sent again early. For
+// a message that is not idempotent the cancellation is the end, so it takes twice the evidence.
 inline void CancelOvertaken(PolicyState& state) {
   if (!state.settings.cancellation_allowed || !state.WasAtCallLimit()) return;
   for (auto& [number, call] : state.calls) {
     const int evidence = call.cancelled ? 0 : call.overtaken_by / kOvertakenByCalls;
     for (const Message* message : call.messages) {
       const int required = message->IsNotIdempotent() ? 2 : 1;
-      const Duration limit = required * kOvertakenExpectedCalls * message->target->ExpectedLatency();
-      const Time due = call.sent_at + std::max<Duration>(limit, kMinOverdue / 2);
+      const Duration limit = required * kOvertakenExpectedLatencies * message->target->ExpectedLatency();
+      const Time due = call.sent_at + std::max<Duration>(limit, kMinOverdueTime / 2);
       if (evidence < required) continue;
       state.WakeBy(due);
       if (due > state.now || HasKeyExpired(state, *message, limit)) continue;
@@ -158,12 +192,13 @@
   }
 }
 
+// Ends a call when the attempts for all its messages have ended.
 inline void EndCall(PolicyState& state, const Call& call, Outcome outcome) {
   Endpoint& endpoint = *call.endpoint;
   endpoint.in_flight_since.erase(endpoint.in_flight_since.find(call.sent_at));
-  if (call.half_open_attempt) endpoint.half_open_attempt = false;
-  // Only an answer leaves a connection that can serve again.
-  const bool was_rejected = outcome == Outcome::kRejected && !call.table_was_full;
+  if (call.is_half_open_attempt) endpoint.has_half_open_attempt = false;
+  // The connection can be used again only if it brought an answer.
+  const bool was_rejected = outcome == Outcome::kRejected && !call.table_may_be_full;
   if (outcome == Outcome::kOk || outcome == Outcome::kError || was_rejected) {
     endpoint.idle_since.push_back(state.now);
     state.idle_endpoints[endpoint.id] = &endpoint;
@@ -171,10 +206,12 @@
   state.calls.erase(call.number);
 }
 
+// Takes in the end of a message's attempt in flight. What becomes of the message is up to the caller.
 inline void CompleteAttempt(PolicyState& state, Message& message, const AttemptCompleted& event) {
   Call& call = *std::exchange(message.call, nullptr);
-  // The messages of a call share its outcome, but their Retry-After may differ.
-  call.at_deadline = message.deadline <= state.now + kMinAnswerTime;
+  // The messages of a call share its outcome, but the pauses that they are asked for (Retry-After) may
+  // differ.
+  call.ended_at_deadline = message.deadline <= state.now + kMinAnswerTime;
   if (!call.outcome_recorded) RecordOutcome(state, call, event);
   call.outcome_recorded = true;
   RateLimitScope& scope = *call.endpoint->scope;
@@ -183,11 +220,12 @@
   for (auto& [number, other] : state.calls) {
     const bool is_earlier = other.endpoint == call.endpoint && other.sent_at < call.sent_at;
     other.overtaken_by += event.outcome == Outcome::kOk && is_earlier ? 1 : 0;
-    // What is still connecting would arrive amid the wait.
+    // The destination asked for a pause. A call that is not sent yet, because its connection is still being
+    // made, would arrive during the pause.
     if (event.retry_after <= Duration(0) || other.endpoint->scope != &scope) continue;
     for (const Message* unsent : other.messages) state.Emit(CancelIfUnsent{unsent->id, unsent->attempts - 1});
   }
-  call.table_was_full |= call.idle_age == Duration(0) && event.retry_after == Duration(0);
+  call.table_may_be_full |= call.idle_age == Duration(0) && event.retry_after == Duration(0);
   if (call.messages.empty()) EndCall(state, call, event.outcome);
 }
 
--- a/tests/policy/event_handling_test.cpp
+++ b/tests/policy/event_handling_test.cpp
@@ -1,5 +1,5 @@
-// How the policy takes in events: its contract with the host, the endpoint list, messages from before a
-// restart.
+// Tests of how the policy takes in events: its contract with the host, the endpoint list, and messages from
+// before a restart.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -9,25 +9,25 @@
 namespace sagetally {
 namespace {
 
-TEST(Settings, OutOfRangeAreRejectedByName) {
-  const auto rejects = [](auto change, const std::string& word) {
+TEST(Settings, NamesTheSettingThatIsOutOfRange) {
+  const auto rejects = [](auto change, const std::string& name) {
     Settings settings = SmallSettings();
     change(settings);
     try {
       DispatchPolicy policy(settings, 1);
       return false;
     } catch (const std::invalid_argument& error) {
-      return std::string(error.what()).find(word) != std::string::npos;
+      return std::string(error.what()).find(name) != std::string::npos;
     }
   };
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.classes.clear(); }, "classes"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.kinds.clear(); }, "kinds"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_concurrent_calls = 0; }, "slots"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.dispatcher_count = 0; }, "senders"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_pending_messages = -1; }, "most_held"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_attempts = 0; }, "max_attempts"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.classes[0].latency_objective = 0s; }, "aim"));
-  EXPECT_TRUE(rejects([](Settings& settings) { settings.kinds[0].max_batch_size = 0; }, "batch_max"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.classes.clear(); }, "grades"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.kinds.clear(); }, "flavors"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_concurrent_calls = 0; }, "callsOut"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.dispatcher_count = 0; }, "balancers"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_pending_messages = -1; }, "mostHeld"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.max_attempts = 0; }, "maxAttempts"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.classes[0].latency_objective = 0s; }, "slo"));
+  EXPECT_TRUE(rejects([](Settings& settings) { settings.kinds[0].max_batch_size = 0; }, "bundleMax"));
   PolicyDriver policy;
   EXPECT_THROW(policy.Accept(0s, "a", 3), std::invalid_argument);
   EXPECT_THROW(policy.UpdateEndpoints(0s, {EndpointAt("e", 9)}), std::invalid_argument);
@@ -47,11 +47,11 @@
   wrong.attempt = 3;
   policy.Process(2s, {wrong});
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
-  policy.Accept(1s, "b");  // the clock goes back: it stands still
+  policy.Accept(1s, "b");  // the clock goes back, and the policy goes on with 2 s
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "b");
 }
 
-TEST(EndpointList, NothingNewGoesToADrainingOrRemovedEndpoint) {
+TEST(EndpointList, SendsNothingToADrainingOrRemovedEndpoint) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
   EndpointRecord draining = EndpointAt("e");
@@ -65,8 +65,8 @@
   EXPECT_EQ(policy.ActionsOf<StartAttempt>()[0].endpoint, "g");
 }
 
-// Where no rates are advertised the list holds 1 for each.
-TEST(EndpointList, RatesAreIgnoredWhereNoneAreAdvertised) {
+// Where rates are not advertised, the endpoint list has the rate 1 for each endpoint.
+TEST(EndpointList, IgnoresRatesWhereNoneAreAdvertised) {
   for (const AdvertisedRates rates : {AdvertisedRates::kNone, AdvertisedRates::kExact}) {
     Settings settings = SmallSettings();
     settings.advertised_rates = rates;
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(EndpointList, IsSubscribedToAgainAfterAFailure) {
+TEST(EndpointList, SubscribesAgainAfterAFailure) {
   Settings settings = SmallSettings();
   settings.endpoint_list_on_request = true;
   settings.max_poll_interval = 4s;
@@ -97,25 +97,26 @@
   EXPECT_EQ(policy.ActionsOf<SubscribeEndpointList>().size(), 1u);
 }
 
-// Guards what is owed from before a restart: the history binds as if this dispatcher had made the attempts.
-TEST(History, EndsAtOnceWhatMayNotBeRetried) {
+// Guards messages from before a restart: their attempts count as if this process had made them.
+TEST(History, GivesTheFinalAnswerAtOnceIfAMessageMayNotBeRetried) {
   PolicyDriver policy;
   policy.UpdateEndpoints(30s, {EndpointAt("a")});
   MessageAccepted not_idempotent = PolicyDriver::Accepted("u", kNotIdempotentClass);
   not_idempotent.attempts = 1;
   not_idempotent.first_uncertain_attempt = 29s;
-  MessageAccepted expired = PolicyDriver::Accepted("k", kWithKeyClass);  // its window of 5 s is over
+  MessageAccepted expired =
+      PolicyDriver::Accepted("k", kWithKeyClass);  // its deduplication window of 5 s is over
   expired.attempts = 1;
   expired.first_uncertain_attempt = 24s;
-  MessageAccepted worn_out = PolicyDriver::Accepted("w");
-  worn_out.attempts = 6;
-  policy.Process(30s, {not_idempotent, expired, worn_out});
+  MessageAccepted without_attempts_left = PolicyDriver::Accepted("w");
+  without_attempts_left.attempts = 6;
+  policy.Process(30s, {not_idempotent, expired, without_attempts_left});
   EXPECT_EQ(policy.IdsOf<FailMessage>(), "u");
   EXPECT_EQ(policy.IdsOf<RejectMessage>(), "w k");
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
 }
 
-TEST(History, AllowsAMessageWithKeyWithinItsDeduplicationWindow) {
+TEST(History, RetriesAMessageWithKeyWithinItsDeduplicationWindow) {
   PolicyDriver policy;
   policy.UpdateEndpoints(30s, {EndpointAt("a")});
   MessageAccepted with_key = PolicyDriver::Accepted("k", kWithKeyClass);
