--- a/tests/policy/cold_return_test.cpp
+++ b/tests/policy/cold_return_test.cpp
@@ -1,4 +1,5 @@
-// The recovery budget of all dispatchers together at a destination that returns (cold_return_fleet.h).
+// Tests that the recovery budgets of all dispatchers together do not overload a destination that returns from
+// an outage. The simulation and the overload rule are in cold_return_fleet.h.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -8,74 +9,83 @@
 namespace sagetally {
 namespace {
 
-struct Sum {
+// Totals of several runs.
+struct Summary {
+  // Runs, runs that broke the overload rule, and calls after the outage.
   int runs = 0, broken = 0, calls = 0;
-  std::string how;  // of the first that broke the rule
+  // Describes the first run that broke the rule.
+  std::string first_broken;
 };
 
-void Run(const Scenario& scenario, std::uint64_t seed, Sum& sum) {
+// Runs a scenario and adds its result to `sum`. The rule is broken if more than two thirds of the calls that
+// overload the destination came from dispatchers that had seen the outage.
+void Run(const Scenario& scenario, std::uint64_t seed, Summary& sum) {
   ColdReturn fleet(scenario, seed);
   const auto overload = fleet.Run();
   ++sum.runs;
-  sum.calls += fleet.after();
-  if (!overload || 3 * overload->informed <= 2 * overload->calls) return;
+  sum.calls += fleet.calls_after_outage();
+  if (!overload || 3 * overload->informed_calls <= 2 * overload->calls) return;
   if (++sum.broken > 1) return;
-  sum.how = std::to_string(scenario.dispatchers) + " dispatchers, capacity " +
-            std::to_string(scenario.capacity) + ": " + std::to_string(overload->calls) + " calls, " +
-            std::to_string(overload->informed) + " informed, allowed " + std::to_string(overload->allowed);
+  sum.first_broken = std::to_string(scenario.dispatchers) + " dispatchers, capacity " +
+                     std::to_string(scenario.capacity) + ": " + std::to_string(overload->calls) + " calls, " +
+                     std::to_string(overload->informed_calls) + " by informed dispatchers, at most " +
+                     std::to_string(overload->max_calls) + " allowed";
 }
 
-// Runs of every size of destination, advertised rate, load and fleet. `variant`: 1: two endpoints; 2: the
-// outage rejects; 3: two in five dispatchers are restarted just before the return.
-Sum RunAll(int variant) {
-  Sum sum;
+// Runs scenarios with all combinations of fleet size, capacity, advertised rate and load. In variant 1 there
+// are two endpoints, in variant 2 the outage rejects calls, and in variant 3 two in five dispatchers are
+// restarted just before the destination returns.
+Summary RunAll(int variant) {
+  Summary sum;
   std::uint64_t seed = static_cast<std::uint64_t>(variant) * 1000;
   for (const int dispatchers : {2, 20, 30, 300}) {
     for (const double capacity : {6.0, 15.0, 60.0}) {
-      for (const double advertised : {0.6, 1.0, 1.5}) {
-        for (const double load : {0.5, 1.0}) {
+      for (const double advertised_fraction : {0.6, 1.0, 1.5}) {
+        for (const double load_fraction : {0.5, 1.0}) {
           Run({.dispatchers = dispatchers,
                .capacity = capacity,
-               .advertised = advertised,
-               .load = load,
+               .advertised_fraction = advertised_fraction,
+               .load_fraction = load_fraction,
                .endpoints = variant == 1 ? 2 : 1,
-               .kind = variant == 2 ? OutageKind::kRejects : OutageKind::kConnectionsFail,
-               .restarted = variant == 3 ? 0.4 : 0.0},
+               .outage_kind = variant == 2 ? OutageKind::kRejects : OutageKind::kConnectionsFail,
+               .restarted_fraction = variant == 3 ? 0.4 : 0.0},
               ++seed, sum);
         }
       }
     }
   }
-  EXPECT_GT(sum.calls, sum.runs * 30);  // what calls nothing breaks no rule
+  // A fleet that makes no calls would not break the rule either.
+  EXPECT_GT(sum.calls, sum.runs * 30);
   return sum;
 }
 
-TEST(ColdReturn, TheSumOfAllSendersKeepsTheRule) {
+TEST(ColdReturn, AllDispatchersTogetherDoNotOverloadTheDestination) {
   for (const int variant : {0, 1, 2, 3}) {
-    const Sum sum = RunAll(variant);
-    EXPECT_EQ(sum.broken, 0) << "variant " << variant << ", of " << sum.runs << ", first " << sum.how;
+    const Summary sum = RunAll(variant);
+    EXPECT_EQ(sum.broken, 0) << "variant " << variant << ", of " << sum.runs << ", first "
+                             << sum.first_broken;
   }
 }
 
-// A failure at each of two endpoints in a row is an outage of what they share. Dispatchers that saw but one
-// failure at either took the first answer for the end of the outage: 13 in a hundred such returns were
-// overloaded.
-TEST(ColdReturn, TwoEndpointsThatShareALimitAreOneDestination) {
-  const Sum sum = RunAll(1);
-  EXPECT_LE(sum.broken, sum.runs / 25) << sum.how;
+// Guards against an overload of two endpoints that share a limit. A failure at each of them in a row is an
+// outage of both. Dispatchers that saw only one failure at either endpoint took the first answer for the end
+// of the outage, and 13 of 100 such returns were overloaded.
+TEST(ColdReturn, DoesNotOverloadTwoEndpointsThatShareALimit) {
+  const Summary sum = RunAll(1);
+  EXPECT_LE(sum.broken, sum.runs / 25) << sum.first_broken;
 }
 
-// Fleets of 2 to 300 dispatchers at destinations for which the settings allow 2 to 40 calls at first, with
-// rates that are advertised or not.
-Sum RunSizes(const Scenario& kind, std::uint64_t seed) {
-  Sum sum;
+// Runs the scenario with fleets of 2 to 300 dispatchers, at destinations for which the settings allow 2 to 40
+// calls at first, with advertised rates and without.
+Summary RunSizes(const Scenario& base, std::uint64_t seed) {
+  Summary sum;
   for (const int dispatchers : {2, 39, 300}) {
     for (const double capacity : {3.0, 15.0, 60.0}) {
       for (const bool has_advertised_rate : {false, true}) {
-        Scenario scenario = kind;
+        Scenario scenario = base;
         scenario.dispatchers = dispatchers;
         scenario.capacity = capacity;
-        scenario.load = 0.9;
+        scenario.load_fraction = 0.9;
         scenario.has_advertised_rate = has_advertised_rate;
         Run(scenario, ++seed, sum);
       }
@@ -85,38 +95,44 @@
   return sum;
 }
 
-// Before permits from each dispatcher's own traffic, every one of these kinds broke the rule in some runs,
-// most of all outages by errors (115 of 270).
-TEST(ColdReturn, EveryKindOfOutageKeepsTheRule) {
+// Guards against overload after each kind of outage. Before the permits came from each dispatcher's own
+// traffic, every kind broke the rule in some runs; outages with error answers did so most often (115 of 270
+// runs).
+TEST(ColdReturn, DoesNotOverloadAfterAnyKindOfOutage) {
   std::uint64_t seed = 100;
   for (const OutageKind kind :
        {OutageKind::kConnectionsFail, OutageKind::kRejects, OutageKind::kHangs, OutageKind::kErrors}) {
     for (const Traffic traffic : {Traffic::kUneven, Traffic::kEven}) {
-      const Sum sum = RunSizes({.kind = kind, .traffic = traffic}, seed += 100);
+      const Summary sum = RunSizes({.outage_kind = kind, .traffic = traffic}, seed += 100);
       EXPECT_EQ(sum.broken, 0) << "outage " << static_cast<int>(kind) << " of " << sum.runs << ": "
-                               << sum.how;
+                               << sum.first_broken;
     }
   }
 }
 
-// Restarts before, amid and after the return.
-TEST(ColdReturn, RestartsKeepTheRule) {
+// The dispatchers are restarted before, during and after the return of the destination.
+TEST(ColdReturn, DoesNotOverloadWhenDispatchersRestart) {
   std::uint64_t seed = 2000;
-  for (const Duration begin : {Duration(-3s), Duration(-600ms), Duration(0s), Duration(4s)}) {
-    for (const double restarted : {0.4, 1.0}) {
-      const Scenario scenario = {.restarted = restarted, .restarts_begin_at = begin, .restarts_take = 3s};
-      const Sum sum = RunSizes(scenario, seed += 100);
-      EXPECT_EQ(sum.broken, 0) << restarted << " restarted from " << begin.count() << ": " << sum.how;
+  for (const Duration restarts_begin_at : {Duration(-3s), Duration(-600ms), Duration(0s), Duration(4s)}) {
+    for (const double restarted_fraction : {0.4, 1.0}) {
+      const Scenario scenario = {.restarted_fraction = restarted_fraction,
+                                 .restarts_begin_at = restarts_begin_at,
+                                 .restart_period = 3s};
+      const Summary sum = RunSizes(scenario, seed += 100);
+      EXPECT_EQ(sum.broken, 0) << restarted_fraction << " restarted from " << restarts_begin_at.count()
+                               << ": " << sum.first_broken;
     }
   }
 }
 
-// What dispatchers tell each other lets them warm up together, and may be lost.
-TEST(ColdReturn, GossipServesMoreAndKeepsTheRule) {
+// Gossip lets the dispatchers start their warm-up together, so that more calls are made. Gossip messages may
+// be lost.
+TEST(ColdReturn, GossipAllowsMoreCallsWithoutOverload) {
   std::vector<int> calls;
-  for (const double loss : {1.0, 0.5, 0.0}) {
-    const Sum sum = RunSizes({.kind = OutageKind::kHangs, .gossip_loss = loss}, 4000);
-    EXPECT_EQ(sum.broken, 0) << "share lost " << loss << ": " << sum.how;
+  for (const double loss_fraction : {1.0, 0.5, 0.0}) {
+    const Summary sum =
+        RunSizes({.outage_kind = OutageKind::kHangs, .gossip_loss_fraction = loss_fraction}, 4000);
+    EXPECT_EQ(sum.broken, 0) << "fraction lost " << loss_fraction << ": " << sum.first_broken;
     calls.push_back(sum.calls);
   }
   EXPECT_GT(calls[2], calls[0]);
--- a/tests/policy/compare_adapters.sh
+++ b/tests/policy/compare_adapters.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Replays every recorded input into two simulator adapters and compares their outputs byte for byte.
+# Replays every recorded input to two simulator adapters and compares their outputs byte for byte.
 #   compare_adapters.sh ADAPTER_A ADAPTER_B [GOLDEN_DIR]
 # Prints "N passed, N failed" as its last line. Exit code: 1 if a stream differs, 2 if there is none.
 set -eu
--- a/tests/policy/count_events.py
+++ b/tests/policy/count_events.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Counts the kinds of events, outcomes and actions in recorded streams and prints them as Markdown tables.
+"""Counts the events, outcomes and actions in recorded streams by kind and prints them as Markdown tables.
 
     count_events.py GOLDEN_DIR
 """
@@ -14,7 +14,7 @@
 
 
 def event_labels(kind, body):
-    """The rows of the table that one event counts for."""
+    """Yields the labels of the table rows in which one event is counted."""
     yield kind
     if kind == "BackendsChanged":
         yield f"{kind}, {body['kind']}"
@@ -36,7 +36,7 @@
 
 
 def action_labels(kind, body):
-    """The rows of the table that one action counts for."""
+    """Yields the labels of the table rows in which one action is counted."""
     yield kind
     if kind == "TurnAway" and body["holdOff"] > 0:
         yield "TurnAway, with advised wait"
@@ -46,7 +46,10 @@
 
 
 def count_lines(path, list_name, labels, counts):
-    """Counts one recorded file; returns the moments of its batches."""
+    """Adds the events or actions of one recorded file to `counts`.
+
+    Returns the times of its batches, in milliseconds.
+    """
     moments = []
     for line in gzip.open(path):
         if line.startswith(b"exit code"):
--- a/tests/policy/endpoint_health_test.cpp
+++ b/tests/policy/endpoint_health_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection: which endpoints are suspects or ejected.
+// Tests of outlier detection: which endpoints are suspects or ejected, and what may be sent to them.
 #include <gtest/gtest.h>
 
 #include "policy_driver.h"
@@ -6,7 +6,7 @@
 namespace sagetally {
 namespace {
 
-TEST(OutlierDetection, SendsNothingNotIdempotentToASuspect) {
+TEST(OutlierDetection, SendsNoMessageThatIsNotIdempotentToASuspect) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
@@ -18,8 +18,8 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>().find('u'), std::string::npos);
 }
 
-// Seen on a day on which connections broke at random: endpoints without any fault were left out.
-TEST(OutlierDetection, IgnoresConnectionsThatBreakNowAndThen) {
+// Guards against ejecting healthy endpoints where connections break at random.
+TEST(OutlierDetection, IgnoresOccasionalConnectionResets) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
@@ -31,13 +31,13 @@
   EXPECT_TRUE(policy.ActionsOf<WriteLogLine>().empty());
 }
 
-// Seen where health checks are not allowed and nothing else came for a suspect: messages that are not
-// idempotent waited for it until they were rejected.
-TEST(OutlierDetection, DoesNotHoldNotIdempotentMessagesForEver) {
+// Guards messages that are not idempotent against waiting for a suspect until they are rejected. That
+// happened where health checks were not allowed and no other messages came for the suspect.
+TEST(OutlierDetection, SendsNotIdempotentMessagesToASuspectAgainAfterAWhile) {
   for (const Outcome failure : {Outcome::kConnectFailed, Outcome::kTimeout}) {
     Settings settings = SmallSettings();
     settings.health_checks_allowed = false;
-    settings.connection_idle_timeout = 500ms;  // each call on a new one
+    settings.connection_idle_timeout = 500ms;  // each call goes out on a new connection
     PolicyDriver policy(settings);
     policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
     policy.Accept(0s, "a", kNotIdempotentClass);
@@ -46,7 +46,7 @@
     policy.Complete(1100ms, "b", failure);
     std::string sent;
     Time t = 1200ms;
-    sent = policy.IdsOf<StartAttempt>();  // what never ran goes again
+    sent = policy.IdsOf<StartAttempt>();  // a message that never ran is retried
     policy.Accept(t, "c", kNotIdempotentClass);
     for (sent += policy.IdsOf<StartAttempt>(); t < 20s && sent.empty(); t += 50ms) {
       policy.Process(t);
@@ -54,22 +54,23 @@
     }
     EXPECT_NE(sent, "");
     if (failure == Outcome::kConnectFailed) {
-      EXPECT_LT(t, 3s);  // it never ran, so there is nothing to lose
+      EXPECT_LT(t, 3s);  // the message never ran, so a retry does no harm
     } else {
       EXPECT_GT(t, 3s);
     }
   }
 }
 
-// Seen in an incident (a fifth of all calls reset, everywhere): endpoints that answered in between were
-// ejected.
+// Guards against ejecting endpoints that answer between failures. That happened in an incident in which a
+// fifth of all calls were reset at all endpoints.
 TEST(OutlierDetection, DoesNotEjectAfterAFailureASuccessAndAFailure) {
-  for (const bool between : {true, false}) {
+  for (const bool has_success_between : {true, false}) {
     PolicyDriver policy;
     policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
     CompleteThreeCalls(policy, 0s);
     Time t = 1s;
-    const auto sent = [&](const std::string& id) {  // steps on until the budget lets it go
+    // Runs the policy until the recovery budget allows the message to be sent.
+    const auto wait_until_sent = [&](const std::string& id) {
       for (; policy.IdsOf<StartAttempt>() != id; t += 10ms) {
         ASSERT_LT(t, 20s);
         policy.Process(t);
@@ -77,25 +78,25 @@
     };
     policy.Accept(t, "a");
     policy.Complete(t, "a", Outcome::kConnectFailed);
-    sent("a");
+    wait_until_sent("a");
     std::string last = "a";
-    if (between) {
+    if (has_success_between) {
       policy.Complete(t, "a", Outcome::kOk);
       policy.Accept(t, "b");
-      sent("b");
+      wait_until_sent("b");
       last = "b";
     }
     policy.Complete(t, last, Outcome::kConnectFailed);
-    EXPECT_EQ(policy.ActionsOf<WriteLogLine>().empty(), between);
+    EXPECT_EQ(policy.ActionsOf<WriteLogLine>().empty(), has_success_between);
   }
 }
 
-TEST(OutlierDetection, AHungDestinationLeavesConcurrentCallsToOthers) {
+TEST(OutlierDetection, LimitsCallsInFlightToADestinationThatDoesNotAnswer) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2)});
   CompleteThreeCalls(policy, 0s, 1);
   int in_flight = 0;
-  for (int i = 0; i < 50; ++i) {  // destination 1 answers nothing from now on
+  for (int i = 0; i < 50; ++i) {  // destination 1 does not answer from now on
     policy.Accept(1s + i * 50ms, "m" + std::to_string(i), kNotIdempotentClass);
     in_flight += static_cast<int>(policy.ActionsOf<StartAttempt>().size());
   }
@@ -104,18 +105,20 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "other");
 }
 
-// Seen in an incident: calls at many endpoints that answered nothing, a few each, took all concurrent calls.
-TEST(OutlierDetection, ManyHungDestinationsLeaveConcurrentCallsToOthers) {
+// Guards against calls to many endpoints that do not answer, a few calls to each, using up all concurrent
+// calls. That happened in an incident.
+TEST(OutlierDetection, LimitsCallsInFlightToManyDestinationsThatDoNotAnswer) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 10;
   PolicyDriver policy(settings);
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2), EndpointAt("g", 0, 3),
                               EndpointAt("h", 0, 4), EndpointAt("i", 0, 5), EndpointAt("j", 0, 6)});
-  for (int d = 1; d <= 5; ++d) CompleteThreeCalls(policy, d * 1s, d);
+  for (int destination = 1; destination <= 5; ++destination)
+    CompleteThreeCalls(policy, destination * 1s, destination);
   for (int i = 0; i < 20; ++i) {
-    for (int d = 1; d <= 5; ++d) {
-      policy.Accept(10s + i * 400ms + d * 40ms, "m" + std::to_string(i * 10 + d), kIdempotentClass, 20s, "",
-                    d);
+    for (int destination = 1; destination <= 5; ++destination) {
+      policy.Accept(10s + i * 400ms + destination * 40ms, "m" + std::to_string(i * 10 + destination),
+                    kIdempotentClass, 20s, "", destination);
     }
   }
   policy.Accept(20s, "other", kIdempotentClass, 20s, "", 6);
--- a/tests/policy/final_answer_test.cpp
+++ b/tests/policy/final_answer_test.cpp
@@ -1,4 +1,4 @@
-// The final answer of each message, and which messages are retried.
+// Tests of the final answer to each message, and of which messages are retried.
 #include <gtest/gtest.h>
 
 #include "policy_driver.h"
@@ -21,7 +21,7 @@
   EXPECT_EQ(policy.IdsOf<RejectMessage>() + policy.IdsOf<FailMessage>() + policy.IdsOf<StartAttempt>(), "");
 }
 
-TEST(FinalAnswer, RejectsInTimeWithoutAnyEndpoint) {
+TEST(FinalAnswer, RejectsInTimeWhereThereIsNoEndpoint) {
   PolicyDriver policy;
   policy.Accept(0s, "a", kNotIdempotentClass, 1s);
   policy.Process(990ms);
@@ -36,7 +36,7 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>() + policy.IdsOf<RejectMessage>() + policy.IdsOf<FailMessage>(), "");
 }
 
-TEST(Retry, FailsANotIdempotentMessageThatMayHaveRun) {
+TEST(Retry, FailsAMessageThatIsNotIdempotentAndMayHaveRun) {
   for (const Outcome outcome : {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled}) {
     PolicyDriver policy;
     policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(Retry, SendsANotIdempotentMessageAgainThatNeverRan) {
+TEST(Retry, RetriesAMessageThatIsNotIdempotentButNeverRan) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
   policy.Accept(0s, "a", kNotIdempotentClass);
@@ -55,13 +55,13 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a");
 }
 
-TEST(Retry, SendsAMessageWithKeyAgainOnlyWithinItsDeduplicationWindow) {
+TEST(Retry, RetriesAMessageWithKeyOnlyWithinItsDeduplicationWindow) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e")});
   policy.Accept(0s, "a", kWithKeyClass);
   policy.Complete(1s, "a", Outcome::kError);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a");
-  // The window runs from the first attempt, not from the last.
+  // The deduplication window starts with the first attempt, not with the last.
   policy.Complete(5500ms, "a", Outcome::kError);
   for (Time t = 5500ms; t < 21s; t += 50ms) {
     policy.Process(t);
@@ -69,13 +69,14 @@
   }
 }
 
-// A dispatcher that stands still for seconds answers what falls due in the next gap before it.
-TEST(FinalAnswer, ComesEarlierWhereTimersHaveFiredLate) {
+// A dispatcher whose timers fire seconds late gives the final answers that fall due in the next such gap
+// before it.
+TEST(FinalAnswer, IsGivenEarlierWhereTimersHaveFiredLate) {
   PolicyDriver policy;
   policy.Accept(0s, "a", kIdempotentClass, 1s);
   ASSERT_EQ(policy.ActionsOf<ScheduleTimer>().size(), 1u);
   policy.Process(3s, {TimerFired{}, PolicyDriver::Accepted("b", kIdempotentClass, 10s)});
-  policy.Process(11300ms, {TimerFired{}});  // due at 13 s
+  policy.Process(11300ms, {TimerFired{}});  // the deadline of "b" is at 13 s
   EXPECT_EQ(policy.IdsOf<RejectMessage>(), "b");
 }
 
--- a/tests/policy/growth_test.cpp
+++ b/tests/policy/growth_test.cpp
@@ -1,5 +1,5 @@
-// Guards the memory on a day on which endpoints are replaced without end: what the policy remembers levels
-// off.
+// Guards against memory that grows without bound where endpoints are replaced again and again: the memory
+// that the policy uses must level off.
 #undef NDEBUG
 #include <cassert>
 #include <cstdio>
@@ -11,8 +11,9 @@
 #include "sagetally/dispatch_policy.h"
 
 namespace {
-long live_blocks = 0;  // counts what the operators below hand out
-}
+// Blocks of memory that the operators below have allocated and not freed.
+long live_blocks = 0;
+}  // namespace
 
 void* operator new(std::size_t size) {
   void* p = std::malloc(size);
@@ -53,7 +54,7 @@
   Time now = 1000s;
   std::vector<Action> actions;
   const auto name = [](int i) { return "s-" + std::to_string(i); };
-  long early = 0;
+  long early_blocks = 0;
   for (int i = 0; i < 3000; ++i) {
     now += 1s;
     EndpointListUpdated list;
@@ -62,7 +63,7 @@
     MessageAccepted message{std::to_string(i), 7, i % 2, 9s, "key" + std::to_string(i)};
     actions.clear();
     policy.Process(now, std::vector<Event>{list, message}, actions);
-    // Every fourth call breaks and may still run; whatever becomes of it, it ends here.
+    // Every fourth call is reset and may still run. The message ends in any case.
     std::vector<Event> outcomes;
     for (const Action& action : actions) {
       if (const auto* attempt = std::get_if<StartAttempt>(&action)) {
@@ -77,9 +78,9 @@
     now += 50ms;
     actions.clear();
     policy.Process(now, outcomes, actions);
-    if (i == 500) early = live_blocks;
+    if (i == 500) early_blocks = live_blocks;
   }
-  std::printf("%ld blocks after 500 replacements, %ld after 3,000\n", early, live_blocks);
-  assert(live_blocks < early + 100);
+  std::printf("%ld blocks after 500 replacements, %ld after 3,000\n", early_blocks, live_blocks);
+  assert(live_blocks < early_blocks + 100);
   std::puts("1 passed, 0 failed");
 }
--- a/tests/policy/idle_connections_test.cpp
+++ b/tests/policy/idle_connections_test.cpp
@@ -1,4 +1,4 @@
-// When idle connections are closed.
+// Tests of when idle connections are closed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 namespace sagetally {
 namespace {
 
-TEST(IdleConnections, AfterOneBrokeOlderOnesAreClosedBeforeASend) {
+TEST(IdleConnections, AreClosedBeforeASendAfterAnOlderOneWasReset) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("a"), EndpointAt("b", 0, 2)});
   policy.Accept(1s, "m1");
   policy.Complete(1100ms, "m1", Outcome::kOk);
-  policy.Accept(3s, "m2");  // on the connection idle for 1.9 s
+  policy.Accept(3s, "m2");  // goes out on the connection that has been idle for 1.9 s
   EXPECT_EQ(policy.ActionsOf<CloseIdleConnections>().size(), 0u);
-  policy.Complete(3010ms, "m2", Outcome::kReset);  // goes again at once, on a new connection
+  policy.Complete(3010ms, "m2", Outcome::kReset);  // is retried at once, on a new connection
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "m2");
   policy.Complete(3100ms, "m2", Outcome::kOk);
   policy.Accept(4s, "u1", kNotIdempotentClass, 20s, "", 2);
@@ -30,7 +30,7 @@
                          [](const Action& a) { return std::holds_alternative<StartAttempt>(a); }));
 }
 
-TEST(IdleConnections, ABreakOnAnIdleOneIsNoOutageButOneOnANewConnectionIs) {
+TEST(IdleConnections, AResetOnANewConnectionMakesASuspectButOneOnAnIdleConnectionDoesNot) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("a")});
   policy.Accept(1s, "m1");
@@ -38,14 +38,15 @@
   policy.Accept(3s, "m2");
   policy.Complete(3010ms, "m2", Outcome::kReset);
   policy.Accept(3020ms, "u1", kNotIdempotentClass);
-  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "u1");  // no suspect yet
+  EXPECT_EQ(policy.IdsOf<StartAttempt>(), "u1");  // the endpoint is not a suspect yet
   policy.Complete(3030ms, "m2", Outcome::kReset);
   policy.Accept(3040ms, "u2", kNotIdempotentClass);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
 }
 
-// Seen on a day on which connections fell silent under calls at any age: the idle ones among them were taken
-// for stale, and all idle ones were closed from then on, which made three times as many handshakes.
+// Guards against closing all idle connections where connections of any age fall silent. The failures on idle
+// connections were blamed on their idleness, and closing all idle connections tripled the number of
+// handshakes.
 TEST(IdleConnections, AreNotClosedWhereConnectionsOfAnyAgeFallSilent) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("a")});
@@ -60,20 +61,20 @@
     policy.Process(now += 50ms, {e});
     now += 10ms;
   };
-  const auto good = [&] {
+  const auto make_six_answered_calls = [&] {
     for (int i = 0; i < 6; ++i) call(Outcome::kOk);
   };
   for (int round = 0; round < 3; ++round) {
-    good();
+    make_six_answered_calls();
     call(Outcome::kReset);  // on a connection in use
-    good();
+    make_six_answered_calls();
     for (int i = 0; i < 5; ++i) {
       now += 300ms;
       call(Outcome::kOk);
     }
     now += 1s;
-    call(Outcome::kReset);  // on an idle one
-    good();
+    call(Outcome::kReset);  // on an idle connection
+    make_six_answered_calls();
   }
   for (const Time until = now + 3s; now < until; now += 50ms) {
     policy.Process(now);
@@ -81,13 +82,15 @@
   }
 }
 
-TEST(IdleConnections, AFailedCallLeavesNoneToUseAgain) {
+TEST(IdleConnections, AFailedCallLeavesNoIdleConnection) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("a"), EndpointAt("b", 0, 2)});
   policy.Accept(1s, "m1");
   policy.Complete(1100ms, "m1", Outcome::kOk);
   policy.Accept(3s, "m2");
-  policy.Complete(3010ms, "m2", Outcome::kReset);  // idle ages over a second are not trusted from here on
+  policy.Complete(
+      3010ms, "m2",
+      Outcome::kReset);  // from now on, connections that have been idle for over a second are not trusted
   policy.Complete(3100ms, "m2", Outcome::kOk);
   policy.Accept(4s, "m3", kIdempotentClass, 20s, "", 2);
   policy.Complete(4010ms, "m3", Outcome::kConnectFailed);
@@ -96,13 +99,14 @@
     policy.Process(t);
     sent = !policy.ActionsOf<StartAttempt>().empty();
     for (const CloseIdleConnections& close : policy.ActionsOf<CloseIdleConnections>())
-      EXPECT_NE(close.endpoint, "b");  // there is none to close
+      EXPECT_NE(close.endpoint, "b");  // has no connection to close
   }
   EXPECT_TRUE(sent);
 }
 
-// Seen in a simulated fleet: each of hundreds of dispatchers kept one idle connection at destinations that
-// take about ten, and two of three new connections failed.
+// Guards against idle connections that leave no place for new ones. In a simulated fleet, each of hundreds of
+// dispatchers kept one idle connection to destinations that accept about ten, and two of three new
+// connections failed.
 TEST(IdleConnections, AreClosedSoonerWhereNewOnesFail) {
   for (const bool fails : {false, true}) {
     PolicyDriver policy;
@@ -119,12 +123,15 @@
       for (const CloseIdleConnections& close : policy.ActionsOf<CloseIdleConnections>())
         closed += close.endpoint;
     }
-    EXPECT_EQ(closed, fails ? "a" : "");  // the same kind, before connection_idle_timeout; not another kind
+    // Before connection_idle_timeout, the idle connection to an endpoint of the same kind is closed, not that
+    // of another kind.
+    EXPECT_EQ(closed, fails ? "a" : "");
   }
 }
 
-// Seen with 273 dispatchers: an endpoint's table of eleven connections was full of idle ones within 0.3 s,
-// and from then on those without a place were rejected for as long as they lived.
+// Guards against idle connections that fill a connection table. With 273 dispatchers, an endpoint's table of
+// eleven connections was full of idle ones within 0.3 s, and from then on dispatchers without a connection
+// were rejected for as long as the idle ones were kept.
 TEST(IdleConnections, OfHundredsOfDispatchersDoNotFillAConnectionTable) {
   for (const int dispatchers : {3, 300}) {
     Settings settings = SmallSettings();
--- a/tests/policy/message_queues_test.cpp
+++ b/tests/policy/message_queues_test.cpp
@@ -1,4 +1,4 @@
-// Queues of pending messages: ordering keys, relegation, load shedding, tenant quotas.
+// Tests of the queues of pending messages: ordering keys, relegation, load shedding and tenant quotas.
 #include <gtest/gtest.h>
 
 #include "policy_driver.h"
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(OrderingKey, IsHeldByAWithdrawnMessageInFlight) {
+TEST(OrderingKey, HoldsMessagesBackWhileAWithdrawnOneIsInFlight) {
   Settings settings = SmallSettings();
   settings.classes[kNotIdempotentClass].ordered_by_key = true;
   PolicyDriver policy(settings);
@@ -34,37 +34,37 @@
                       PolicyDriver::Accepted("b", kNotIdempotentClass, 20s, "k")});
   policy.Process(100ms, {MessageWithdrawn{"a"}});
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
-  AttemptCompleted over = policy.Completed("a", Outcome::kOk);
-  policy.Process(200ms, {over});
+  AttemptCompleted completed = policy.Completed("a", Outcome::kOk);
+  policy.Process(200ms, {completed});
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "b");
 }
 
-// A new message has no answer yet, so it is shed before one that was accepted earlier, unless it weighs much
-// more or the earlier one has had most of its time.
-TEST(LoadShedding, RejectsANewcomerBeforeAMessageOfTheSameWeight) {
+// A message that was accepted just now has no answer yet, so it is shed before one that was accepted earlier,
+// unless it weighs much more or most of the time of the earlier one has passed.
+TEST(LoadShedding, ShedsANewMessageBeforeAnEarlierOneOfTheSameWeight) {
   const struct {
     const char* name;
-    int newcomer;
-    Time at;
-    bool newcomer_goes;
+    int new_message_class;
+    Time accepted_at;
+    bool sheds_new_message;
   } cases[] = {{"the same weight", kIdempotentClass, 5s, true},
                {"much more weight", kNotIdempotentClass, 5s, false},
                {"the same weight, after seven tenths of the other's time", kIdempotentClass, 15s, false}};
   for (const auto& c : cases) {
     Settings settings = SmallSettings();
-    settings.max_pending_messages = 3;  // one place is kept free
+    settings.max_pending_messages = 3;  // one of them is kept free
     PolicyDriver policy(settings);
     policy.UpdateEndpoints(0s, {EndpointAt("e", 0)});
     policy.Process(0s, {PolicyDriver::Accepted("first")});
-    policy.Complete(100ms, "first", Outcome::kRejected, 100ms, 19s);  // nothing leaves until 19.1 s
+    policy.Complete(100ms, "first", Outcome::kRejected, 100ms, 19s);  // nothing is sent until 19.1 s
     policy.Accept(200ms, "old", kIdempotentClass, 20s);
-    policy.Accept(c.at, "new", c.newcomer, 20s);
+    policy.Accept(c.accepted_at, "new", c.new_message_class, 20s);
     ASSERT_EQ(policy.ActionsOf<RejectMessage>().size(), 1u) << c.name;
-    EXPECT_EQ(policy.ActionsOf<RejectMessage>()[0].id == "new", c.newcomer_goes) << c.name;
+    EXPECT_EQ(policy.ActionsOf<RejectMessage>()[0].id == "new", c.sheds_new_message) << c.name;
   }
 }
 
-TEST(Relegation, LowerWeightIsRelegatedFirst) {
+TEST(Relegation, RelegatesTheLowerWeightFirst) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
@@ -77,7 +77,7 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "heavy");
 }
 
-TEST(Relegation, AMessageThatWouldMissItsObjectiveLetsOthersPass) {
+TEST(Relegation, SendsAMessageThatMissesItsObjectiveAfterOthers) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
@@ -91,13 +91,14 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "missed");
 }
 
-// Quick failures must not lower the expected latency: a late message is still rejected as early as before.
-TEST(ExpectedLatency, IsNotMovedByQuickFailures) {
-  for (const bool failures : {false, true}) {
+// Quick failures must not lower the expected latency: a late message must be rejected as early as without
+// them.
+TEST(ExpectedLatency, IsNotLoweredByQuickFailures) {
+  for (const bool has_failures : {false, true}) {
     PolicyDriver policy;
     policy.UpdateEndpoints(0s, {EndpointAt("e")});
     CompleteThreeCalls(policy, 0s);
-    if (failures) {
+    if (has_failures) {
       for (int i = 0; i < 10; ++i) {
         const std::string id = "f" + std::to_string(i);
         policy.Accept(1s + i * 50s, id, kIdempotentClass, 100ms);
@@ -110,28 +111,28 @@
     policy.UpdateEndpoints(1000s, {});
     policy.Accept(1000s, "a", kIdempotentClass, 1s);
     policy.Process(1000s + 890ms);
-    EXPECT_EQ(policy.IdsOf<RejectMessage>(), "") << failures;
+    EXPECT_EQ(policy.IdsOf<RejectMessage>(), "") << has_failures;
     policy.Process(1000s + 905ms);
-    EXPECT_EQ(policy.IdsOf<RejectMessage>(), "a") << failures;
+    EXPECT_EQ(policy.IdsOf<RejectMessage>(), "a") << has_failures;
   }
 }
 
-// Seen in an incident (clients handed in with half a second left): the margin for long tails rejected
-// messages that would have arrived.
-TEST(ExpectedLatency, WithALongTailDoesNotRejectWhatUsuallyArrives) {
+// Guards against rejecting messages that can be delivered in time. In an incident, clients handed in messages
+// with half a second left, and the margin for slow calls led to rejections.
+TEST(ExpectedLatency, WithALongTailDoesNotLeadToEarlyRejections) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e")});
   for (int i = 0; i < 12; ++i) {
     const std::string id = "w" + std::to_string(i);
     policy.Accept(i * 1s, id);
-    policy.Complete(i * 1s + 500ms, id, Outcome::kOk, i % 4 == 0 ? 700ms : 50ms);  // 210 ms in the mean
+    policy.Complete(i * 1s + 500ms, id, Outcome::kOk, i % 4 == 0 ? 700ms : 50ms);  // the mean is about 210 ms
   }
   policy.Accept(20s, "short", kIdempotentClass, 400ms);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "short");
   EXPECT_EQ(policy.IdsOf<RejectMessage>(), "");
 }
 
-TEST(TenantQuota, ShedsFirstWhatIsBeyondIt) {
+TEST(TenantQuota, ShedsMessagesBeyondItFirst) {
   Settings settings = SmallSettings();
   settings.max_pending_messages = 10;
   settings.tenants = {{.service_fraction = 0.5, .quota_per_second = 1000},
@@ -139,9 +140,9 @@
   settings.over_quota_weight = 0.1;
   PolicyDriver policy(settings);
   std::string rejected;
-  for (int i = 0; i < 16; ++i) {  // nowhere to go
+  for (int i = 0; i < 16; ++i) {  // there is no endpoint
     MessageAccepted m = PolicyDriver::Accepted((i % 2 ? "over" : "within") + std::to_string(i));
-    m.tenant = m.destination = i % 2;  // each destination is one tenant's
+    m.tenant = m.destination = i % 2;  // each tenant has a destination of its own
     policy.Process(i * 10ms, {m});
     rejected += policy.IdsOf<RejectMessage>();
   }
@@ -162,22 +163,23 @@
   }
 }
 
-// Seen in a simulated fleet: what could leave at once was shed for what waits.
-TEST(LoadShedding, KeepsWhatCanLeaveAtOnce) {
+// Guards against shedding a message that can be sent at once in favour of messages that wait. That happened
+// in a simulated fleet.
+TEST(LoadShedding, KeepsAMessageThatCanBeSentAtOnce) {
   Settings settings = SmallSettings();
   settings.max_pending_messages = 10;
   PolicyDriver policy(settings);
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 2, 40)});
   for (int i = 0; i < 9; ++i) {
-    policy.Accept(0s, "u" + std::to_string(i), kNotIdempotentClass);  // nowhere to go
+    policy.Accept(0s, "u" + std::to_string(i), kNotIdempotentClass);  // there is no endpoint
   }
   policy.Accept(1s, "k", kWithKeyClass, 20s, "", 2);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "k");
 }
 
-// Seen on a day with impatient clients: a message with little time left was taken for an old one, relegated
-// and never sent at the call limit.
-TEST(ImpatientClient, GoesBeforeWhatIsDueLaterAndIsAnsweredInTime) {
+// Guards against taking a message that its client handed in with little time left for an old one. Such
+// messages were relegated, and at the limit of concurrent calls they were never sent.
+TEST(ImpatientClient, MessageIsSentBeforeThoseDueLaterOrAnsweredInTime) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
@@ -187,7 +189,7 @@
   policy.Accept(200ms, "hasty", kIdempotentClass, 1s);
   policy.Complete(300ms, "first", Outcome::kOk);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "hasty");
-  // One that cannot be sent is answered before its time is up, wherever it stands in the queue.
+  // A message that cannot be sent gets its final answer before its deadline, wherever it is in the queue.
   policy.Accept(400ms, "hopeless", kIdempotentClass, 500ms);
   std::string rejected;
   for (Time t = 410ms; t < 900ms; t += 5ms) {
@@ -197,16 +199,16 @@
   EXPECT_EQ(rejected, "hopeless");
 }
 
-// Seen with 260 dispatchers: more than half of all rejections were messages shed while others waited behind
-// one limit.
-TEST(LoadShedding, ShedsFirstWhatWaitsFarBackAtAPace) {
+// Guards against shedding other messages than those that wait behind a rate limit. With 260 dispatchers, more
+// than half of all rejections were messages that were shed while others waited behind one limit.
+TEST(LoadShedding, ShedsMessagesFarBackBehindARateLimitFirst) {
   Settings settings = SmallSettings();
   settings.max_pending_messages = 12;
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
   policy.UpdateEndpoints(0s, {EndpointAt("b", 0, 1, 1000), EndpointAt("a", 0, 2, 1)});
   policy.Accept(0s, "m", kIdempotentClass, 20s, "", 2);
-  policy.Complete(100ms, "m", Outcome::kRejected);  // a pace there now
+  policy.Complete(100ms, "m", Outcome::kRejected);  // the destination has a pace from now on
   std::vector<Event> events;
   for (int i = 0; i < 6; ++i) {
     events.emplace_back(PolicyDriver::Accepted("b" + std::to_string(i), kIdempotentClass, 20s, "", 1));
@@ -217,7 +219,7 @@
   EXPECT_EQ(policy.IdsOf<RejectMessage>().find('b'), std::string::npos);
 }
 
-TEST(LoadShedding, ShedsTheLowestWeightBeforeTheLimit) {
+TEST(LoadShedding, ShedsTheLowestWeightBeforeTheLimitIsReached) {
   Settings settings = SmallSettings();
   settings.max_pending_messages = 10;
   PolicyDriver policy(settings);
--- a/tests/policy/policy_driver.h
+++ b/tests/policy/policy_driver.h
@@ -1,5 +1,5 @@
-// Drives one DispatchPolicy in tests: typical settings, short forms of the events, and the actions of the
-// last run.
+// Test support: PolicyDriver runs one DispatchPolicy and has short forms for events and for reading the
+// actions. There are also typical settings.
 #ifndef SAGETALLY_TESTS_POLICY_POLICY_DRIVER_H_
 #define SAGETALLY_TESTS_POLICY_POLICY_DRIVER_H_
 
@@ -17,6 +17,7 @@
 
 using namespace std::chrono_literals;
 
+// Settings of one dispatcher with few concurrent calls. The constants below name its classes.
 inline Settings SmallSettings() {
   Settings settings;
   settings.classes = {{.latency_objective = 2s,
@@ -49,7 +50,7 @@
   return settings;
 }
 
-// Of one of many dispatchers that share small destinations.
+// Settings of one of many dispatchers that share small destinations.
 inline Settings FleetSettings(int dispatchers, int max_concurrent_calls, int max_pending_messages) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = dispatchers;
@@ -67,6 +68,7 @@
 constexpr int kWithKeyClass = 1;
 constexpr int kNotIdempotentClass = 2;
 
+// An endpoint that is up.
 inline EndpointRecord EndpointAt(std::string endpoint, int kind = 0, int destination = 1, double rate = 0) {
   return {.endpoint = std::move(endpoint), .destination = destination, .kind = kind, .rate = rate};
 }
@@ -76,29 +78,31 @@
   explicit PolicyDriver(Settings settings = SmallSettings(), std::uint64_t seed = 1)
       : policy_(std::move(settings), seed) {}
 
-  // Runs the policy once; `actions` holds its answer until the next run.
+  // Runs the policy once. `actions` holds its actions until the next run.
   void Process(Time now, const std::vector<Event>& events = {}) {
     actions.clear();
     policy_.Process(now, events, actions);
     for (const StartAttempt& attempt : ActionsOf<StartAttempt>()) attempts_[attempt.id] += 1;
   }
 
-  // The list of endpoints is now `records` and no others.
+  // Replaces the endpoint list by `records`.
   void UpdateEndpoints(Time now, std::vector<EndpointRecord> records) {
     Process(now, {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
                                       .endpoints = std::move(records)}});
   }
 
+  // Returns the event of a new message.
   static MessageAccepted Accepted(std::string id, int message_class = kIdempotentClass,
                                   Duration time_left = 20s, std::string key = "", int destination = 1) {
     return {std::move(id), destination, message_class, time_left, std::move(key)};
   }
+  // Runs the policy with a new message.
   void Accept(Time now, std::string id, int message_class = kIdempotentClass, Duration time_left = 20s,
               std::string key = "", int destination = 1) {
     Process(now, {Accepted(std::move(id), message_class, time_left, std::move(key), destination)});
   }
 
-  // The end of the last attempt for a message.
+  // Returns the event of the end of the last attempt for a message.
   AttemptCompleted Completed(const std::string& id, Outcome outcome, Duration latency = 100ms,
                              Duration retry_after = 0ms) const {
     AttemptCompleted event;
@@ -110,12 +114,13 @@
     event.retry_after = retry_after;
     return event;
   }
+  // Runs the policy with the end of the last attempt for a message.
   void Complete(Time now, const std::string& id, Outcome outcome, Duration latency = 100ms,
                 Duration retry_after = 0ms) {
     Process(now, {Completed(id, outcome, latency, retry_after)});
   }
 
-  // The actions of one type in the last run, in order.
+  // Returns the actions of one type in the last run, in order.
   template <typename T>
   std::vector<T> ActionsOf() const {
     std::vector<T> found;
@@ -125,7 +130,7 @@
     return found;
   }
 
-  // Their message ids, separated by blanks.
+  // Returns the message ids of the actions of one type in the last run, separated by blanks.
   template <typename T>
   std::string IdsOf() const {
     std::string ids;
@@ -137,16 +142,17 @@
 
  private:
   DispatchPolicy policy_;
+  // Attempts so far, by message.
   std::map<std::string, int> attempts_;
 };
 
-// Three answered calls of 100 ms, so that the expected latency is known (about 100 ms).
-inline void CompleteThreeCalls(PolicyDriver& policy, Time from, int destination = 1) {
+// Makes three calls that are answered after 100 ms, so that the expected latency is known (about 100 ms).
+inline void CompleteThreeCalls(PolicyDriver& policy, Time start, int destination = 1) {
   for (int i = 0; i < 3; ++i) {
     const std::string id = "call" + std::to_string(destination) + std::to_string(i);
-    policy.Accept(from + i * 200ms, id, kIdempotentClass, 20s, "", destination);
+    policy.Accept(start + i * 200ms, id, kIdempotentClass, 20s, "", destination);
     ASSERT_EQ(policy.IdsOf<StartAttempt>(), id);
-    policy.Complete(from + i * 200ms + 100ms, id, Outcome::kOk);
+    policy.Complete(start + i * 200ms + 100ms, id, Outcome::kOk);
   }
 }
 
--- a/tests/policy/rate_limiting_test.cpp
+++ b/tests/policy/rate_limiting_test.cpp
@@ -1,4 +1,4 @@
-// Retry-After, and the pace of calls under a rate limit.
+// Tests of the pause that a rejection asks for (Retry-After) and of the pace of calls under a rate limit.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,7 +8,7 @@
 namespace sagetally {
 namespace {
 
-TEST(RetryAfter, HoldsForTheWholeDestination) {
+TEST(RetryAfter, AppliesToTheWholeDestination) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
   policy.Accept(0s, "a");
@@ -19,16 +19,16 @@
     EXPECT_EQ(policy.IdsOf<StartAttempt>(), "") << t.count();
   }
   bool is_sent = false;
-  for (Time t = 600ms; t <= 6s && !is_sent; t += 5ms) {  // the host runs it when it asks to be
+  for (Time t = 600ms; t <= 6s && !is_sent; t += 5ms) {  // as the policy asks the host to run it
     policy.Process(t);
     is_sent = !policy.ActionsOf<StartAttempt>().empty();
   }
   EXPECT_TRUE(is_sent);
 }
 
-// Seen in the simulator: a call whose connection took a second to come up was written 0.22 s after another
-// call had been given a Retry-After.
-TEST(RetryAfter, CancelsAttemptsThatHaveNotLeft) {
+// Guards against calls during a pause. In the simulator, a call whose connection took a second to be made was
+// sent 0.22 s after another call had got a Retry-After.
+TEST(RetryAfter, CancelsAttemptsThatAreNotSentYet) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f"), EndpointAt("g", 0, 2)});
   policy.Process(0s, {PolicyDriver::Accepted("a"), PolicyDriver::Accepted("b"), PolicyDriver::Accepted("c"),
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(RetryAfter, HoldsForOneEndpointWhereEachHasItsOwnLimit) {
+TEST(RetryAfter, AppliesToOneEndpointWhereEachHasItsOwnLimit) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 1), EndpointAt("f", 1)});
   policy.Accept(0s, "a");
@@ -54,8 +54,8 @@
   EXPECT_NE(policy.ActionsOf<StartAttempt>()[0].endpoint, first);
 }
 
-// Seen in a simulated day: the messages of one call were given different Retry-After values.
-TEST(RetryAfter, OfEveryMessageOfACallIsObserved) {
+// Guards the longest pause where the messages of one call get different Retry-After values.
+TEST(RetryAfter, OfEachMessageOfACallIsObserved) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 2)});
   policy.Process(0s, {PolicyDriver::Accepted("a"), PolicyDriver::Accepted("b")});
@@ -68,8 +68,8 @@
   }
 }
 
-// Seen with 273 dispatchers: each rejection by a full connection table cut the pace to one call in seconds
-// and led to an ejection.
+// Guards against taking a rejection by a full connection table for a rate limit or an outage. With 273
+// dispatchers, each such rejection decreased the pace to one call in several seconds and led to an ejection.
 TEST(Pace, IsNotDecreasedByOneRejectionOnANewConnection) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = 300;
@@ -79,28 +79,28 @@
   policy.Complete(1050ms, "first", Outcome::kOk, 50ms);
   policy.Accept(3s, "m");
   policy.Complete(3020ms, "m", Outcome::kRejected, 20ms);
-  Time again{0};
-  for (Time t = 3030ms; t < 9s && again == 0s; t += 10ms) {
+  Time retried_at{0};
+  for (Time t = 3030ms; t < 9s && retried_at == 0s; t += 10ms) {
     policy.Process(t);
-    if (policy.IdsOf<StartAttempt>() == "m") again = t;
+    if (policy.IdsOf<StartAttempt>() == "m") retried_at = t;
   }
-  EXPECT_LE(again, 3200ms);
-  policy.Complete(again + 50ms, "m", Outcome::kOk, 50ms);
+  EXPECT_LE(retried_at, 3200ms);
+  policy.Complete(retried_at + 50ms, "m", Outcome::kOk, 50ms);
   for (const std::string id : {"n", "o", "p"}) {
-    policy.Accept(again + 60ms, id);
+    policy.Accept(retried_at + 60ms, id);
     EXPECT_EQ(policy.IdsOf<StartAttempt>(), id);
   }
 }
 
-// So that a destination that is back and warm is not met with a burst.
-TEST(Pace, IsDecreasedWhereMostCallsFailAndForOneBurstOnce) {
+// Guards a destination that has recovered and warmed up against a burst of calls.
+TEST(Pace, IsDecreasedOnceForABurstOfFailedCalls) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 1)});
   std::vector<Event> accepted;
   std::vector<Event> failed;
   for (int i = 0; i < 4; ++i) accepted.emplace_back(PolicyDriver::Accepted("a" + std::to_string(i)));
   policy.Process(0s, accepted);
-  ASSERT_EQ(policy.ActionsOf<StartAttempt>().size(), 4u);  // unlimited at first
+  ASSERT_EQ(policy.ActionsOf<StartAttempt>().size(), 4u);  // there is no pace at first
   for (int i = 0; i < 4; ++i) {
     failed.emplace_back(policy.Completed("a" + std::to_string(i), Outcome::kConnectFailed));
   }
@@ -114,12 +114,12 @@
   EXPECT_GT(first, 500ms);
 }
 
-// A limit of 5 calls a second shared by 100 dispatchers: rejected together, they must not return together,
-// and the paces of all must not pass it by much.
+// 100 dispatchers share a limit of 5 calls a second. After they were rejected together, they must not return
+// together, and the paces of all must not exceed the limit by much.
 TEST(Pace, SpreadsTheReturnOfRejectedDispatchers) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = 100;
-  std::map<Time, int> back;  // by second
+  std::map<Time, int> returned;  // by second
   for (int i = 0; i < 100; ++i) {
     settings.dispatcher_index = i;
     PolicyDriver policy(settings, static_cast<std::uint64_t>(i + 1));
@@ -129,17 +129,17 @@
     for (Time t = 20ms; t < 15s; t += 10ms) {
       policy.Process(t);
       if (policy.IdsOf<StartAttempt>().empty()) continue;
-      back[std::chrono::duration_cast<std::chrono::seconds>(t)] += 1;
+      returned[std::chrono::duration_cast<std::chrono::seconds>(t)] += 1;
       break;
     }
   }
-  for (const auto& [second, count] : back) EXPECT_LE(count, 30) << second.count();
-  EXPECT_GE(back.size(), 5u);
+  for (const auto& [second, count] : returned) EXPECT_LE(count, 30) << second.count();
+  EXPECT_GE(returned.size(), 5u);
 }
 
-// Seen with 300 dispatchers: a limit that counts rejected calls too stayed used up for 4 to 17 s, as each
-// dispatcher that it had rejected asked once more within 0.3 s. It rejects after the handshake, a full
-// connection table before it.
+// Guards against taking a rejection by a rate limit for one by a full connection table. With 300 dispatchers,
+// a limit that counts rejected calls too stayed used up for 4 to 17 s, because each rejected dispatcher made
+// one more call within 0.3 s. A rate limit rejects after the handshake, a full connection table before it.
 TEST(Pace, IsDecreasedByARejectionThatComesAsLateAsOneWithRetryAfter) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = 300;
@@ -161,11 +161,12 @@
   }
 }
 
-// Rejected together by a full connection table, they confirm it within a moment, but not in the same one.
+// Dispatchers that a full connection table has rejected together each make one more call soon, but not all at
+// the same time.
 TEST(Pace, SpreadsTheConfirmingCallsAfterAFullConnectionTable) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = 100;
-  std::map<Time, int> back;  // by 50 ms
+  std::map<Time, int> returned;  // by 50 ms
   for (int i = 0; i < 100; ++i) {
     PolicyDriver policy(settings, static_cast<std::uint64_t>(i + 1));
     policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 5)});
@@ -175,12 +176,12 @@
     policy.Complete(2017ms, "m", Outcome::kRejected, 17ms);
     for (Time t = 2020ms; policy.ActionsOf<StartAttempt>().empty() && t < 3s; t += 10ms) {
       policy.Process(t);
-      if (!policy.ActionsOf<StartAttempt>().empty()) back[t / 50ms * 50ms] += 1;
+      if (!policy.ActionsOf<StartAttempt>().empty()) returned[t / 50ms * 50ms] += 1;
     }
   }
   int sum = 0;
-  for (const auto& [from, count] : back) {
-    EXPECT_LE(count, 30) << from.count();
+  for (const auto& [start, count] : returned) {
+    EXPECT_LE(count, 30) << start.count();
     sum += count;
   }
   EXPECT_EQ(sum, 100);
--- a/tests/policy/record_inputs.py
+++ b/tests/policy/record_inputs.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Records inputs of the dispatch policy: drives a simulator adapter closed-loop through seeded scenarios.
+"""Records inputs of the dispatch policy: runs a simulator adapter in seeded scenarios and obeys its replies.
 
-Every batch fed to the adapter is kept as one line of STREAM.input.gz; the adapter's replies become the
-expected output: STREAM.output.sha256, and STREAM.output.gz for the streams whose whole output is kept.
+Each batch that is sent to the adapter becomes one line of STREAM.input.gz. The adapter's replies become the
+expected output: STREAM.output.sha256 has their checksum, and STREAM.output.gz all of them if they are small.
 
     record_inputs.py ADAPTER GOLDEN_DIR [--seeds N] [--only SCENARIO] [--whole-outputs BYTES]
 """
@@ -25,19 +25,20 @@
 LIST_SLOTS = 16
 ORDERING_KEYS = 6
 LIST_CHANGES = ["drain", "remove", "restore", "rerate", "replace", "return", "flap"]
-FLAP_STEPS = [(2500, "removed"), (5000, "up")]  # milliseconds after the removal, then the state told
+# An endpoint that flaps is removed at once. These list changes follow: milliseconds after the removal, state.
+FLAP_STEPS = [(2500, "removed"), (5000, "up")]
 MAY_HAVE_RUN = (ERROR, TIMEOUT, RESET, CANCELLED)
 
 
 @dataclass
 class Message:
-    """A message that an instance was given."""
+    """A message that was handed to an instance."""
 
     id: str
     fields: dict
     deadline: float
     attempts: int = 0
-    pending: set = field(default_factory=set)  # attempts without outcome
+    pending: set = field(default_factory=set)  # numbers of the attempts in flight
     ended: bool = False
     may_have_run: bool = False
 
@@ -48,7 +49,7 @@
 
     name: str
     ordinal: int
-    life: int = 0  # counts restarts; events of an earlier life are dropped
+    incarnation: int = 0  # counts the starts; events of an earlier incarnation are dropped
     alive: bool = False
     subscribed: bool = False
     missed_changes: dict = field(default_factory=dict)
@@ -59,7 +60,7 @@
 
 @dataclass
 class Call:
-    """One call on its way: the members and their attempt numbers."""
+    """A call in flight to an address, with its messages and their attempt numbers."""
 
     address: str
     members: list = field(default_factory=list)
@@ -67,11 +68,11 @@
 
 
 class Adapter:
-    """The adapter process; keeps what it was fed and what it replied."""
+    """The adapter process. Keeps the batches that were sent to it and its replies."""
 
     def __init__(self, path):
         self.process = subprocess.Popen([path], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-        self.fed = []
+        self.sent_batches = []
         self.replies = []
 
     def exchange(self, batch):
@@ -79,12 +80,12 @@
         self.process.stdin.write(line)
         self.process.stdin.flush()
         reply = self.process.stdout.readline()
-        self.fed.append(line)
+        self.sent_batches.append(line)
         self.replies.append(reply)
         return json.loads(reply) if reply else {"groups": []}
 
     def close(self):
-        """Ends the adapter; like replay.sh notes the exit code of one that failed."""
+        """Ends the adapter. If it failed, its exit code becomes the last reply, as in replay.sh."""
         self.process.stdin.close()
         exit_code = self.process.wait()
         if exit_code != 0:
@@ -117,7 +118,7 @@
         heapq.heappush(self.queue, (self.now + max(delay, 0.0), next(self.sequence), action, arguments))
 
     def every(self, rate, action):
-        """Calls the action at random times, `rate` a second on average."""
+        """Calls the action at random times, on average `rate` times a second."""
         if rate <= 0:
             return
 
@@ -174,22 +175,22 @@
         for group in reply["groups"]:
             self.carry_out(self.by_name[group["nodeId"]], group["cmds"])
 
-    def deliver(self, instance, life, kind, body):
-        """Puts an event into the batch, or later if the instance stands still."""
-        if not instance.alive or instance.life != life:
+    def deliver(self, instance, incarnation, kind, body):
+        """Adds an event to the batch. If the instance is stalled, the event comes when the stall is over."""
+        if not instance.alive or instance.incarnation != incarnation:
             return
         if instance.stalled_until > self.now:
-            self.after(instance.stalled_until - self.now, self.deliver, instance, life, kind, body)
+            self.after(instance.stalled_until - self.now, self.deliver, instance, incarnation, kind, body)
             return
         self.groups.setdefault(instance.name, []).append({kind: body})
 
     def send_event(self, instance, kind, body):
-        self.deliver(instance, instance.life, kind, body)
+        self.deliver(instance, instance.incarnation, kind, body)
 
-    # ---- Life of an instance ----
+    # ---- Start and end of an instance ----
 
     def begin(self, instance):
-        instance.life += 1
+        instance.incarnation += 1
         instance.alive = True
         instance.subscribed = not self.scenario.subscribe
         instance.messages, instance.missed_changes, instance.calls_out = {}, {}, 0
@@ -203,21 +204,22 @@
         if not instance.alive:
             return
         if self.random.random() < 0.2:
-            return self.begin(instance)  # begins anew without Retire
+            return self.begin(instance)  # starts again without a Retire
         instance.stalled_until = 0.0
         self.send_event(instance, "Retire", {})
         instance.alive = False
         for endpoint in self.world.endpoints.values():
             endpoint.idle.pop(instance.name, None)
-        orphans = [message for message in instance.messages.values() if not message.ended]
+        pending_messages = [message for message in instance.messages.values() if not message.ended]
         if self.random.random() < 0.5:
             self.begin(instance)
         else:
             self.after(self.random.uniform(50, 3000), self.begin, instance)
-        heirs = [other for other in self.instances if other.alive]
-        for message in orphans:
-            if heirs and not message.may_have_run and not message.pending:
-                self.give(self.random.choice(heirs), {**message.fields, "again": True}, message.deadline)
+        successors = [other for other in self.instances if other.alive]
+        for message in pending_messages:
+            if successors and not message.may_have_run and not message.pending:
+                self.hand_in(self.random.choice(successors), {**message.fields, "again": True},
+                             message.deadline)
 
     def stall_one(self):
         self.random.choice(self.instances).stalled_until = self.now + self.random.uniform(100, 1500)
@@ -268,13 +270,13 @@
         self.publish([endpoint])
 
     def publish(self, changed):
-        """Tells the subscribed instances of changed endpoints; the others miss them until they ask."""
+        """Sends changed endpoints to the subscribed instances. The others get them when they subscribe."""
         for instance in self.instances:
             instance.missed_changes.update((e.address, e) for e in changed)
             if instance.subscribed:
-                self.after(self.random.uniform(0, 60), self.tell_changes, instance)
+                self.after(self.random.uniform(0, 60), self.send_changes, instance)
 
-    def tell_changes(self, instance):
+    def send_changes(self, instance):
         if not instance.subscribed or not instance.missed_changes:
             return
         rows = [endpoint.row() for endpoint in instance.missed_changes.values()]
@@ -328,11 +330,11 @@
             fields["account"] = min(int(chance.expovariate(1.0)), scenario.tenants - 1)
         if message_class["inOrder"] and chance.random() < 0.9:
             fields["targetKey"] = f"{chance.randrange(ORDERING_KEYS):016x}"
-        self.give(instance, fields, self.now + fields["grace"])
+        self.hand_in(instance, fields, self.now + fields["grace"])
         if chance.random() < scenario.withdrawal_share:
             self.after(chance.uniform(0, fields["grace"]), self.withdraw, instance, f"m{self.last_id}")
 
-    def give(self, instance, fields, deadline):
+    def hand_in(self, instance, fields, deadline):
         self.last_id = next(self.message_ids)
         grace = round(max(1.0, deadline - self.now), 1)
         message = Message(f"m{self.last_id}", fields, deadline)
@@ -341,7 +343,7 @@
         self.after(deadline - self.now + 25, self.withdraw, instance, message.id)
 
     def withdraw(self, instance, message_id):
-        """Nobody wants the message any more: its client left, or its time ran out unanswered."""
+        """Withdraws a message whose client has left, or whose deadline has passed without an answer."""
         message = instance.messages.get(message_id)
         if message is not None and not message.ended:
             message.ended = True
@@ -357,26 +359,27 @@
                 self.forward(instance, body, open_calls)
             elif kind in ("TurnAway", "ReportFailure"):
                 instance.messages[body["req"]].ended = True
-                self.come_again(instance, kind, body)
+                self.schedule_resubmission(instance, kind, body)
             elif kind == "Revoke":
-                self.after(TICK_MS, self.revoke, instance, instance.life, body["req"], body["copy"])
+                self.after(TICK_MS, self.revoke, instance, instance.incarnation, body["req"], body["copy"])
             elif kind == "After":
                 alarm = {"keyBack": body["keyBack"]}
-                self.after(max(body["delay"], TICK_MS), self.deliver, instance, instance.life, "Alarm", alarm)
+                self.after(max(body["delay"], TICK_MS), self.deliver, instance, instance.incarnation, "Alarm",
+                           alarm)
             elif kind == "Close":
                 self.world.close_idle(instance.name, body["endpoint"])
             elif kind == "Track":
                 self.after(self.random.uniform(5, 120), self.answer_track, instance)
 
-    def come_again(self, instance, kind, body):
+    def schedule_resubmission(self, instance, kind, body):
         message = instance.messages[body["req"]]
         if kind == "TurnAway" and self.random.random() < 0.2:
             delay = body["holdOff"] + self.random.uniform(20, 500)
-            self.after(delay, self.give_again, instance, message)
+            self.after(delay, self.resubmit, instance, message)
 
-    def give_again(self, instance, message):
+    def resubmit(self, instance, message):
         if instance.alive and message.deadline > self.now + 50:
-            self.give(instance, message.fields, message.deadline)
+            self.hand_in(instance, message.fields, message.deadline)
 
     def forward(self, instance, body, open_calls):
         message = instance.messages[body["req"]]
@@ -385,7 +388,7 @@
         message.attempts += 1
         message.pending.add(attempt)
         if self.random.random() < self.scenario.not_sent_share:
-            settled = (instance, instance.life, message, attempt, NOT_SENT, 0.0, address)
+            settled = (instance, instance.incarnation, message, attempt, NOT_SENT, 0.0, address)
             self.after(TICK_MS, self.settle, *settled)
             return
         kind = self.world.endpoints[address].kind
@@ -394,22 +397,23 @@
         if call is None or len(call.members) >= batch_max:
             call = open_calls[address] = Call(address)
             result = self.world.call(self.now, instance.name, address, body["within"])
-            finished = (instance, instance.life, call, result, self.now)
+            finished = (instance, instance.incarnation, call, result, self.now)
             self.after(max(result.delay, TICK_MS), self.finish, *finished)
         call.members.append((message, attempt))
 
-    def finish(self, instance, life, call, result, sent):
+    def finish(self, instance, incarnation, call, result, sent):
         if call.done:
             return
         call.done = True
         self.world.finish_call(self.now, instance.name, call.address, result.outcome)
         for message, attempt in call.members:
-            wait = result.told_wait + self.random.choice([0, 0, 40]) if result.told_wait else 0
+            wait = result.retry_after + self.random.choice([0, 0, 40]) if result.retry_after else 0
             if attempt in message.pending:
-                took = max(self.now - sent - self.random.uniform(0, TICK_MS), 0.1)
-                self.settle(instance, life, message, attempt, result.outcome, took, call.address, wait)
+                latency = max(self.now - sent - self.random.uniform(0, TICK_MS), 0.1)
+                self.settle(instance, incarnation, message, attempt, result.outcome, latency, call.address,
+                            wait)
 
-    def settle(self, instance, life, message, attempt, outcome, took, address, wait=0):
+    def settle(self, instance, incarnation, message, attempt, outcome, latency, address, wait=0):
         message.pending.discard(attempt)
         message.may_have_run |= outcome in MAY_HAVE_RUN
         body = {"req": message.id, "code": outcome}
@@ -418,23 +422,23 @@
             message.ended = True
         if wait or (outcome == NOT_SENT):
             body["remarkMs"] = wait or 1
-        body.update(copy=attempt, waitTime=round(took, 1), endpoint=address)
+        body.update(copy=attempt, waitTime=round(latency, 1), endpoint=address)
         if self.scenario.load_reports and self.random.random() < 0.5:
             body["serverStats"] = self.load_report(address)
-        self.deliver(instance, life, "Settled", body)
+        self.deliver(instance, incarnation, "Settled", body)
 
     def load_report(self, address):
         limit = self.world.endpoints[address].limit
         total = limit.rate * self.scenario.dispatchers / self.scenario.instances
-        told = self.random.choice([0.0, total * self.random.uniform(0.9, 1.1)])
-        return {"x0": round(self.random.random(), 3), "x1": round(told, 2)}
+        reported_rate = self.random.choice([0.0, total * self.random.uniform(0.9, 1.1)])
+        return {"x0": round(self.random.random(), 3), "x1": round(reported_rate, 2)}
 
-    def revoke(self, instance, life, message_id, attempt):
+    def revoke(self, instance, incarnation, message_id, attempt):
         message = instance.messages.get(message_id)
-        if message is not None and attempt in message.pending and instance.life == life:
-            self.settle(instance, life, message, attempt, CANCELLED, TICK_MS, "")
+        if message is not None and attempt in message.pending and instance.incarnation == incarnation:
+            self.settle(instance, incarnation, message, attempt, CANCELLED, TICK_MS, "")
 
-    # ---- Events that break the contract, or that no decision rests on ----
+    # ---- Events that break the contract, or that the policy ignores ----
 
     def stray_event(self):
         instance = self.random.choice(self.instances)
@@ -453,7 +457,7 @@
             ("Alarm", {"keyBack": 0}),
         ])
         if kind == "Order" and (known not in instance.messages or instance.messages[known].ended):
-            return  # an id may be taken twice only while it is held
+            return  # an id may be accepted twice only while the message is pending
         self.send_event(instance, kind, body)
 
 
@@ -462,18 +466,18 @@
 
 
 def record(scenario, seed, adapter_path, folder, whole_output_bytes):
-    """Records one stream and returns a line about it."""
+    """Records one stream and returns a summary line."""
     stream = f"{scenario.name}-{seed}"
     adapter = Adapter(adapter_path)
     Recorder(scenario, seed, adapter).run()
     adapter.close()
-    inputs, outputs = compressed(adapter.fed), compressed(adapter.replies)
+    inputs, outputs = compressed(adapter.sent_batches), compressed(adapter.replies)
     (folder / f"{stream}.input.gz").write_bytes(inputs)
     digest = hashlib.sha256(b"".join(adapter.replies)).hexdigest()
     (folder / f"{stream}.output.sha256").write_text(digest + "\n")
     if len(outputs) <= whole_output_bytes:
         (folder / f"{stream}.output.gz").write_bytes(outputs)
-    return f"{stream}: {len(adapter.fed)} batches, {len(inputs)} + {len(outputs)} bytes"
+    return f"{stream}: {len(adapter.sent_batches)} batches, {len(inputs)} + {len(outputs)} bytes"
 
 
 def main():
--- a/tests/policy/recovery_budget_test.cpp
+++ b/tests/policy/recovery_budget_test.cpp
@@ -1,4 +1,4 @@
-// The recovery budget of a destination that returns from an outage.
+// Tests of the recovery budget of a destination that returns from an outage.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace {
 
 TEST(RecoveryBudget, LimitsCallsInAnyWindow) {
-  // 0.25 x 2 x 4 a second x 3 s = 6 calls in any 3 s for this one dispatcher.
+  // The budget of this one dispatcher is 0.25 x 2 x 4 calls a second x 3 s = 6 calls in any 3 s.
   for (const int message_class : {kIdempotentClass, kNotIdempotentClass}) {
     PolicyDriver policy;
     policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 4)});
@@ -42,12 +42,13 @@
   }
 }
 
-// The budget is dealt in_flight in whole calls: 0.25 x 2 x 3.4 x 3 s = 5.1, so five for three dispatchers
-// together. Seen on a day with 72 dispatchers: each may make less than one call in a window, and an even
-// split of the budget left a returning destination idle while those that had messages waited 38 s for a call.
+// Tests that the budget of all dispatchers together holds, and that dispatchers with messages can use it.
+// With 72 dispatchers, each may make less than one call in a window. An even split of the budget left a
+// returning destination idle, while dispatchers with messages waited 38 s for a call.
 TEST(RecoveryBudget, LimitsTheSumOfAllDispatchers) {
   for (const int dispatchers : {3, 40}) {
-    const double rate = 8;  // budget of all: 0.25 x 2 x 8 x 3 s = 12 calls in any 3 s
+    // The budget of all dispatchers is 0.25 x 2 x 8 calls a second x 3 s = 12 calls in any 3 s.
+    const double rate = 8;
     std::vector<PolicyDriver> policies;
     Settings settings = SmallSettings();
     settings.dispatcher_count = dispatchers;
@@ -58,16 +59,16 @@
     }
     std::vector<Time> reached;
     std::map<int, std::vector<std::string>> in_flight;
-    std::map<int, bool> seen;
+    std::map<int, bool> has_seen_failure;
     int number = 0;
     for (Time t = 0s; t < 40s; t += 20ms) {
       for (int i = 0; i < dispatchers; ++i) {
         std::vector<Event> events;
         for (const std::string& id : in_flight[i]) {
           events.emplace_back(policies[i].Completed(id, Outcome::kConnectFailed, 10ms));
-          seen[i] = true;
+          has_seen_failure[i] = true;
         }
-        // Seven messages a second, a third of them at the first dispatcher.
+        // Seven messages a second arrive, a third of them at the first dispatcher.
         if (t.count() % 140000 == 0 && i == (number % 3 == 0 ? 0 : number * 7 % dispatchers)) {
           events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(number)));
         }
@@ -75,13 +76,15 @@
         in_flight[i].clear();
         for (const StartAttempt& attempt : policies[i].ActionsOf<StartAttempt>()) {
           in_flight[i].push_back(attempt.id);
-          if (seen[i] && t > 18s) reached.push_back(t);  // all have confirmed the failure by then
+          // By 18 s all dispatchers have confirmed the failure.
+          if (has_seen_failure[i] && t > 18s) reached.push_back(t);
         }
       }
       number += t.count() % 140000 == 0 ? 1 : 0;
     }
-    EXPECT_GE(reached.size(), 20u) << dispatchers;  // enough to find out that it is back
-    // 12 calls on the whole; the dispatchers don't agree, so chance may add six now and then.
+    EXPECT_GE(reached.size(), 20u) << dispatchers;  // enough to notice the end of the outage
+    // On average there are at most 12 calls in 3 s. The dispatchers do not coordinate, so by chance there may
+    // be six more at times.
     EXPECT_LE(static_cast<double>(reached.size()), 12 * 22 / 3.0) << dispatchers;
     for (std::size_t i = 18; i < reached.size(); ++i) {
       EXPECT_GE(reached[i] - reached[i - 18], 3s) << dispatchers << " dispatchers, call " << i;
@@ -89,16 +92,16 @@
   }
 }
 
-// Seen with 649 dispatchers: a shut destination rejected all, and the dispatchers that it had rejected came
-// back at their paces, together several times what it could take when it opened.
-TEST(RecoveryBudget, LimitsRejectedDispatchersAtAShutDestination) {
+// Guards a destination that rejects all calls and then accepts them again. With 649 dispatchers, those that
+// it had rejected returned at their paces, together several times the rate that it could take.
+TEST(RecoveryBudget, LimitsDispatchersAtADestinationThatRejectsAllCalls) {
   std::vector<Time> reached;
   Settings settings = SmallSettings();
   settings.dispatcher_count = 40;
   for (int i = 0; i < settings.dispatcher_count; ++i) {
     settings.dispatcher_index = i;
     PolicyDriver policy(settings, static_cast<std::uint64_t>(i + 1));
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 8)});  // 12 calls in any 3 s for all
+    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 8)});  // 12 calls in any 3 s for all dispatchers
     policy.Accept(0s, "m");
     for (Time t = 20ms; t < 19s; t += 20ms) {
       std::vector<Event> events;
@@ -115,12 +118,16 @@
   for (std::size_t n = 15; n < reached.size(); ++n) EXPECT_GE(reached[n] - reached[n - 15], 3s) << n;
 }
 
+// Send times of calls.
 struct CallsAfterRejections {
-  std::vector<Time> seen;   // of dispatchers that were rejected once
-  std::vector<Time> fresh;  // of those that were not
+  // Of dispatchers that were rejected once.
+  std::vector<Time> rejected;
+  // Of dispatchers that were not rejected.
+  std::vector<Time> not_rejected;
 };
 
-// Of 240 dispatchers at a hung destination that rejects until 7.5 s; one message comes to each of a hundred.
+// Returns the calls of 240 dispatchers to a hung destination after 7.5 s, until when it rejects all calls. A
+// hundred of the dispatchers get one message each.
 CallsAfterRejections RunRejectedDispatchers(std::uint64_t seed) {
   CallsAfterRejections calls;
   Settings settings = SmallSettings();
@@ -128,44 +135,49 @@
   for (int i = 0; i < 100; ++i) {
     settings.dispatcher_index = i;
     PolicyDriver policy(settings, seed + static_cast<std::uint64_t>(i));
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 8)});  // 12 calls in any 3 s for all
-    const Time accepted_at = i * 125ms;                      // as many as it usually takes
+    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 8)});  // 12 calls in any 3 s for all dispatchers
+    // Messages arrive at the rate that the destination usually takes.
+    const Time accepted_at = i * 125ms;
     policy.Accept(accepted_at, "m");
-    if (accepted_at > 7500ms) {  // it is back
-      calls.fresh.push_back(accepted_at);
+    if (accepted_at > 7500ms) {  // the destination has recovered
+      calls.not_rejected.push_back(accepted_at);
       continue;
     }
     policy.Complete(accepted_at + 20ms, "m", Outcome::kRejected, 10ms, 500ms);
     for (Time t = accepted_at + 500ms; t < 12s && policy.ActionsOf<StartAttempt>().empty(); t += 20ms) {
       policy.Process(t);
-      if (t > 7500ms) calls.seen.insert(calls.seen.end(), policy.ActionsOf<StartAttempt>().size(), t);
+      if (t > 7500ms) calls.rejected.insert(calls.rejected.end(), policy.ActionsOf<StartAttempt>().size(), t);
     }
   }
   return calls;
 }
 
-// Seen in a simulated fleet: hundreds of dispatchers, rejected once each by a hung destination, came back to
-// it at their paces, together several times what it could take.
+// Guards a hung destination that recovers. In a simulated fleet, hundreds of dispatchers that it had rejected
+// once each returned at their paces, together several times the rate that it could take.
 TEST(RecoveryBudget, LimitsDispatchersThatWereRejectedOnce) {
-  const auto in = [](const std::vector<Time>& calls, Time from) {
-    return std::ranges::count_if(calls, [&](Time t) { return t >= from && t < from + 3s; });
+  const auto count_in_window = [](const std::vector<Time>& calls, Time start) {
+    return std::ranges::count_if(calls, [&](Time t) { return t >= start && t < start + 3s; });
   };
-  std::size_t seen_calls = 0;
+  std::size_t rejected_calls = 0;
   for (std::uint64_t seed = 1; seed <= 1000; seed += 100) {
     const CallsAfterRejections calls = RunRejectedDispatchers(seed);
-    seen_calls += calls.seen.size();
-    // Broken if two thirds of too much came from those that had seen it.
+    rejected_calls += calls.rejected.size();
+    // The overload rule is broken if there are too many calls and two thirds of them came from dispatchers
+    // that had been rejected.
     for (Time t = 7500ms; t < 9s; t += 20ms) {
-      const auto seen = in(calls.seen, t);
-      const auto fresh = in(calls.fresh, t);
-      EXPECT_TRUE(seen + fresh <= 12 || seen < 2 * fresh) << "seed " << seed << ", " << t.count();
+      const auto rejected = count_in_window(calls.rejected, t);
+      const auto not_rejected = count_in_window(calls.not_rejected, t);
+      EXPECT_TRUE(rejected + not_rejected <= 12 || rejected < 2 * not_rejected)
+          << "seed " << seed << ", " << t.count();
     }
   }
-  EXPECT_GE(seen_calls, 20u);  // what calls nothing breaks no rule
+  // Dispatchers that make no calls would not break the rule either.
+  EXPECT_GE(rejected_calls, 20u);
 }
 
-// Seen in a simulated fleet: dozens of dispatchers each tried every endpoint of a destination three times
-// after failed connections and pushed it over as it came back.
+// Guards a destination that returns against too many calls that confirm failures. In a simulated fleet,
+// dozens of dispatchers each tried every endpoint of a destination three times after failed connections and
+// overloaded it as it returned.
 TEST(RecoveryBudget, ConfirmsFailedConnectionsOnceForAllEndpoints) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = 50;
@@ -186,7 +198,7 @@
   EXPECT_LE(calls, 3);
 }
 
-// Suspected: an endpoint that replaced a failed one was sent everything at once.
+// Guards an endpoint that replaces a failed one against getting all messages at once.
 TEST(RecoveryBudget, CoversAnEndpointThatReplacesAFailedOne) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 4)});
@@ -199,12 +211,12 @@
   EXPECT_LE(policy.ActionsOf<StartAttempt>().size(), 1u);
 }
 
-TEST(RecoveryBudget, OfOneFailedEndpointDoesNotHoldUpTheOthers) {
+TEST(RecoveryBudget, DoesNotLimitTheOtherEndpointsIfOneFails) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40), EndpointAt("f", 0, 1, 40)});
   policy.Accept(0s, "a");
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
-  ASSERT_EQ(policy.IdsOf<StartAttempt>(), "a");  // to the other one at once
+  ASSERT_EQ(policy.IdsOf<StartAttempt>(), "a");  // goes to the other endpoint at once
   EXPECT_EQ(policy.ActionsOf<StartAttempt>()[0].endpoint, "f");
   policy.Complete(200ms, "a", Outcome::kOk);
   std::vector<Event> events;
@@ -213,9 +225,10 @@
   EXPECT_EQ(policy.ActionsOf<StartAttempt>().size(), 5u);
 }
 
-// Seen in a simulated fleet: calls to the endpoint that answered used up the budget of the one that had
-// failed, and its answers never ended the recovery: nothing was sent for a minute.
-TEST(RecoveryBudget, IsNotUsedByASiblingWhoseAnswersEndTheRecovery) {
+// Guards against a recovery that does not end. In a simulated fleet, calls to the endpoint that answered used
+// up the budget of the one that had failed, and its answers never ended the recovery, so nothing was sent for
+// a minute.
+TEST(RecoveryBudget, IsNotUsedUpByAnotherEndpointThatAnswers) {
   Settings settings = SmallSettings();
   settings.dispatcher_count = 50;
   settings.health_checks_allowed = false;
@@ -224,7 +237,7 @@
   policy.Accept(0s, "a");
   const std::string first = policy.ActionsOf<StartAttempt>()[0].endpoint;
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
-  policy.Complete(200ms, "a", Outcome::kOk);  // the other one
+  policy.Complete(200ms, "a", Outcome::kOk);  // the other endpoint answers
   for (int i = 0; i < 20; ++i) {
     const std::string id = "m" + std::to_string(i);
     policy.Accept(300ms + i * 20ms, id);
@@ -232,7 +245,7 @@
   }
   policy.Accept(1s, "b");
   ASSERT_NE(policy.ActionsOf<StartAttempt>()[0].endpoint, first);
-  policy.Complete(1010ms, "b", Outcome::kConnectFailed);  // now that one
+  policy.Complete(1010ms, "b", Outcome::kConnectFailed);  // now the other endpoint fails
   Time t = 1020ms;
   for (; t < 20s && policy.ActionsOf<StartAttempt>().empty(); t += 20ms) policy.Process(t);
   EXPECT_LT(t, 5s);
--- a/tests/policy/release_test.cpp
+++ b/tests/policy/release_test.cpp
@@ -1,4 +1,4 @@
-// Which message goes out when, to which endpoint and with which timeout.
+// Tests of when a message is sent, to which endpoint and with which timeout.
 #include <gtest/gtest.h>
 
 #include "policy_driver.h"
@@ -6,7 +6,7 @@
 namespace sagetally {
 namespace {
 
-TEST(Release, KeepsTheLimitOfConcurrentCalls) {
+TEST(Release, RespectsTheLimitOfConcurrentCalls) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 2;
   PolicyDriver policy(settings);
@@ -28,19 +28,20 @@
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a b c d");
 }
 
-TEST(Release, SendsTheLowestPriorityValueFirstAndKeepsTheAgeOfMessages) {
+TEST(Release, SendsTheLowestPriorityValueFirstByTheAgeOfTheMessages) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2)});
   policy.Accept(0s, "busy");
   policy.Accept(1s, "young", kIdempotentClass, 20s, "", 1);
-  policy.Accept(1s, "old", kIdempotentClass, 19500ms, "", 2);  // half a second old already
+  policy.Accept(1s, "old", kIdempotentClass, 19500ms, "", 2);  // is half a second old already
   policy.Complete(1100ms, "busy", Outcome::kOk);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "old");
 }
 
-// Seen where one call in forty was never answered: each took one of ten concurrent calls for up to 6 s.
+// Guards against calls that are never answered. Where that was one call in forty, each used up one of ten
+// concurrent calls for up to 6 s.
 TEST(Release, UsesShorterTimeoutsAtTheCallLimit) {
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 2;
@@ -48,31 +49,28 @@
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
   policy.Accept(1s, "a");
-  const Duration patient = policy.ActionsOf<StartAttempt>().at(0).timeout;
+  const Duration usual_timeout = policy.ActionsOf<StartAttempt>().at(0).timeout;
   policy.Accept(1s, "b");
-  policy.Accept(1s, "c");  // over the call limit
+  policy.Accept(1s, "c");  // waits, as the call limit is reached
   policy.Complete(1050ms, "a", Outcome::kOk);
   ASSERT_EQ(policy.IdsOf<StartAttempt>(), "c");
-  EXPECT_LT(policy.ActionsOf<StartAttempt>().at(0).timeout, patient / 2);
+  EXPECT_LT(policy.ActionsOf<StartAttempt>().at(0).timeout, usual_timeout / 2);
 }
 
-// Seen where connections fell silent: what tells them from a slow destination is that calls sent later to the
-// same endpoint are answered.
+// Connections that have fallen silent differ from a slow destination in that calls sent later to the same
+// endpoint are answered.
 TEST(Release, CancelsAndRetriesWhatLaterCallsHaveOvertaken) {
   struct Case {
     int message_class;
     bool may_cancel;
     int max_calls;
-    int answered;   // later ones
-    Time given_up;  // 0: not
+    int later_answers;  // answered calls that were sent later
+    Time cancelled_at;  // 0: the call is not cancelled
   };
   const Case table[] = {
-      {kIdempotentClass, true, 2, 2, 1200ms},
-      {kWithKeyClass, true, 2, 2, 1200ms},
-      {kNotIdempotentClass, true, 3, 3, 0ms},
-      {kNotIdempotentClass, true, 4, 4, 1400ms},  // its end is the message's
-      {kNotIdempotentClass, true, 9, 4, 0ms},
-      {kIdempotentClass, true, 2, 1, 0ms},
+      {kIdempotentClass, true, 2, 2, 1200ms}, {kWithKeyClass, true, 2, 2, 1200ms},
+      {kNotIdempotentClass, true, 3, 3, 0ms}, {kNotIdempotentClass, true, 4, 4, 1400ms},  // ends the message
+      {kNotIdempotentClass, true, 9, 4, 0ms}, {kIdempotentClass, true, 2, 1, 0ms},
       {kIdempotentClass, true, 9, 2, 0ms},  // not at the call limit
       {kIdempotentClass, false, 2, 2, 0ms},
   };
@@ -84,30 +82,32 @@
     policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
     CompleteThreeCalls(policy, 0s);
     policy.Accept(1s, "silent", c.message_class);
-    for (int i = 0; i < c.answered; ++i) policy.Accept(1010ms, "later" + std::to_string(i));
-    for (int i = 0; i < c.answered; ++i) {
+    for (int i = 0; i < c.later_answers; ++i) policy.Accept(1010ms, "later" + std::to_string(i));
+    for (int i = 0; i < c.later_answers; ++i) {
       policy.Complete(1050ms + i * 50ms, "later" + std::to_string(i), Outcome::kOk);
-      EXPECT_EQ(policy.IdsOf<CancelAttempt>(), "");  // not yet: it may only be a longer one
+      EXPECT_EQ(policy.IdsOf<CancelAttempt>(), "");  // not yet, because the call may only be slow
     }
-    Time given_up = 0ms;
+    Time cancelled_at = 0ms;
     for (Time now = 1150ms; now < 1500ms; now += 50ms) {
       policy.Process(now);
-      if (policy.IdsOf<CancelAttempt>() == "silent") given_up = now;
+      if (policy.IdsOf<CancelAttempt>() == "silent") cancelled_at = now;
     }
-    EXPECT_EQ(given_up, c.given_up) << c.message_class << " " << c.max_calls << " " << c.answered;
-    if (c.given_up == 0ms) continue;
+    EXPECT_EQ(cancelled_at, c.cancelled_at)
+        << c.message_class << " " << c.max_calls << " " << c.later_answers;
+    if (c.cancelled_at == 0ms) continue;
     policy.Complete(1510ms, "silent", Outcome::kCancelled);
-    const bool again = c.message_class != kNotIdempotentClass;
-    EXPECT_EQ(policy.IdsOf<StartAttempt>(), again ? "silent" : "");
-    EXPECT_EQ(policy.IdsOf<FailMessage>(), again ? "" : "silent");
+    const bool is_retried = c.message_class != kNotIdempotentClass;
+    EXPECT_EQ(policy.IdsOf<StartAttempt>(), is_retried ? "silent" : "");
+    EXPECT_EQ(policy.IdsOf<FailMessage>(), is_retried ? "" : "silent");
   }
 }
 
-// A call that joins others at its endpoint takes longer and keeps its place from the rest, but not for ever.
+// A call to an endpoint that has calls in flight takes longer and uses up a concurrent call meanwhile, so
+// messages to other endpoints go first, but not for ever.
 TEST(Release, AtTheCallLimitPrefersEndpointsWithoutCallsInFlight) {
   struct Case {
-    Duration later;  // by which the other destination's message came
-    const char* first;
+    Duration delay;     // how much later the message to the other destination was accepted
+    const char* first;  // the message that is sent first
   };
   for (const Case& c : {Case{20ms, "free"}, Case{90ms, "free"}, Case{400ms, "queued"}}) {
     Settings settings = SmallSettings();
@@ -119,18 +119,19 @@
     policy.Accept(2s, "out1");
     policy.Accept(2s, "out2");
     policy.Accept(2010ms, "queued");
-    policy.Accept(2010ms + c.later, "free", kIdempotentClass, 20s, "", 2);
+    policy.Accept(2010ms + c.delay, "free", kIdempotentClass, 20s, "", 2);
     EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
     policy.Complete(2500ms, "out1", Outcome::kOk, 100ms);
-    EXPECT_EQ(policy.IdsOf<StartAttempt>(), c.first) << c.later.count();
+    EXPECT_EQ(policy.IdsOf<StartAttempt>(), c.first) << c.delay.count();
   }
 }
 
-// All are slow, and answered in the order sent: nothing overtakes, and each has its whole timeout.
-TEST(Release, CancelsNothingWhereAllAreSlow) {
+// All calls are slow and are answered in the order sent, so none is overtaken and each may take its whole
+// timeout.
+TEST(Release, CancelsNothingWhereAllCallsAreSlow) {
   Settings settings = SmallSettings();
   settings.cancellation_allowed = true;
-  settings.max_concurrent_calls = 3;  // reached
+  settings.max_concurrent_calls = 3;  // the limit is reached
   PolicyDriver policy(settings);
   policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
@@ -143,7 +144,7 @@
   }
 }
 
-// Guards calls that the end of the process would cut off: one that is not idempotent would be lost.
+// Guards against calls that the end of the process cuts off. A message that is not idempotent would be lost.
 TEST(Release, HoldsBackCallsThatWouldNotReturnBeforeTheShutdown) {
   PolicyDriver policy;
   policy.UpdateEndpoints(0s, {EndpointAt("a")});
--- a/tests/policy/replay_golden.sh
+++ b/tests/policy/replay_golden.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Replays every recorded input into a simulator adapter and compares its outputs with the recorded checksums.
+# Replays every recorded input to a simulator adapter and compares its outputs with the recorded checksums.
 #   replay_golden.sh ADAPTER GOLDEN_DIR
 # Prints "N passed, N failed" as its last line. Exit code: 1 if a stream differs, 2 if there is none.
 set -eu
--- a/tests/policy/scenarios.py
+++ b/tests/policy/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios for recording inputs of the dispatch policy: a site's settings and how its endpoints behave."""
+"""Scenarios for recording inputs of the dispatch policy: settings of a site, behaviour of its endpoints."""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +14,7 @@
 
 def message_class(idempotency, objective, deadline, weight, late_fraction=0.4, group="all", window=5000.0,
                   ordered=False):
-    """One entry of `grades`, times in milliseconds."""
+    """Returns one entry of `grades`. Times are in milliseconds."""
     return {"slo": objective, "deadline": deadline, "credit": weight, "lateShare": late_fraction,
             "idempotency": idempotency, "group": group, "repeatWindow": window, "inOrder": ordered}
 
@@ -49,20 +49,20 @@
 
 @dataclass
 class Scenario:
-    """A site and its load. Rates are per second, times in milliseconds unless a name says otherwise."""
+    """A site and its load. Rates are per second and times in milliseconds, unless the name says otherwise."""
 
     name: str
     seconds: float = 45.0
     instances: int = 2
     dispatchers: int = 2
-    arrival_rate: float = 25.0  # messages for one instance
+    arrival_rate: float = 25.0  # messages that reach one instance
     classes: list = field(default_factory=lambda: THREE_CLASSES)
     destinations: int = 5
     endpoints_per_destination: int = 3
     zones: int = 2
-    kinds: list = field(default_factory=lambda: [(False, 1)])  # (routes apart, messages per call)
-    capacity: float = 40.0  # calls a second of one rate limit, for the simulated instances together
-    latency: float = 60.0  # median
+    kinds: list = field(default_factory=lambda: [(False, 1)])  # (limits for each endpoint, messages per call)
+    capacity: float = 40.0  # calls a second that one rate limit allows all simulated instances together
+    latency: float = 60.0  # median of the latencies
     latency_sigma: float = 0.5
     rates: str = "nominal"
     late: str = "linear"
@@ -84,18 +84,18 @@
     hang_share: float = 0.003
     not_sent_share: float = 0.001
     withdrawal_share: float = 0.01
-    told_wait_share: float = 0.6
+    retry_after_share: float = 0.6
     connection_table: int = 0  # connections that an endpoint accepts; 0: any number
-    dropped_idle_age: float = 0.0  # idle connections older than this have been dropped unseen; 0: none
+    dropped_idle_age: float = 0.0  # connections idle for longer are dropped without notice; 0: none are
     restart_rate: float = 0.0
     stall_rate: float = 0.0
     clock_jump_rate: float = 0.0
     stray_event_rate: float = 0.5
-    burst_share: float = 0.0  # of the time, at five times the arrival rate
-    fatal_event: str = ""  # what ends the adapter in the last batch: "class" or "kind" out of range
+    burst_share: float = 0.0  # part of the time in which messages arrive at five times the arrival rate
+    fatal_event: str = ""  # what is out of range in the last batch and ends the adapter: "class" or "kind"
 
     def params(self, ordinal):
-        """The `params` of Begin for one instance."""
+        """Returns the `params` of Begin for one instance."""
         allowances = [self.tenant_allowance / (1 + index) for index in range(self.tenants)]
         return {
             "balancers": self.dispatchers, "ordinal": ordinal, "zone": ordinal % self.zones,
@@ -124,7 +124,7 @@
     Scenario("fleet_300_rough", dispatchers=300, rates="rough", destinations=6, capacity=8.0,
              arrival_rate=20.0, connection_table=4, destination_fault_rate=0.06),
     Scenario("fleet_120_untold", dispatchers=120, rates="silent", destinations=4, capacity=7.0,
-             arrival_rate=20.0, late="halving", connection_table=5, told_wait_share=0.3,
+             arrival_rate=20.0, late="halving", connection_table=5, retry_after_share=0.3,
              classes=KEY_SCOPE_CLASSES),
     Scenario("routes_apart_batches", kinds=[(True, 8), (False, 4), (True, 1)], zones=3, destinations=6,
              arrival_rate=45.0, capacity=10.0, concurrent_calls=10, seconds=35.0, classes=KEY_SCOPE_CLASSES),
@@ -132,7 +132,7 @@
              arrival_rate=22.0, late="halving", kinds=[(False, 1), (False, 3)]),
     Scenario("outages", destinations=6, endpoint_fault_rate=0.5, destination_fault_rate=0.25,
              classes=KEY_SCOPE_CLASSES, arrival_rate=22.0, instances=3, dispatchers=3, seconds=35.0,
-             told_wait_share=0.3, tenants=2),
+             retry_after_share=0.3, tenants=2),
     Scenario("list_on_request", subscribe=True, fatal_event="kind", list_change_rate=2.0,
              list_failure_rate=0.25, rules={"warmWithin": 1200.0}, kinds=[(False, 1), (True, 2)],
              arrival_rate=22.0),
--- a/tests/policy/scripts_test.sh
+++ b/tests/policy/scripts_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Tests replay_golden.sh and compare_adapters.sh on made-up adapters: equal, differing, failing, missing.
+# Tests replay_golden.sh and compare_adapters.sh with adapters that are scripts. Their outputs are equal or differ, and one
+# adapter fails or is missing.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 scratch=$(mktemp -d)
@@ -7,13 +8,13 @@
 golden=$scratch/golden
 mkdir "$golden" "$scratch/empty"
 
-# make_adapter NAME BODY: a script that stands for an adapter.
+# make_adapter NAME BODY: writes a script that takes the place of an adapter.
 make_adapter() {
   printf '#!/bin/sh\n%s\n' "$2" >"$scratch/$1"
   chmod +x "$scratch/$1"
 }
 
-# expect EXIT_CODE TEXT COMMAND...: the command ends with the code and its output contains the text.
+# expect EXIT_CODE TEXT COMMAND...: checks that the command ends with the exit code and that its output contains the text.
 expect() {
   wanted_code=$1 wanted_text=$2
   shift 2
--- a/tests/policy/simulated_world.py
+++ b/tests/policy/simulated_world.py
@@ -1,36 +1,36 @@
-"""Simulated destinations: rate limits, connection tables, faults and cold recovery, from a seeded source."""
+"""Simulated destinations with rate limits, connection tables, faults and cold starts, random from a seed."""
 
 import math
 from dataclasses import dataclass, field
 
 OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT = range(8)
-FAULTS = ["refuses_connections", "silent", "resets", "errors", "shut", "slow", "unreachable"]
+FAULTS = ["refuses_connections", "does_not_answer", "resets", "errors", "rejects_all", "slow", "unreachable"]
 CONNECT_TIMEOUT_MS = 1500.0
 SLOW_FACTOR = 8.0
 
 
 @dataclass
 class CallResult:
-    """What becomes of one call, `delay` milliseconds after it was sent."""
+    """How a call ends, `delay` milliseconds after it was sent."""
 
     outcome: int
     delay: float
-    told_wait: int = 0
+    retry_after: int = 0  # milliseconds, of a rejection; 0: not given
 
 
 @dataclass
 class RateLimit:
-    """A token bucket; after an outage its rate recovers from the cold share."""
+    """A token bucket. After an outage its rate rises from the cold share to the full rate."""
 
     rate: float
     cold_share: float
-    warm_within: float
+    warm_up_time: float
     tokens: float = 1.0
     updated: float = 0.0
     recovered: float = -1e12
 
     def present_rate(self, now):
-        warmth = min(1.0, (now - self.recovered) / self.warm_within)
+        warmth = min(1.0, (now - self.recovered) / self.warm_up_time)
         return self.rate * (self.cold_share + (1 - self.cold_share) * warmth)
 
     def admit(self, now):
@@ -56,11 +56,11 @@
     mode: str = "up"
     fault: str = ""
     fault_until: float = 0.0
-    idle: dict = field(default_factory=dict)  # by instance name, when its idle connections were last used
+    idle: dict = field(default_factory=dict)  # by instance: when each of its idle connections was last used
     busy: int = 0
 
     def row(self):
-        """The entry of the endpoint list."""
+        """Returns the entry of the endpoint list."""
         return {"destination": self.destination, "az": self.zone, "endpoint": self.address, "mode": self.mode,
                 "machine": self.kind, "rating": self.rating}
 
@@ -86,7 +86,7 @@
         self.next_address += 1
         address = f"10.0.{destination}.{self.next_address}:80"
         endpoint = Endpoint(address, destination, self.random.randrange(self.scenario.zones), kind, limit,
-                            self._rating(limit))
+                            self._advertised_rate(limit))
         self.endpoints[address] = endpoint
         return endpoint
 
@@ -96,16 +96,16 @@
         routes_apart = self.scenario.kinds[kind][0]
         return fresh if routes_apart else self.shared_limits.setdefault(destination, fresh)
 
-    def _rating(self, limit):
+    def _advertised_rate(self, limit):
         if self.scenario.rates == "silent":
             return 1
-        told = limit.rate * self.scenario.dispatchers / self.scenario.instances
+        advertised = limit.rate * self.scenario.dispatchers / self.scenario.instances
         if self.scenario.rates == "rough":
-            told *= self.random.uniform(0.5, 1.5)
-        return round(told, 2)
+            advertised *= self.random.uniform(0.5, 1.5)
+        return round(advertised, 2)
 
     def start_fault(self, now, endpoints):
-        """Puts the endpoints into one fault for a few seconds."""
+        """Gives the endpoints the same random fault for 0.4 to 7 seconds."""
         fault = self.random.choice(FAULTS)
         until = now + self.random.uniform(400, 7000)
         for endpoint in endpoints:
@@ -123,20 +123,20 @@
         return endpoint.busy + sum(len(ages) for ages in endpoint.idle.values())
 
     def call(self, now, instance, address, time_out):
-        """Decides the fate of a call that the instance sends now."""
+        """Returns the result of a call that the instance sends now."""
         endpoint = self.endpoints[address]
         self._end_fault(now, endpoint)
         open_connections = self._open_connections(now, endpoint)
         ages = endpoint.idle.setdefault(instance, [])
         idle_age = now - ages.pop() if ages else None
-        result = self._fate(now, endpoint, idle_age, open_connections)
+        result = self._draw_result(now, endpoint, idle_age, open_connections)
         if result.delay > time_out:
             unsent = result.outcome == CONNECT_FAILED
             result = CallResult(CONNECT_FAILED if unsent else TIMEOUT, time_out)
         endpoint.busy += 1
         return result
 
-    def _fate(self, now, endpoint, idle_age, open_connections):
+    def _draw_result(self, now, endpoint, idle_age, open_connections):
         scenario, random = self.scenario, self.random
         latency = scenario.latency * math.exp(random.gauss(0, scenario.latency_sigma))
         if endpoint.mode == "removed":
@@ -149,13 +149,13 @@
             full = random.random() < 0.7
             return CallResult(REJECTED, 0.2 * latency) if full else CallResult(CONNECT_FAILED, 5.0)
         if endpoint.fault:
-            return self._faulty(endpoint.fault, latency)
+            return self._result_of_fault(endpoint.fault, latency)
         if random.random() < scenario.hang_share:
             return CallResult(TIMEOUT, math.inf)
         if not endpoint.limit.admit(now):
-            told = random.random() < scenario.told_wait_share
-            wait = int(random.uniform(50, 1200)) if told else 0
-            return CallResult(REJECTED, 0.6 * latency, wait)
+            has_retry_after = random.random() < scenario.retry_after_share
+            retry_after = int(random.uniform(50, 1200)) if has_retry_after else 0
+            return CallResult(REJECTED, 0.6 * latency, retry_after)
         draw = random.random()
         if draw < scenario.error_share:
             return CallResult(ERROR, latency)
@@ -163,24 +163,24 @@
             return CallResult(RESET, 0.5 * latency)
         return CallResult(OK, latency)
 
-    def _faulty(self, fault, latency):
+    def _result_of_fault(self, fault, latency):
         if fault == "refuses_connections":
             return CallResult(CONNECT_FAILED, 1.0)
         if fault == "unreachable":
             return CallResult(CONNECT_FAILED, CONNECT_TIMEOUT_MS)
-        if fault == "silent":
+        if fault == "does_not_answer":
             return CallResult(TIMEOUT, math.inf)
         if fault == "resets":
             return CallResult(RESET, 0.3 * latency)
         if fault == "errors":
             return CallResult(ERROR, 0.5 * latency)
-        if fault == "shut":
-            wait = self.random.choice([0, 0, 300, 2500])
-            return CallResult(REJECTED, 0.4 * latency, wait)
+        if fault == "rejects_all":
+            retry_after = self.random.choice([0, 0, 300, 2500])
+            return CallResult(REJECTED, 0.4 * latency, retry_after)
         return CallResult(OK, SLOW_FACTOR * latency)
 
     def finish_call(self, now, instance, address, outcome):
-        """Gives the connection back after the outcome, where it can serve again."""
+        """Keeps the connection of a call as an idle one if the outcome allows it to be used again."""
         endpoint = self.endpoints[address]
         endpoint.busy -= 1
         if outcome in (OK, ERROR, REJECTED):
