--- a/include/sagetally/dispatch_policy.h
+++ b/include/sagetally/dispatch_policy.h
@@ -34,10 +34,12 @@
 
 // What a destination does if it gets the same message again.
 enum class Idempotency {
-  kIdempotent,         // repeating the message has no further effect
-  kIdempotentWithKey,  // drops the repetition by its idempotency key, within
-                       // ClassSettings::deduplication_window
-  kNotIdempotent       // handles the message twice
+  // Repeating the message has no further effect.
+  kIdempotent,
+  // The destination drops the repetition by its idempotency key, within ClassSettings::deduplication_window.
+  kIdempotentWithKey,
+  // The destination handles the message twice.
+  kNotIdempotent
 };
 
 // Which endpoints of a destination drop a repeated idempotency key: all of them, those in the zone of the
@@ -55,7 +57,7 @@
   // Fraction of the weight that is left at the deadline, 0 to 1.
   double late_weight_fraction = 0.0;
   Idempotency idempotency = Idempotency::kNotIdempotent;
-  // Only for kIdempotentWithKey.
+  // Only for kIdempotentWithKey: which endpoints drop a repeated key.
   KeyScope key_scope = KeyScope::kAll;
   // Only for kIdempotentWithKey: how long the destination remembers an idempotency key.
   Duration deduplication_window{0};
@@ -63,7 +65,7 @@
   bool ordered_by_key = false;
 };
 
-// Settings of one kind of destination. A kind is named by its index in Settings::kinds.
+// Settings of one kind of destination. A kind is identified by its index in Settings::kinds.
 struct DestinationKindSettings {
   // Each endpoint has its own rate limit, pace and outages; otherwise the endpoints of a destination share
   // them.
@@ -74,7 +76,7 @@
 
 // What EndpointRecord::rate holds.
 enum class AdvertisedRates {
-  kNone,        // nothing of use: the policy ignores it
+  kNone,        // nothing usable; the policy ignores it
   kExact,       // the rate limit
   kApproximate  // the rate limit with an error of up to half of it
 };
@@ -101,7 +103,7 @@
   // Fraction of its weight that a message beyond its tenant's quota keeps.
   double over_quota_weight = 1.0;
   AdvertisedRates advertised_rates = AdvertisedRates::kExact;
-  // Not used by the policy.
+  // How the weight of late messages falls. Not used by the policy.
   LateWeightDecay late_weight_decay = LateWeightDecay::kLinear;
   // Whether a second attempt (a hedged request) may be in flight where the class is idempotent. The policy
   // never sends one.
@@ -114,15 +116,15 @@
   int dispatcher_index = 0;
   // Zone of this dispatcher.
   int zone = 0;
-  // Most calls of this dispatcher in flight at a time. Positive.
+  // Maximum number of calls of this dispatcher in flight. Positive.
   int max_concurrent_calls = 1;
-  // Most messages that are accepted and have no final answer yet. Positive.
+  // Maximum number of messages that are accepted and have no final answer yet. Positive.
   int max_pending_messages = 1;
-  // Most attempts for one message. Positive.
+  // Maximum number of attempts for one message. Positive.
   int max_attempts = 1;
   // Calls that one connection carries at a time. Positive.
   int max_streams_per_connection = 1;
-  // Not used by the policy, which starts no health checks.
+  // Whether health checks may be started. The policy starts none.
   bool health_checks_allowed = false;
   // Whether an attempt may be cancelled before its timeout.
   bool cancellation_allowed = false;
@@ -222,8 +224,8 @@
   std::string key = {};
   // Index into Settings::tenants. Ignored if it is out of range.
   int tenant = 0;
-  // The remaining fields are the history of a message that the host had before it was restarted. Attempts so
-  // far.
+  // Attempts so far. This field and those below are the history of a message that the host already had before
+  // it was restarted.
   int attempts = 0;
   // Send time of the earliest attempt that may have run.
   std::optional<Time> first_uncertain_attempt = {};
--- a/src/policy/policy_state.h
+++ b/src/policy/policy_state.h
@@ -27,7 +27,7 @@
 constexpr Duration kMinOverdueTime = milliseconds(300);
 // Time before a message's deadline that is kept for its final answer to arrive.
 constexpr Duration kMinAnswerTime = milliseconds(15);
-// For this time after the limit of concurrent calls was reached the policy acts as at the limit.
+// For this time after the limit of concurrent calls was reached, the policy still acts as if it were reached.
 constexpr Duration kCallLimitMemory = seconds(2);
 // Interval at which the idle age up to which connections are trusted doubles after it was lowered.
 constexpr Duration kIdleLimitDoublingInterval = seconds(30);
@@ -135,7 +135,7 @@
   int zone = 0, kind = 0;
   Destination* destination = nullptr;
   RateLimitScope* scope = nullptr;
-  // Near 0: calls succeed; near 1: they fail. It decays with time, because a dispatcher that calls seldom
+  // Between 0 (calls succeed) and 1 (calls fail). It decays with time, because a dispatcher that calls seldom
   // would otherwise withhold messages from the endpoint for ever.
   DecayedScore failure_score;
   // The endpoint has a rate limit of its own.
--- a/src/policy/recovery_budget.h
+++ b/src/policy/recovery_budget.h
@@ -23,11 +23,11 @@
 constexpr double kArrivalPermitFraction = 0.55;
 // Share permits come at this fraction of an even share of the rate, times RecoveryFraction.
 constexpr double kSharePermitFraction = 0.55;
-// Messages bring permits up to this multiple of the usual rate of answered calls, plus kMinUsualRate.
+// Messages bring permits only up to this multiple of the usual rate of answered calls, plus kMinUsualRate.
 constexpr double kUsualRateMargin = 1.2;
-// Calls a second.
+// Calls a second that are added to that.
 constexpr double kMinUsualRate = 0.2;
-// While calls have only been rejected, at least this fraction of the full capacity may be used, because
+// While calls have only been rejected, the budget is at least this fraction of the full capacity, because
 // rejections alone mostly come from a rate limit, which the pace obeys. The first rejection brings no permit
 // at once; its message waits for the next one.
 constexpr double kOnlyRejectedFraction = 0.8;
--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -13,13 +13,14 @@
 
 // Alpha is 1 plus this times the fraction of the pending messages that are relegated.
 constexpr double kRelegationGain = 3.0;
-// The timeout of an attempt is this many expected latencies, and at least as many latency objectives as one
-// of the following three constants says.
+// The timeout of an attempt is this many expected latencies, but at least as many latency objectives as one
+// of the next three constants says.
 constexpr double kTimeoutExpectedLatencies = 3.0;
 constexpr double kTimeoutObjectives = 1.2;
-// At a suspect endpoint.
+// Applies in place of kTimeoutObjectives to a suspect endpoint.
 constexpr double kSuspectTimeoutObjectives = 1.0;
-// At the limit of concurrent calls, where calls that are never answered keep others from being sent.
+// Applies in place of both at the limit of concurrent calls, where calls that are never answered keep others
+// from being sent.
 constexpr double kTimeoutObjectivesAtCallLimit = 0.3;
 // The timeout of a message that is not idempotent is longer by this factor.
 constexpr double kNotIdempotentTimeoutFactor = 2.0;
--- a/tests/policy/cold_return_fleet.h
+++ b/tests/policy/cold_return_fleet.h
@@ -56,11 +56,12 @@
   Time time{0};
   // All calls in the window, and those of dispatchers that had seen the outage.
   int calls = 0, informed_calls = 0;
-  // Most calls that would not have been an overload.
+  // Maximum number of calls that would not have been an overload.
   double max_calls = 0;
 };
 
-// Returns the most calls in one window that do not overload a destination for which the settings allow `n`.
+// Returns the maximum number of calls in one window that does not overload a destination for which the
+// settings allow `n` calls.
 inline double MaxCalls(double n) { return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2; }
 
 class ColdReturn {
--- a/tests/policy/release_test.cpp
+++ b/tests/policy/release_test.cpp
@@ -68,9 +68,12 @@
     Time cancelled_at;  // 0: the call is not cancelled
   };
   const Case table[] = {
-      {kIdempotentClass, true, 2, 2, 1200ms}, {kWithKeyClass, true, 2, 2, 1200ms},
-      {kNotIdempotentClass, true, 3, 3, 0ms}, {kNotIdempotentClass, true, 4, 4, 1400ms},  // ends the message
-      {kNotIdempotentClass, true, 9, 4, 0ms}, {kIdempotentClass, true, 2, 1, 0ms},
+      {kIdempotentClass, true, 2, 2, 1200ms},
+      {kWithKeyClass, true, 2, 2, 1200ms},
+      {kNotIdempotentClass, true, 3, 3, 0ms},
+      {kNotIdempotentClass, true, 4, 4, 1400ms},  // cancelling ends it
+      {kNotIdempotentClass, true, 9, 4, 0ms},
+      {kIdempotentClass, true, 2, 1, 0ms},
       {kIdempotentClass, true, 9, 2, 0ms},  // not at the call limit
       {kIdempotentClass, false, 2, 2, 0ms},
   };
