--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -22,8 +22,8 @@
 }
 
 struct Host : JournalHost {
-  void ScheduleTurn(Duration d) override { due = clock.Now() + d; }
-  void OnProgress() override {}
+  void ScheduleWork(Duration d) override { due = clock.Now() + d; }
+  void OnDurabilityProgress() override {}
   void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override {
     done(file->Sync());
   }
--- a/src/admin/readiness.cpp
+++ b/src/admin/readiness.cpp
@@ -44,7 +44,7 @@
   phase_ = Phase::kStopping;
 }
 
-std::string Readiness::StatusWord(std::size_t pending_messages, std::size_t connections) const {
+std::string Readiness::StatusText(std::size_t pending_messages, std::size_t connections) const {
   switch (phase_) {
     case Phase::kStarting:
       return "starting";
--- a/src/admin/readiness.h
+++ b/src/admin/readiness.h
@@ -53,7 +53,7 @@
 
   // Returns the status text that the admin server sends. A draining process reports "drained" as soon as it
   // has neither pending messages nor client connections.
-  std::string StatusWord(std::size_t pending_messages, std::size_t connections) const;
+  std::string StatusText(std::size_t pending_messages, std::size_t connections) const;
 
   // Returns whether accepted messages can be written to the journal. If it is not set, they can always be
   // written.
--- a/src/app/admin_service.cpp
+++ b/src/app/admin_service.cpp
@@ -26,7 +26,7 @@
 }
 
 std::string AdminService::FormatStatusResponse(bool success) const {
-  const std::string status = readiness_.StatusWord(gauges_().in_progress, servers_.connections());
+  const std::string status = readiness_.StatusText(gauges_().in_progress, servers_.connections());
   return (success ? "done " : "error ") + status + "\n";
 }
 
--- a/src/app/client_servers.cpp
+++ b/src/app/client_servers.cpp
@@ -69,8 +69,9 @@
   return count;
 }
 
-bool ClientServers::IsSettled() const {
-  return std::ranges::all_of(Servers(), [](const HttpServer* server) { return server->IsSettled(); });
+bool ClientServers::HasNoPendingResponse() const {
+  return std::ranges::all_of(Servers(),
+                             [](const HttpServer* server) { return server->HasNoPendingResponse(); });
 }
 
 void ClientServers::SetClosing(bool closing) {
--- a/src/app/client_servers.h
+++ b/src/app/client_servers.h
@@ -49,7 +49,7 @@
   std::size_t connections() const;
 
   // Returns whether every request that has been read has its response, and every response has been written.
-  bool IsSettled() const;
+  bool HasNoPendingResponse() const;
   // Sets whether each response from now on is the last one on its connection.
   void SetClosing(bool closing);
   // Closes idle connections, and makes each response from now on the last one on its connection.
--- a/src/app/dispatcher_handover.cpp
+++ b/src/app/dispatcher_handover.cpp
@@ -49,7 +49,7 @@
 
 bool Dispatcher::IsSettledForHandover() {
   pipeline_.RunPolicy();
-  bool is_settled = pipeline_.IsQuiescent() && client_servers_.IsSettled();
+  bool is_settled = pipeline_.IsQuiescent() && client_servers_.HasNoPendingResponse();
   // Cancels the calls of messages that are complete. The successor does not know these messages, so it would
   // use the slots of their calls for other calls.
   for (const auto& [number, message] : messages_.messages()) {
--- a/src/app/journal_service.cpp
+++ b/src/app/journal_service.cpp
@@ -36,7 +36,7 @@
 JournalService::~JournalService() = default;
 
 void JournalService::LogReplay(Logger& log) const {
-  log.Info("journal.read", {{"note", journal_->replay_note()},
+  log.Info("journal.read", {{"note", journal_->replay_summary()},
                             {"segments", journal_->report().segments.size()},
                             {"epoch", journal_->epoch()},
                             {"disk_bytes", journal_->disk_bytes()}});
--- a/src/app/journal_service.h
+++ b/src/app/journal_service.h
@@ -44,8 +44,8 @@
   SegmentJournal& journal() { return *journal_; }
 
   // Implements JournalHost; called by the journal.
-  void ScheduleTurn(Duration delay) override { work_timer_.Schedule(delay); }
-  void OnProgress() override { progress_timer_.Schedule(Duration(0)); }
+  void ScheduleWork(Duration delay) override { work_timer_.Schedule(delay); }
+  void OnDurabilityProgress() override { progress_timer_.Schedule(Duration(0)); }
   void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> on_done) override;
   void BeforeFirstWrite() override {
     if (before_first_write_) before_first_write_();
--- a/src/cli/flags.h
+++ b/src/cli/flags.h
@@ -14,7 +14,7 @@
 
 // Returns the environment variable of a setting. For example, it is SAGETALLY_CLOUDEVENTS_LISTEN for the path
 // "cloudevents.listen" and the prefix "SAGETALLY_".
-inline std::string VariableFor(const std::string& prefix, std::string path) {
+inline std::string EnvironmentVariableFor(const std::string& prefix, std::string path) {
   for (char& character : path) {
     const bool is_separator = character == '.' || character == '-';
     character = is_separator ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
@@ -29,7 +29,7 @@
   for (const SettingName& setting : names) {
     const auto store = [&settings, path = setting.path](const std::string& value) { settings[path] = value; };
     app.add_option_function<std::string>("--" + setting.path, store, setting.description)
-        ->envname(VariableFor(prefix, setting.path))
+        ->envname(EnvironmentVariableFor(prefix, setting.path))
         ->group(group);
   }
 }
--- a/src/journal/segment_journal.cpp
+++ b/src/journal/segment_journal.cpp
@@ -83,7 +83,7 @@
   // The log of format 1 was migrated just now, or by an earlier process that ended before it removed the log.
   if (!settings_.format1_path.empty()) files_.Remove(settings_.format1_path);
   if (!GrowReserve(index_.future_bytes())) OnWriteError(ENOSPC, false);
-  ScheduleTurn();
+  ScheduleWork();
 }
 
 Format1Report SegmentJournal::MigrateFormat1() {
@@ -182,7 +182,7 @@
     index_.UpdateSizes(*message, entry);
     RequestSyncFor(*message);
   }
-  if (compactor_.OnAppended(record.size())) ScheduleTurn();
+  if (compactor_.OnAppended(record.size())) ScheduleWork();
   return true;
 }
 
@@ -225,7 +225,7 @@
   }
   entry->last_sequence = segment_log_.last_sequence();
   RequestSyncFor(message);
-  if (compactor_.OnAppended(record.size())) ScheduleTurn();
+  if (compactor_.OnAppended(record.size())) ScheduleWork();
 }
 
 bool SegmentJournal::WriteState(const Message& message, LiveMessage& entry, WriteMode mode) {
@@ -301,7 +301,7 @@
     retry_.delay = kMinRetryDelay;
     retry_.due = clock_.Now() + retry_.delay;
   }
-  ScheduleTurn();
+  ScheduleWork();
 }
 
 bool SegmentJournal::ReleaseReserve(std::uint64_t size) {
@@ -363,7 +363,7 @@
 }
 
 void SegmentJournal::RequestSync() {
-  if (group_commit_.Request(clock_.Now())) ScheduleTurn();
+  if (group_commit_.Request(clock_.Now())) ScheduleWork();
 }
 
 void SegmentJournal::RequestSyncFor(const Message& message) {
@@ -376,10 +376,10 @@
     case GroupCommit::Start::kNothingToDo:
       return;
     case GroupCommit::Start::kAllSynced:
-      return host_.OnProgress();
+      return host_.OnDurabilityProgress();
     case GroupCommit::Start::kUntrusted:
       RecoverFromFailedSync(EIO);
-      return host_.OnProgress();
+      return host_.OnDurabilityProgress();
     case GroupCommit::Start::kStarted:
       break;
   }
@@ -397,7 +397,7 @@
   auto& removals = index_.unsynced_removals();
   while (!removals.empty() && group_commit_.IsSynced(removals.front().last_sequence)) removals.pop_front();
   if (!group_commit_.IsSynced(segment_log_.last_sequence())) RequestSync();
-  host_.OnProgress();
+  host_.OnDurabilityProgress();
 }
 
 // After a failed sync, the file is not synced a second time: the second sync may succeed although the kernel
@@ -466,7 +466,7 @@
     retry_.delay = std::clamp(retry_.delay * 2, kMinRetryDelay, kMaxRetryDelay);
     retry_.due = clock_.Now() + retry_.delay;
   }
-  if (becomes_writable) host_.OnProgress();
+  if (becomes_writable) host_.OnDurabilityProgress();
 }
 
 void SegmentJournal::RunDueWork() {
@@ -479,12 +479,12 @@
     reserve_.Shrink(index_.future_bytes());  // leaves more of the disk budget to the segments
     if (has_changed) compactor_.ScheduleNextStep(now);
   }
-  ScheduleTurn();
+  ScheduleWork();
 }
 
-void SegmentJournal::ScheduleTurn() {
+void SegmentJournal::ScheduleWork() {
   const Time due = std::min({compactor_.due(), group_commit_.due(), retry_.due});
-  if (due != Time::max()) host_.ScheduleTurn(std::max(Duration(0), due - clock_.Now()));
+  if (due != Time::max()) host_.ScheduleWork(std::max(Duration(0), due - clock_.Now()));
 }
 
 }  // namespace sagetally
--- a/src/journal/segment_journal.h
+++ b/src/journal/segment_journal.h
@@ -37,10 +37,10 @@
   virtual ~JournalHost() = default;
   // Sets the timer that calls SegmentJournal::RunDueWork after `delay`. There is only one such timer; a new
   // call replaces the previous one.
-  virtual void ScheduleTurn(Duration delay) = 0;
+  virtual void ScheduleWork(Duration delay) = 0;
   // Called when messages that were not durable may have become durable. The call comes from within a function
   // of the journal, so the host must not ask the journal before that function has returned.
-  virtual void OnProgress() = 0;
+  virtual void OnDurabilityProgress() = 0;
   // Syncs the file on another thread, and later calls `on_done` with an errno value on the thread of the
   // event loop.
   virtual void SyncInBackground(std::shared_ptr<File> file, std::function<void(int error)> on_done) = 0;
@@ -88,7 +88,7 @@
   bool has_unwritten_records() const { return index_.has_unwritten_records(); }
 
   // Does the work that is due: compaction, group commit and retries after an error. To be called at the time
-  // requested by JournalHost::ScheduleTurn.
+  // requested by JournalHost::ScheduleWork.
   void RunDueWork();
 
   const Counters& counters() const { return counters_; }
@@ -97,7 +97,7 @@
   // Returns whether the journal contained no records at the start.
   bool is_new() const { return is_new_; }
   // A summary of what was read at the start, for the log.
-  const std::string& replay_note() const { return replay_summary_; }
+  const std::string& replay_summary() const { return replay_summary_; }
   // Disk space of all files in bytes, as the budget counts it.
   std::uint64_t disk_bytes() const { return disk_space_.used(); }
   // Upper bound, in bytes, of the states and further records of all live messages.
@@ -188,7 +188,7 @@
   // since. Returns whether all was written.
   bool WriteUnwrittenRecords();
   // Sets the host's timer to the earliest time at which work is due.
-  void ScheduleTurn();
+  void ScheduleWork();
 
   FileSystem& files_;
   const JournalSettings settings_;
--- a/src/loadtest/commands/command.h
+++ b/src/loadtest/commands/command.h
@@ -44,7 +44,8 @@
   const std::string first_name = names.substr(0, names.find(','));
   CLI::Option* option = command->add_option(names, value, description);
   if (!first_name.starts_with("--")) return option;
-  return option->envname(VariableFor(kVariablePrefix, first_name.substr(2)))->capture_default_str();
+  return option->envname(EnvironmentVariableFor(kVariablePrefix, first_name.substr(2)))
+      ->capture_default_str();
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/commands/demo_command.cpp
+++ b/src/loadtest/commands/demo_command.cpp
@@ -44,7 +44,7 @@
             "the sagetally to start; default: the one beside this program");
   AddOption(command, "--output", demo.output, "folder for the report");
   command->add_flag("--calm", options->calm, "without the outage and the errors")
-      ->envname(VariableFor(kVariablePrefix, "calm"));
+      ->envname(EnvironmentVariableFor(kVariablePrefix, "calm"));
   return {command, [options] { return RunDemoCommand(*options); }};
 }
 
--- a/src/loadtest/commands/import_command.cpp
+++ b/src/loadtest/commands/import_command.cpp
@@ -100,7 +100,7 @@
       ->check(CLI::Range(1, 65536));
   AddOption(command, "--seed", import.seed, "of draws and of the hash that hides callers");
   command->add_flag("--strict", import.strict, "the first malformed line ends it")
-      ->envname(VariableFor(kVariablePrefix, "strict"));
+      ->envname(EnvironmentVariableFor(kVariablePrefix, "strict"));
   return {command, [options] { return RunImportCommand(*options); }};
 }
 
--- a/src/loadtest/commands/report_command.cpp
+++ b/src/loadtest/commands/report_command.cpp
@@ -59,7 +59,8 @@
   CLI::App* command = AddSubcommand(parent, "compare", "ratios of two sets of runs, with intervals");
   AddOption(command, "runs", options->runs, "results of the first set")->required();
   AddOption(command, "--with", options->other_runs, "results of the second set")->required();
-  command->add_flag("--json", options->json, "as JSON")->envname(VariableFor(kVariablePrefix, "json"));
+  command->add_flag("--json", options->json, "as JSON")
+      ->envname(EnvironmentVariableFor(kVariablePrefix, "json"));
   return {command, [options] { return RunCompareCommand(*options); }};
 }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -134,7 +134,7 @@
   ServerConnection* first = nullptr;
   EvictionOrder first_order;
   for (const auto& [client, owned] : clients_) {
-    if (!client->IsSettled()) continue;
+    if (!client->HasNoPendingResponse()) continue;
     const EvictionOrder order{EvictionRankOf(*client, now), client->last_received_at()};
     if (first != nullptr && !ComesBefore(order, first_order)) continue;
     if (client->HasUnreadBytes()) continue;
@@ -165,9 +165,9 @@
   }
 }
 
-bool HttpServer::IsSettled() const {
+bool HttpServer::HasNoPendingResponse() const {
   return std::all_of(clients_.begin(), clients_.end(),
-                     [](const auto& entry) { return entry.first->IsSettled(); });
+                     [](const auto& entry) { return entry.first->HasNoPendingResponse(); });
 }
 
 std::vector<HttpServer::ClientToTransfer> HttpServer::ClientsToTransfer() const {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -102,7 +102,7 @@
   // The listener's descriptor, which stays owned by the server; -1 if the listener is closed.
   int listener_descriptor() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
   // Returns whether no response is pending or still to be written on any connection.
-  bool IsSettled() const;
+  bool HasNoPendingResponse() const;
   // Returns the connections that another process can take over.
   std::vector<ClientToTransfer> ClientsToTransfer() const;
   // Closes this process's descriptors of the listener and of ClientsToTransfer(). To be called after they
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -318,8 +318,8 @@
 // A client that has shut down its sending side may still read the responses to its complete requests.
 void ServerConnection::OnEndOfInput() {
   client_has_ended_ = true;
-  if (IsSettled()) Read();
-  if (buffers_ == nullptr || !IsSettled()) return;
+  if (HasNoPendingResponse()) Read();
+  if (buffers_ == nullptr || !HasNoPendingResponse()) return;
   server_.Close(*this, HttpServer::CloseReason::kEndedByClient);
 }
 
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -56,9 +56,9 @@
   // Returns whether no byte of a first request was read.
   bool IsAwaitingFirstRequest() const { return !has_sent_requests_ && !is_closing_ && !reader_.is_reading(); }
   // Returns whether no response is pending or still to be written.
-  bool IsSettled() const { return !open_exchange() && UnwrittenBytes() == 0; }
+  bool HasNoPendingResponse() const { return !open_exchange() && UnwrittenBytes() == 0; }
   // Returns whether another process can take over the connection.
-  bool IsTransferable() const { return !is_closing_ && !client_has_ended_ && IsSettled(); }
+  bool IsTransferable() const { return !is_closing_ && !client_has_ended_ && HasNoPendingResponse(); }
   // Returns the connection's state for the process that takes it over.
   HttpServer::ClientToTransfer DescribeForTransfer() const;
   // When bytes were received last or, if that is later, when the connection was accepted or last answered.
--- a/tests/admin/golden_test.cpp
+++ b/tests/admin/golden_test.cpp
@@ -72,7 +72,7 @@
 std::string StatusLine(const Readiness& readiness, std::size_t pending_messages, std::size_t connections) {
   return fmt::format(R"(  {{"phase_number":{},"held":{},"connections":{},"ready":{},"word":"{}"}})",
                      static_cast<int>(readiness.phase()), pending_messages, connections, readiness.IsReady(),
-                     readiness.StatusWord(pending_messages, connections));
+                     readiness.StatusText(pending_messages, connections));
 }
 
 std::vector<std::string> StatusLines() {
--- a/tests/admin/readiness_test.cpp
+++ b/tests/admin/readiness_test.cpp
@@ -57,13 +57,13 @@
 
 void PauseDrainsUntilResumed() {
   Readiness readiness;
-  assert(!readiness.IsReady() && !readiness.IsAccepting(0s) && readiness.StatusWord(0, 0) == "starting");
+  assert(!readiness.IsReady() && !readiness.IsAccepting(0s) && readiness.StatusText(0, 0) == "starting");
   readiness.OnStarted();
   assert(readiness.IsReady() && readiness.IsAccepting(0s) && !readiness.IsClosingConnections() &&
-         readiness.StatusWord(3, 1) == "ready");
+         readiness.StatusText(3, 1) == "ready");
   assert(readiness.Pause(10s) && !readiness.IsReady() && readiness.IsClosingConnections() &&
-         readiness.StatusWord(3, 0) == "draining");
-  assert(readiness.StatusWord(0, 1) == "draining" && readiness.StatusWord(0, 0) == "drained");
+         readiness.StatusText(3, 0) == "draining");
+  assert(readiness.StatusText(0, 1) == "draining" && readiness.StatusText(0, 0) == "drained");
   assert(readiness.IsAccepting(10s + Readiness::kAcceptDuration - 1us) &&
          !readiness.IsAccepting(10s + Readiness::kAcceptDuration));
   // A second pause has no effect: kAcceptDuration starts at the first one.
--- a/tests/app/fleet_test.cpp
+++ b/tests/app/fleet_test.cpp
@@ -54,7 +54,7 @@
     text.replace(text.find("\"1f\""), 4, "\"" + std::to_string(i + 1) + "\"");
     text.replace(text.find(world.folder.path), world.folder.path.size(), folders.back()->path);
     dispatchers.push_back(
-        std::make_unique<Dispatcher>(world.loop, world.log, ParseWithoutVariables(text), NodeFile{}));
+        std::make_unique<Dispatcher>(world.loop, world.log, ParseConfigWithoutEnvironment(text), NodeFile{}));
     dispatchers.back()->Start();
   }
   const char* const classes[] = {"aviso", "pedido", "pagamento"};
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -32,7 +32,7 @@
     return node_file;
   }
   void StartPlanner(int i) {
-    Config config = ParseWithoutVariables(world.ConfigText());
+    Config config = ParseConfigWithoutEnvironment(world.ConfigText());
     config.name = "planner" + std::to_string(i);
     config.cached_endpoint_list.endpoints.clear();
     folders.push_back(std::make_unique<TemporaryFolder>());
@@ -65,7 +65,7 @@
   }
 
   World world;
-  const Config config = ParseWithoutVariables(world.ConfigText());
+  const Config config = ParseConfigWithoutEnvironment(world.ConfigText());
   std::unique_ptr<loadtest::Registry> registry;
   std::vector<std::unique_ptr<TemporaryFolder>> folders;
   std::vector<std::unique_ptr<Dispatcher>> planners;
--- a/tests/app/rules_test.cpp
+++ b/tests/app/rules_test.cpp
@@ -230,7 +230,7 @@
   assert(world.AwaitStatus(world.Post("pagamento", "out")) == 202 &&
          world.AwaitStatus(world.Post("aviso", "pending")) == 202);
   RunUntil(world.loop, [&] { return world.CountCalls() == 1; });
-  Config new_config = ParseWithoutVariables(world.ConfigText());
+  Config new_config = ParseConfigWithoutEnvironment(world.ConfigText());
   new_config.peer_listen = "127.0.0.1:1";
   bool rejected = false;
   try {
--- a/tests/app/sites_test.cpp
+++ b/tests/app/sites_test.cpp
@@ -86,7 +86,7 @@
   config["settings"] = settings;
   config["known"]["targets"][0]["model"] = settings["flavors"].back();
   config["known"]["targets"][0]["az"] = settings["zones"].back();
-  const Config parsed = ParseWithoutVariables(config.dump());
+  const Config parsed = ParseConfigWithoutEnvironment(config.dump());
   const auto& classes = parsed.site.policy.classes;
   assert(classes.size() == settings["grades"].size() && parsed.site.classes.size() == classes.size());
   for (std::size_t i = 0; i < classes.size(); ++i) {
--- a/tests/app/world.h
+++ b/tests/app/world.h
@@ -24,7 +24,7 @@
 namespace sagetally {
 
 // Parses a configuration as if no environment variable were set.
-inline Config ParseWithoutVariables(const std::string& text) {
+inline Config ParseConfigWithoutEnvironment(const std::string& text) {
   return ParseConfig(text, [](const char*) -> const char* { return nullptr; });
 }
 
@@ -77,7 +77,7 @@
     node_file.dead_letters = dead_letters;
     node_file.journal = journal;
     auto new_dispatcher =
-        std::make_unique<Dispatcher>(loop, log, ParseWithoutVariables(ConfigText()), node_file);
+        std::make_unique<Dispatcher>(loop, log, ParseConfigWithoutEnvironment(ConfigText()), node_file);
     new_dispatcher->Start();
     dispatcher = std::move(new_dispatcher);
   }
--- a/tests/dead_letter/kill_test.cpp
+++ b/tests/dead_letter/kill_test.cpp
@@ -27,7 +27,7 @@
     sockets = 1024;
     rate = 2000;
     WriteFiles();
-    partner_.menu = Partner::FaultsOfEveryKind();
+    partner_.fault_choices = Partner::FaultsOfEveryKind();
     process_ = std::make_unique<Process>(program_, folder.path);
     clients_.destinations = 8;
     clients_.deadline_ms = 120;
@@ -48,7 +48,7 @@
   // Runs until no dead letter can be redriven any more and there has been no call for 8 rounds of 200 ms.
   void RunUntilIdle() {
     RunUntil(loop, [&] { return process_->Port() != 0; });
-    partner_.menu = {Partner::Fault::kNone};
+    partner_.fault_choices = {Partner::Fault::kNone};
     int idle_rounds = 0;
     std::size_t calls = 0;
     RunUntil(loop, [&] {
--- a/tests/dead_letter/partner.h
+++ b/tests/dead_letter/partner.h
@@ -32,7 +32,8 @@
     };
     partner_.choose_fault = [this](const loadtest::Call&) {
       loadtest::FaultSpan span;
-      span.fault = menu[boost::random::uniform_int_distribution<std::size_t>(0, menu.size() - 1)(random_)];
+      span.fault = fault_choices[boost::random::uniform_int_distribution<std::size_t>(
+          0, fault_choices.size() - 1)(random_)];
       span.ms = span.fault == Fault::kTooManyRequests
                     ? 20
                     : 300;  // the dispatcher times out, but the call runs later nevertheless
@@ -72,7 +73,7 @@
 
   // The calls in flight now and their maximum so far, and the number of violations of a rule of the checker.
   std::size_t out() const { return checker_.in_flight(); }
-  int most_out() const { return checker_.max_in_flight(); }
+  int max_calls_in_flight() const { return checker_.max_in_flight(); }
   int Broken(const std::string& rule) const {
     int count = 0;
     for (const loadtest::Violation& finding : checker_.violations()) count += finding.rule == rule ? 1 : 0;
@@ -80,7 +81,7 @@
   }
   std::int64_t dropped_repeats() const { return partner_.dropped_repeats; }
 
-  std::vector<Fault> menu = {Fault::kNone};              // each call gets a random one of these
+  std::vector<Fault> fault_choices = {Fault::kNone};     // each call gets a random one of these
   std::map<std::string, int> effects, calls, delivered;  // counts by message name
   int forbidden_repeats = 0;
 
@@ -120,7 +121,7 @@
   std::set<std::string> Taken() const {
     return NamesByStatus([](int code) { return code == 202; });
   }
-  std::set<std::string> Unknown() const {
+  std::set<std::string> NamesWithUnknownResult() const {
     return NamesByStatus([](int code) { return code <= 0; });
   }
   int deadline_ms = 600;
--- a/tests/dead_letter/redrive_node_test.cpp
+++ b/tests/dead_letter/redrive_node_test.cpp
@@ -83,7 +83,7 @@
     }
     assert(partner.forbidden_repeats == 0 && partner.Broken("second copy") == 0 &&
            partner.Broken("too many attempts") == 0);
-    assert(partner.most_out() <= max_concurrent_calls);
+    assert(partner.max_calls_in_flight() <= max_concurrent_calls);
   }
 
   Partner partner;
@@ -95,7 +95,7 @@
 
 void AThousandFailuresAreRedrivenAndNoneTakesEffectTwice() {
   DeadLetterWorld world(7);
-  world.partner.menu = Partner::FaultsOfEveryKind();
+  world.partner.fault_choices = Partner::FaultsOfEveryKind();
   world.Start();
   world.clients.Start(4ms);
   RunUntil(world.loop, [&] { return world.manager().counters().stored >= 1000; });
@@ -108,7 +108,7 @@
       kEverything);
   world.Reload();  // while redrives are in flight
   RunFor(world.loop, 300ms);
-  world.partner.menu = {Partner::Fault::kNone};
+  world.partner.fault_choices = {Partner::Fault::kNone};
   world.RunUntilAllDeliveredOrHeld();
   const auto stored = world.Stored();
   std::map<std::string, int> decision_reasons;
--- a/tests/dead_letter/simulated_node.h
+++ b/tests/dead_letter/simulated_node.h
@@ -33,8 +33,8 @@
 };
 
 struct IdleJournalHost : JournalHost {
-  void ScheduleTurn(Duration) override {}
-  void OnProgress() override {}
+  void ScheduleWork(Duration) override {}
+  void OnDurabilityProgress() override {}
   void SyncInBackground(std::shared_ptr<File>, std::function<void(int)>) override {}
   void OnFenced() override {}
 };
@@ -94,7 +94,7 @@
   void SchedulePolicyRun() override { policy_run_due = true; }
   void ScheduleTimer(Duration delay) override { policy_wakeup = environment.clock.now + delay; }
   void SendGossip(const std::string&) override {}
-  void ScheduleTurn(Duration delay) override { journal_wakeup = environment.clock.now + delay; }
+  void ScheduleWork(Duration delay) override { journal_wakeup = environment.clock.now + delay; }
   void WriteLogLine(const std::string&) override {}
 
   // Performs one step and returns whether there was one; otherwise the test has to wait. If the step answers
--- a/tests/handover/state_test.cpp
+++ b/tests/handover/state_test.cpp
@@ -31,7 +31,7 @@
   state.class_names = {"safe", "keyed", "unsafe"};
   state.endpoint_list_revision = 41;
   EndpointUpdate endpoint;
-  endpoint.record = EndpointAt("e1", 0, 1, 10);
+  endpoint.record = MakeEndpointRecord("e1", 0, 1, 10);
   endpoint.address = "127.0.0.1:1";
   state.endpoints = {endpoint};
   state.recent_attempts = {MakeAttempt(98s, 99s, Outcome::kRejected, 3s)};
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -88,10 +88,11 @@
   // is the permitted number of client requests without a response.
   void Finish(std::size_t max_unanswered) {
     clients->Pause();
-    partner.menu = {Partner::Fault::kNone};
+    partner.fault_choices = {Partner::Fault::kNone};
     // The latest requests may still be waiting for their responses.
-    RunUntil(loop,
-             [&] { return clients->Unknown().size() <= max_unanswered && CountPendingMessages() == 0; });
+    RunUntil(loop, [&] {
+      return clients->NamesWithUnknownResult().size() <= max_unanswered && CountPendingMessages() == 0;
+    });
     int contradictions = 0;
     for (const auto& [name, statuses] : notified) contradictions += statuses.size() > 1 ? 1 : 0;
     for (const auto& previous : predecessors) {
@@ -103,13 +104,13 @@
         "%d submitted, %zu accepted, %zu delivered, %zu notified; unanswered %zu, contradictory statuses %d, "
         "forbidden retries %d, second copies %d, most calls in flight %d\n",
         clients->posted, clients->Taken().size(), partner.delivered.size(), notified.size(),
-        clients->Unknown().size(), contradictions, partner.forbidden_repeats, partner.Broken("second copy"),
-        partner.most_out());
+        clients->NamesWithUnknownResult().size(), contradictions, partner.forbidden_repeats,
+        partner.Broken("second copy"), partner.max_calls_in_flight());
     std::fflush(stdout);
-    assert(clients->Unknown().size() <= max_unanswered && contradictions == 0 &&
+    assert(clients->NamesWithUnknownResult().size() <= max_unanswered && contradictions == 0 &&
            partner.forbidden_repeats == 0);
     assert(partner.Broken("too many attempts") == 0 && partner.Broken("second copy") == 0);
-    assert(partner.most_out() <= max_concurrent_calls);
+    assert(partner.max_calls_in_flight() <= max_concurrent_calls);
   }
 
   const std::string program;
@@ -125,10 +126,10 @@
 void UpgradesUnderLoadLoseNoMessages(const std::string& program, int upgrades, std::uint64_t seed) {
   UpgradeScenario scenario(program, seed);
   using Fault = Partner::Fault;
-  scenario.partner.menu = {Fault::kTooManyRequests, Fault::kServiceUnavailable, Fault::kError,
-                           Fault::kReset,           Fault::kMalformedResponse,  Fault::kLateExecution,
-                           Fault::kNoResponse};
-  scenario.partner.menu.resize(40, Fault::kNone);
+  scenario.partner.fault_choices = {
+      Fault::kTooManyRequests,   Fault::kServiceUnavailable, Fault::kError,     Fault::kReset,
+      Fault::kMalformedResponse, Fault::kLateExecution,      Fault::kNoResponse};
+  scenario.partner.fault_choices.resize(40, Fault::kNone);
   scenario.clients->Start(4ms);
   for (int i = 0; i < upgrades; ++i) {
     const auto end_time = std::chrono::steady_clock::now() + std::chrono::milliseconds(300 + 37 * (i % 7));
@@ -174,7 +175,7 @@
 void InFlightNonIdempotentCallIsNotRepeated(const std::string& program) {
   for (const int signal : {SIGTERM, SIGKILL}) {
     UpgradeScenario scenario(program, 2);
-    scenario.partner.menu = {Partner::Fault::kNoResponse};
+    scenario.partner.fault_choices = {Partner::Fault::kNoResponse};
     scenario.client_requests.push_back(std::make_unique<ClientRequest>(scenario.loop,
                                                                        scenario.serving->Port(), "/pagamento",
                                                                        Headers{{"X-Request-Id", "p0"},
@@ -183,7 +184,7 @@
                                                                                {"X-Envelope", "dest=7"}},
                                                                        "p0"));
     RunUntil(scenario.loop, [&] { return scenario.partner.calls["p0"] == 1; });
-    scenario.partner.menu = {Partner::Fault::kNone};
+    scenario.partner.fault_choices = {Partner::Fault::kNone};
     scenario.Upgrade(signal);
     RunUntil(scenario.loop, [&] { return scenario.notified["p0"].contains("undeliverable"); });
     assert(scenario.partner.calls["p0"] == 1);
@@ -239,14 +240,14 @@
   scenario.clients->Start(5ms);
   struct Host : JournalHost {
     explicit Host(Predecessor& previous) : previous(previous) {}
-    void ScheduleTurn(Duration) override {}
-    void OnProgress() override {}
+    void ScheduleWork(Duration) override {}
+    void OnDurabilityProgress() override {}
     void SyncInBackground(std::shared_ptr<File>, std::function<void(int)>) override {}
     void BeforeFirstWrite() override { previous.ConfirmReady(); }
     void OnFenced() override {}
     Predecessor& previous;
   };
-  const Config config = ParseWithoutVariables(scenario.ConfigText());
+  const Config config = ParseConfigWithoutEnvironment(scenario.ConfigText());
   for (std::uint64_t i = 1; i <= 3; ++i) {
     RunFor(scenario.loop, 100ms);
     {
@@ -295,7 +296,7 @@
 // The resident memory of both processes together stays below the limit for one process.
 void BothProcessesStayBelowTheMemoryLimit(const std::string& program, std::size_t max_resident_kb) {
   UpgradeScenario scenario(program, 6);
-  scenario.partner.menu = {Partner::Fault::kNoResponse};
+  scenario.partner.fault_choices = {Partner::Fault::kNoResponse};
   scenario.clients->deadline_ms = 20'000;
   scenario.clients->Start(2ms);
   RunUntil(scenario.loop, [&] { return scenario.clients->posted > 400; });
@@ -337,7 +338,8 @@
   std::filesystem::remove_all(scenario.folder.path + "/journal");
   const Time deadline = SystemClock().Now() + 20s;
   std::ofstream(scenario.folder.path + "/log", std::ios::binary) << MakeFormat1Log(30, false, deadline, 0);
-  scenario.partner.menu = {Partner::Fault::kNoResponse};  // more messages than concurrent calls, so some wait
+  scenario.partner.fault_choices = {
+      Partner::Fault::kNoResponse};  // more messages than concurrent calls, so some wait
   scenario.serving = scenario.Start();
   RunUntil(scenario.loop, [&] { return scenario.serving->Port() != 0; });
   assert(ReadFile(scenario.serving->child.log()).find(" journal.migrated ") != std::string::npos);
@@ -345,7 +347,7 @@
            [&] { return scenario.partner.out() == static_cast<std::size_t>(scenario.max_concurrent_calls); });
   scenario.Upgrade(0);
   scenario.Upgrade(0);
-  scenario.partner.menu = {Partner::Fault::kNone};
+  scenario.partner.fault_choices = {Partner::Fault::kNone};
   RunUntil(scenario.loop, [&] { return scenario.partner.delivered.size() == 30; });
   scenario.Finish(0);
 }
--- a/tests/journal/golden_test.cpp
+++ b/tests/journal/golden_test.cpp
@@ -323,8 +323,8 @@
 };
 
 struct IdleHost : JournalHost {
-  void ScheduleTurn(Duration) override {}
-  void OnProgress() override {}
+  void ScheduleWork(Duration) override {}
+  void OnDurabilityProgress() override {}
   void SyncInBackground(std::shared_ptr<File>, std::function<void(int)>) override {}
   void OnFenced() override { assert(false); }
 };
--- a/tests/journal/journal_world.h
+++ b/tests/journal/journal_world.h
@@ -60,8 +60,8 @@
   JournalProcess(FaultInjectingFileSystem& disk, TestClock& clock, const JournalSettings& settings)
       : clock(clock), journal(disk, settings, messages, clock, log, *this) {}
 
-  void ScheduleTurn(Duration delay) override { due = clock.now + delay; }
-  void OnProgress() override { ++progress; }
+  void ScheduleWork(Duration delay) override { due = clock.now + delay; }
+  void OnDurabilityProgress() override { ++progress; }
   void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> on_done) override {
     syncs.emplace_back(std::move(file), std::move(on_done));
   }
@@ -145,7 +145,7 @@
   Time due = Time::max();  // when the journal's work is due
   // The syncs that the journal has requested, each with the function that receives its errno value.
   std::vector<std::pair<std::shared_ptr<File>, std::function<void(int)>>> syncs;
-  int progress = 0;     // number of calls of OnProgress
+  int progress = 0;     // number of calls of OnDurabilityProgress
   bool fenced = false;  // whether OnFenced was called
   SegmentJournal journal;
 };
--- a/tests/journal/kill_test.cpp
+++ b/tests/journal/kill_test.cpp
@@ -71,7 +71,7 @@
     });
     for (int kill = 0; kill < kills; ++kill) KillUnderTraffic(watcher);
     WaitUntilReady();
-    partner_.menu = {Fault::kNone};
+    partner_.fault_choices = {Fault::kNone};
     accepted_ = clients_->Taken();
     const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     RunUntil(world_.loop,
@@ -97,16 +97,16 @@
   }
 
   void ConfigurePartner() {
-    partner_.menu = {Fault::kTooManyRequests,
-                     Fault::kServiceUnavailable,
-                     Fault::kError,
-                     Fault::kError,
-                     Fault::kReset,
-                     Fault::kReset,
-                     Fault::kMalformedResponse,
-                     Fault::kLateExecution,
-                     Fault::kNoResponse};
-    partner_.menu.resize(30, Fault::kNone);
+    partner_.fault_choices = {Fault::kTooManyRequests,
+                              Fault::kServiceUnavailable,
+                              Fault::kError,
+                              Fault::kError,
+                              Fault::kReset,
+                              Fault::kReset,
+                              Fault::kMalformedResponse,
+                              Fault::kLateExecution,
+                              Fault::kNoResponse};
+    partner_.fault_choices.resize(30, Fault::kNone);
   }
 
   // Returns a random number from 0 to `max`.
@@ -157,7 +157,7 @@
 
   void Check(int kills) {
     assert(CountUnfinished() == 0 && CountConflictingNotifications() == 0 && partner_.forbidden_repeats == 0);
-    assert(partner_.Broken("too many attempts") == 0 && partner_.most_out() <= 24 + 1);
+    assert(partner_.Broken("too many attempts") == 0 && partner_.max_calls_in_flight() <= 24 + 1);
     assert(kills_at_changes_ > kills / 4 && accepted_.size() > static_cast<std::size_t>(kills));
   }
 
--- a/tests/pipeline/pipeline_node.h
+++ b/tests/pipeline/pipeline_node.h
@@ -45,8 +45,8 @@
   void ScheduleTimer(Duration delay) override { policy_timer = clock.now + delay; }
   void SendGossip(const std::string&) override {}
   void WriteLogLine(const std::string&) override {}
-  void ScheduleTurn(Duration delay) override { journal_timer = clock.now + delay; }
-  void OnProgress() override { journal_has_progressed = true; }
+  void ScheduleWork(Duration delay) override { journal_timer = clock.now + delay; }
+  void OnDurabilityProgress() override { journal_has_progressed = true; }
   void SyncInBackground(std::shared_ptr<File> file, std::function<void(int)> done) override {
     syncs.push_back({std::move(file), std::move(done)});
   }
--- a/tests/policy/cold_return_fleet.h
+++ b/tests/policy/cold_return_fleet.h
@@ -185,8 +185,8 @@
     dispatcher.policy = std::make_unique<DispatchPolicy>(settings_, random_());
     EndpointListUpdated list{.kind = EndpointListUpdated::Kind::kFullSnapshot, .endpoints = {}};
     for (int number = 0; number < scenario_.endpoints; ++number) {
-      list.endpoints.push_back(
-          EndpointAt("e" + std::to_string(number), 0, 1, scenario_.advertised_fraction * scenario_.capacity));
+      list.endpoints.push_back(MakeEndpointRecord("e" + std::to_string(number), 0, 1,
+                                                  scenario_.advertised_fraction * scenario_.capacity));
     }
     std::vector<Event> events = {list};
     for (auto& [id, pending] : dispatcher.pending) {
--- a/tests/policy/endpoint_health_test.cpp
+++ b/tests/policy/endpoint_health_test.cpp
@@ -8,7 +8,7 @@
 
 TEST(OutlierDetection, SendsNoMessageThatIsNotIdempotentToASuspect) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
   policy.Accept(1s, "a");
   policy.Complete(1s, "a", Outcome::kReset);
@@ -21,7 +21,7 @@
 // Guards against ejecting healthy endpoints where connections break at random.
 TEST(OutlierDetection, IgnoresOccasionalConnectionResets) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
   policy.Accept(1s, "a");
   for (const Time now : {1010ms, 1020ms}) {
@@ -39,7 +39,7 @@
     settings.health_checks_allowed = false;
     settings.connection_idle_timeout = 500ms;  // each call goes out on a new connection
     PolicyDriver policy(settings);
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
     policy.Accept(0s, "a", kNotIdempotentClass);
     policy.Complete(100ms, "a", Outcome::kOk);
     policy.Accept(1s, "b", kNotIdempotentClass);
@@ -66,7 +66,7 @@
 TEST(OutlierDetection, DoesNotEjectAfterAFailureASuccessAndAFailure) {
   for (const bool has_success_between : {true, false}) {
     PolicyDriver policy;
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
     CompleteThreeCalls(policy, 0s);
     Time t = 1s;
     // Runs the policy until the recovery budget allows the message to be sent.
@@ -93,7 +93,7 @@
 
 TEST(OutlierDetection, LimitsCallsInFlightToADestinationThatDoesNotAnswer) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1), MakeEndpointRecord("f", 0, 2)});
   CompleteThreeCalls(policy, 0s, 1);
   int in_flight = 0;
   for (int i = 0; i < 50; ++i) {  // destination 1 does not answer from now on
@@ -111,8 +111,9 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 10;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2), EndpointAt("g", 0, 3),
-                              EndpointAt("h", 0, 4), EndpointAt("i", 0, 5), EndpointAt("j", 0, 6)});
+  policy.UpdateEndpoints(
+      0s, {MakeEndpointRecord("e", 0, 1), MakeEndpointRecord("f", 0, 2), MakeEndpointRecord("g", 0, 3),
+           MakeEndpointRecord("h", 0, 4), MakeEndpointRecord("i", 0, 5), MakeEndpointRecord("j", 0, 6)});
   for (int destination = 1; destination <= 5; ++destination)
     CompleteThreeCalls(policy, destination * 1s, destination);
   for (int i = 0; i < 20; ++i) {
--- a/tests/policy/event_handling_test.cpp
+++ b/tests/policy/event_handling_test.cpp
@@ -30,12 +30,12 @@
   EXPECT_TRUE(rejects([](Settings& settings) { settings.kinds[0].max_batch_size = 0; }, "bundleMax"));
   PolicyDriver policy;
   EXPECT_THROW(policy.Accept(0s, "a", 3), std::invalid_argument);
-  EXPECT_THROW(policy.UpdateEndpoints(0s, {EndpointAt("e", 9)}), std::invalid_argument);
+  EXPECT_THROW(policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 9)}), std::invalid_argument);
 }
 
 TEST(Contract, IgnoresEventsThatBreakIt) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   policy.Process(1s, {AttemptCompleted{.id = "nobody"}, MessageWithdrawn{"nobody"},
                       HealthCheckCompleted{.endpoint = "e"}, HealthCheckCompleted{.endpoint = "nowhere"},
                       TimerFired{}, GossipReceived{}});
@@ -53,14 +53,14 @@
 
 TEST(EndpointList, SendsNothingToADrainingOrRemovedEndpoint) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
-  EndpointRecord draining = EndpointAt("e");
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e"), MakeEndpointRecord("f")});
+  EndpointRecord draining = MakeEndpointRecord("e");
   draining.state = EndpointRecord::State::kDraining;
-  EndpointRecord removed = EndpointAt("f");
+  EndpointRecord removed = MakeEndpointRecord("f");
   removed.state = EndpointRecord::State::kRemoved;
   policy.Process(1s, {EndpointListUpdated{.endpoints = {draining, removed}}, PolicyDriver::Accepted("a")});
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "");
-  policy.UpdateEndpoints(2s, {EndpointAt("g")});
+  policy.UpdateEndpoints(2s, {MakeEndpointRecord("g")});
   ASSERT_EQ(policy.IdsOf<StartAttempt>(), "a");
   EXPECT_EQ(policy.ActionsOf<StartAttempt>()[0].endpoint, "g");
 }
@@ -71,7 +71,7 @@
     Settings settings = SmallSettings();
     settings.advertised_rates = rates;
     PolicyDriver policy(settings);
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 0.01)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 0.01)});
     policy.Accept(0s, "a");
     policy.Complete(100ms, "a", Outcome::kRejected);
     Time t = 100ms;
@@ -100,7 +100,7 @@
 // Guards messages from before a restart: their attempts count as if this process had made them.
 TEST(History, GivesTheFinalAnswerAtOnceIfAMessageMayNotBeRetried) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(30s, {EndpointAt("a")});
+  policy.UpdateEndpoints(30s, {MakeEndpointRecord("a")});
   MessageAccepted not_idempotent = PolicyDriver::Accepted("u", kNotIdempotentClass);
   not_idempotent.attempts = 1;
   not_idempotent.first_uncertain_attempt = 29s;
@@ -118,7 +118,7 @@
 
 TEST(History, RetriesAMessageWithKeyWithinItsDeduplicationWindow) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(30s, {EndpointAt("a")});
+  policy.UpdateEndpoints(30s, {MakeEndpointRecord("a")});
   MessageAccepted with_key = PolicyDriver::Accepted("k", kWithKeyClass);
   with_key.attempts = 2;
   with_key.first_uncertain_attempt = 28s;
--- a/tests/policy/final_answer_test.cpp
+++ b/tests/policy/final_answer_test.cpp
@@ -8,7 +8,7 @@
 
 TEST(FinalAnswer, RejectsUnsentMessagesShortlyBeforeTheDeadline) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   CompleteThreeCalls(policy, 0s);
   policy.UpdateEndpoints(1s, {});
   policy.Accept(1s, "a", kNotIdempotentClass, 1s);
@@ -30,7 +30,7 @@
 
 TEST(FinalAnswer, IsNotGivenForAMessageWithdrawnInFlight) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   policy.Accept(0s, "a");
   policy.Process(1s, {MessageWithdrawn{"a"}, policy.Completed("a", Outcome::kError)});
   EXPECT_EQ(policy.IdsOf<StartAttempt>() + policy.IdsOf<RejectMessage>() + policy.IdsOf<FailMessage>(), "");
@@ -39,7 +39,7 @@
 TEST(Retry, FailsAMessageThatIsNotIdempotentAndMayHaveRun) {
   for (const Outcome outcome : {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled}) {
     PolicyDriver policy;
-    policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e"), MakeEndpointRecord("f")});
     policy.Accept(0s, "a", kNotIdempotentClass);
     policy.Complete(1s, "a", outcome);
     EXPECT_EQ(policy.IdsOf<FailMessage>(), "a");
@@ -49,7 +49,7 @@
 
 TEST(Retry, RetriesAMessageThatIsNotIdempotentButNeverRan) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e"), MakeEndpointRecord("f")});
   policy.Accept(0s, "a", kNotIdempotentClass);
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a");
@@ -57,7 +57,7 @@
 
 TEST(Retry, RetriesAMessageWithKeyOnlyWithinItsDeduplicationWindow) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   policy.Accept(0s, "a", kWithKeyClass);
   policy.Complete(1s, "a", Outcome::kError);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a");
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -55,7 +55,7 @@
 
   // Runs the fleet, with messages that arrive until `end`.
   Totals Run(Time end) {
-    const EndpointRecord endpoint = EndpointAt("e", 0, 1, scenario_.advertised_rate);
+    const EndpointRecord endpoint = MakeEndpointRecord("e", 0, 1, scenario_.advertised_rate);
     for (int i = 0; i < scenario_.dispatchers; ++i) {
       Process(
           i, 0s,
--- a/tests/policy/idle_connections_test.cpp
+++ b/tests/policy/idle_connections_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(IdleConnections, AreClosedBeforeASendAfterAnOlderOneWasReset) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("a"), EndpointAt("b", 0, 2)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("a"), MakeEndpointRecord("b", 0, 2)});
   policy.Accept(1s, "m1");
   policy.Complete(1100ms, "m1", Outcome::kOk);
   policy.Accept(3s, "m2");  // goes out on the connection that has been idle for 1.9 s
@@ -32,7 +32,7 @@
 
 TEST(IdleConnections, AResetOnANewConnectionMakesASuspectButOneOnAnIdleConnectionDoesNot) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("a")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("a")});
   policy.Accept(1s, "m1");
   policy.Complete(1100ms, "m1", Outcome::kOk);
   policy.Accept(3s, "m2");
@@ -49,7 +49,7 @@
 // handshakes.
 TEST(IdleConnections, AreNotClosedWhereConnectionsOfAnyAgeFallSilent) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("a")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("a")});
   int n = 0;
   Time now = 1s;
   const auto call = [&](Outcome outcome) {
@@ -84,7 +84,7 @@
 
 TEST(IdleConnections, AFailedCallLeavesNoIdleConnection) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("a"), EndpointAt("b", 0, 2)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("a"), MakeEndpointRecord("b", 0, 2)});
   policy.Accept(1s, "m1");
   policy.Complete(1100ms, "m1", Outcome::kOk);
   policy.Accept(3s, "m2");
@@ -110,7 +110,8 @@
 TEST(IdleConnections, AreClosedSoonerWhereNewOnesFail) {
   for (const bool fails : {false, true}) {
     PolicyDriver policy;
-    policy.UpdateEndpoints(0s, {EndpointAt("a"), EndpointAt("b", 0, 2), EndpointAt("c", 2, 3)});
+    policy.UpdateEndpoints(
+        0s, {MakeEndpointRecord("a"), MakeEndpointRecord("b", 0, 2), MakeEndpointRecord("c", 2, 3)});
     policy.Accept(1s, "m1", kIdempotentClass, 20s, "", 2);
     policy.Complete(1100ms, "m1", fails ? Outcome::kConnectFailed : Outcome::kOk);
     policy.Accept(2s, "m2");
@@ -137,7 +138,7 @@
     Settings settings = SmallSettings();
     settings.dispatcher_count = dispatchers;
     PolicyDriver policy(settings);
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 100)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 100)});
     policy.Accept(1s, "m");
     policy.Complete(1100ms, "m", Outcome::kOk);
     std::string closed = policy.ActionsOf<CloseIdleConnections>().empty() ? "" : "e";
--- a/tests/policy/message_queues_test.cpp
+++ b/tests/policy/message_queues_test.cpp
@@ -11,7 +11,7 @@
   settings.classes[kNotIdempotentClass].ordered_by_key = true;
   settings.key_quiet_time = 700ms;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   CompleteThreeCalls(policy, 0s);
   policy.Process(1s, {PolicyDriver::Accepted("a", kNotIdempotentClass, 20s, "k"),
                       PolicyDriver::Accepted("b", kNotIdempotentClass, 20s, "k"),
@@ -29,7 +29,7 @@
   Settings settings = SmallSettings();
   settings.classes[kNotIdempotentClass].ordered_by_key = true;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   policy.Process(0s, {PolicyDriver::Accepted("a", kNotIdempotentClass, 20s, "k"),
                       PolicyDriver::Accepted("b", kNotIdempotentClass, 20s, "k")});
   policy.Process(100ms, {MessageWithdrawn{"a"}});
@@ -54,7 +54,7 @@
     Settings settings = SmallSettings();
     settings.max_pending_messages = 3;  // one of them is kept free
     PolicyDriver policy(settings);
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0)});
     policy.Process(0s, {PolicyDriver::Accepted("first")});
     policy.Complete(100ms, "first", Outcome::kRejected, 100ms, 19s);  // nothing is sent until 19.1 s
     policy.Accept(200ms, "old", kIdempotentClass, 20s);
@@ -68,7 +68,7 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   policy.Accept(0s, "busy");
   policy.Accept(100ms, "heavy", kNotIdempotentClass);
   policy.Accept(1s, "light", kWithKeyClass);
@@ -81,7 +81,7 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   policy.Accept(0s, "busy");
   policy.Accept(100ms, "missed");
   policy.Accept(1s, "in-time");
@@ -96,7 +96,7 @@
 TEST(ExpectedLatency, IsNotLoweredByQuickFailures) {
   for (const bool has_failures : {false, true}) {
     PolicyDriver policy;
-    policy.UpdateEndpoints(0s, {EndpointAt("e")});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
     CompleteThreeCalls(policy, 0s);
     if (has_failures) {
       for (int i = 0; i < 10; ++i) {
@@ -121,7 +121,7 @@
 // with half a second left, and the margin for slow calls led to rejections.
 TEST(ExpectedLatency, WithALongTailDoesNotLeadToEarlyRejections) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   for (int i = 0; i < 12; ++i) {
     const std::string id = "w" + std::to_string(i);
     policy.Accept(i * 1s, id);
@@ -154,7 +154,7 @@
   Settings settings = SmallSettings();
   settings.tenants = {{.service_fraction = 1, .quota_per_second = 0}};
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e")});
   for (const int tenant : {-1, 0, 7}) {
     MessageAccepted m = PolicyDriver::Accepted("m" + std::to_string(tenant));
     m.tenant = tenant;
@@ -169,7 +169,7 @@
   Settings settings = SmallSettings();
   settings.max_pending_messages = 10;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 2, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 2, 40)});
   for (int i = 0; i < 9; ++i) {
     policy.Accept(0s, "u" + std::to_string(i), kNotIdempotentClass);  // there is no endpoint
   }
@@ -183,7 +183,7 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("a")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("a")});
   policy.Accept(0s, "first");
   policy.Accept(100ms, "patient");
   policy.Accept(200ms, "hasty", kIdempotentClass, 1s);
@@ -206,7 +206,7 @@
   settings.max_pending_messages = 12;
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("b", 0, 1, 1000), EndpointAt("a", 0, 2, 1)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("b", 0, 1, 1000), MakeEndpointRecord("a", 0, 2, 1)});
   policy.Accept(0s, "m", kIdempotentClass, 20s, "", 2);
   policy.Complete(100ms, "m", Outcome::kRejected);  // the destination has a pace from now on
   std::vector<Event> events;
--- a/tests/policy/policy_driver.h
+++ b/tests/policy/policy_driver.h
@@ -69,7 +69,8 @@
 constexpr int kNotIdempotentClass = 2;
 
 // An endpoint that is up.
-inline EndpointRecord EndpointAt(std::string endpoint, int kind = 0, int destination = 1, double rate = 0) {
+inline EndpointRecord MakeEndpointRecord(std::string endpoint, int kind = 0, int destination = 1,
+                                         double rate = 0) {
   return {.endpoint = std::move(endpoint), .destination = destination, .kind = kind, .rate = rate};
 }
 
--- a/tests/policy/random_rules_test.cpp
+++ b/tests/policy/random_rules_test.cpp
@@ -41,7 +41,7 @@
     for (int destination = 0; destination < 4; ++destination) {
       for (int number = 0; number < 2; ++number) {
         const std::string id = "e" + std::to_string(destination) + std::to_string(number);
-        endpoints_.push_back(EndpointAt(id, destination % 3, destination, 4));
+        endpoints_.push_back(MakeEndpointRecord(id, destination % 3, destination, 4));
         up_[id] = true;
       }
     }
@@ -395,8 +395,9 @@
     for (int i = 0; i < 200; ++i) {
       std::vector<Event> events;
       if (i == 0) {
-        events.emplace_back(EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
-                                                .endpoints = {EndpointAt("e"), EndpointAt("f")}});
+        events.emplace_back(
+            EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
+                                .endpoints = {MakeEndpointRecord("e"), MakeEndpointRecord("f")}});
       }
       for (const std::string& id : {policy.IdsOf<StartAttempt>()}) {
         if (!id.empty()) events.emplace_back(policy.Completed(id, i % 3 ? Outcome::kReset : Outcome::kOk));
--- a/tests/policy/rate_limiting_test.cpp
+++ b/tests/policy/rate_limiting_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(RetryAfter, AppliesToTheWholeDestination) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e"), MakeEndpointRecord("f")});
   policy.Accept(0s, "a");
   policy.Process(100ms,
                  {policy.Completed("a", Outcome::kRejected, 100ms, 500ms), PolicyDriver::Accepted("b")});
@@ -30,7 +30,8 @@
 // sent 0.22 s after another call had got a Retry-After.
 TEST(RetryAfter, CancelsAttemptsThatAreNotSentYet) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e"), EndpointAt("f"), EndpointAt("g", 0, 2)});
+  policy.UpdateEndpoints(0s,
+                         {MakeEndpointRecord("e"), MakeEndpointRecord("f"), MakeEndpointRecord("g", 0, 2)});
   policy.Process(0s, {PolicyDriver::Accepted("a"), PolicyDriver::Accepted("b"), PolicyDriver::Accepted("c"),
                       PolicyDriver::Accepted("other", kIdempotentClass, 20s, "", 2)});
   policy.Complete(100ms, "a", Outcome::kRejected, 100ms);
@@ -46,7 +47,7 @@
 
 TEST(RetryAfter, AppliesToOneEndpointWhereEachHasItsOwnLimit) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 1), EndpointAt("f", 1)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 1), MakeEndpointRecord("f", 1)});
   policy.Accept(0s, "a");
   const std::string first = policy.ActionsOf<StartAttempt>()[0].endpoint;
   policy.Complete(100ms, "a", Outcome::kRejected, 100ms, 5s);
@@ -57,7 +58,7 @@
 // Guards the longest pause where the messages of one call get different Retry-After values.
 TEST(RetryAfter, OfEachMessageOfACallIsObserved) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 2)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 2)});
   policy.Process(0s, {PolicyDriver::Accepted("a"), PolicyDriver::Accepted("b")});
   ASSERT_EQ(policy.IdsOf<StartAttempt>(), "a b");
   policy.Process(100ms, {policy.Completed("a", Outcome::kRejected, 100ms, 200ms),
@@ -74,7 +75,7 @@
   Settings settings = SmallSettings();
   settings.dispatcher_count = 300;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 24)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 24)});
   policy.Accept(1s, "first");
   policy.Complete(1050ms, "first", Outcome::kOk, 50ms);
   policy.Accept(3s, "m");
@@ -95,7 +96,7 @@
 // Guards a destination that has recovered and warmed up against a burst of calls.
 TEST(Pace, IsDecreasedOnceForABurstOfFailedCalls) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 1)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 1)});
   std::vector<Event> accepted;
   std::vector<Event> failed;
   for (int i = 0; i < 4; ++i) accepted.emplace_back(PolicyDriver::Accepted("a" + std::to_string(i)));
@@ -123,7 +124,7 @@
   for (int i = 0; i < 100; ++i) {
     settings.dispatcher_index = i;
     PolicyDriver policy(settings, static_cast<std::uint64_t>(i + 1));
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 5)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 5)});
     policy.Accept(0s, "m");
     policy.Complete(10ms, "m", Outcome::kRejected);
     for (Time t = 20ms; t < 15s; t += 10ms) {
@@ -144,8 +145,8 @@
   Settings settings = SmallSettings();
   settings.dispatcher_count = 300;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 24), EndpointAt("f", 0, 2, 24), EndpointAt("g", 0, 3, 24),
-                              EndpointAt("h", 0, 4, 24)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 24), MakeEndpointRecord("f", 0, 2, 24),
+                              MakeEndpointRecord("g", 0, 3, 24), MakeEndpointRecord("h", 0, 4, 24)});
   policy.Process(1s, {PolicyDriver::Accepted("waits0"), PolicyDriver::Accepted("waits1"),
                       PolicyDriver::Accepted("g", kIdempotentClass, 20s, "", 3),
                       PolicyDriver::Accepted("h", kIdempotentClass, 20s, "", 4)});
@@ -169,7 +170,7 @@
   std::map<Time, int> returned;  // by 50 ms
   for (int i = 0; i < 100; ++i) {
     PolicyDriver policy(settings, static_cast<std::uint64_t>(i + 1));
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 5)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 5)});
     policy.Accept(0s, "before");
     policy.Complete(50ms, "before", Outcome::kOk, 50ms);
     policy.Accept(2s, "m");
--- a/tests/policy/recovery_budget_test.cpp
+++ b/tests/policy/recovery_budget_test.cpp
@@ -13,7 +13,7 @@
   // The budget of this one dispatcher is 0.25 x 2 x 4 calls a second x 3 s = 6 calls in any 3 s.
   for (const int message_class : {kIdempotentClass, kNotIdempotentClass}) {
     PolicyDriver policy;
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 4)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 4)});
     std::vector<Time> reached;
     std::vector<std::string> in_flight;
     int number = 0;
@@ -55,7 +55,7 @@
     for (int i = 0; i < dispatchers; ++i) {
       settings.dispatcher_index = i;
       policies.emplace_back(settings, static_cast<std::uint64_t>(i + 1));
-      policies.back().UpdateEndpoints(0s, {EndpointAt("e", 0, 1, rate)});
+      policies.back().UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, rate)});
     }
     std::vector<Time> reached;
     std::map<int, std::vector<std::string>> in_flight;
@@ -101,7 +101,8 @@
   for (int i = 0; i < settings.dispatcher_count; ++i) {
     settings.dispatcher_index = i;
     PolicyDriver policy(settings, static_cast<std::uint64_t>(i + 1));
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 8)});  // 12 calls in any 3 s for all dispatchers
+    policy.UpdateEndpoints(0s,
+                           {MakeEndpointRecord("e", 0, 1, 8)});  // 12 calls in any 3 s for all dispatchers
     policy.Accept(0s, "m");
     for (Time t = 20ms; t < 19s; t += 20ms) {
       std::vector<Event> events;
@@ -135,7 +136,8 @@
   for (int i = 0; i < 100; ++i) {
     settings.dispatcher_index = i;
     PolicyDriver policy(settings, seed + static_cast<std::uint64_t>(i));
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 8)});  // 12 calls in any 3 s for all dispatchers
+    policy.UpdateEndpoints(0s,
+                           {MakeEndpointRecord("e", 0, 1, 8)});  // 12 calls in any 3 s for all dispatchers
     // Messages arrive at the rate that the destination usually takes.
     const Time accepted_at = i * 125ms;
     policy.Accept(accepted_at, "m");
@@ -182,7 +184,8 @@
   Settings settings = SmallSettings();
   settings.dispatcher_count = 50;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 4), EndpointAt("f", 0, 1, 4), EndpointAt("g", 0, 1, 4)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 4), MakeEndpointRecord("f", 0, 1, 4),
+                              MakeEndpointRecord("g", 0, 1, 4)});
   policy.Accept(0s, "a");
   policy.Complete(100ms, "a", Outcome::kOk, 300ms);
   int calls = 0;
@@ -201,11 +204,11 @@
 // Guards an endpoint that replaces a failed one against getting all messages at once.
 TEST(RecoveryBudget, CoversAnEndpointThatReplacesAFailedOne) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 4)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 4)});
   policy.Accept(0s, "a");
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
   std::vector<Event> events = {EndpointListUpdated{.kind = EndpointListUpdated::Kind::kFullSnapshot,
-                                                   .endpoints = {EndpointAt("g", 0, 1, 4)}}};
+                                                   .endpoints = {MakeEndpointRecord("g", 0, 1, 4)}}};
   for (int i = 0; i < 8; ++i) events.emplace_back(PolicyDriver::Accepted("m" + std::to_string(i)));
   policy.Process(5s, events);
   EXPECT_LE(policy.ActionsOf<StartAttempt>().size(), 1u);
@@ -213,7 +216,7 @@
 
 TEST(RecoveryBudget, DoesNotLimitTheOtherEndpointsIfOneFails) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40), EndpointAt("f", 0, 1, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40), MakeEndpointRecord("f", 0, 1, 40)});
   policy.Accept(0s, "a");
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
   ASSERT_EQ(policy.IdsOf<StartAttempt>(), "a");  // goes to the other endpoint at once
@@ -233,7 +236,7 @@
   settings.dispatcher_count = 50;
   settings.health_checks_allowed = false;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40), EndpointAt("f", 0, 1, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40), MakeEndpointRecord("f", 0, 1, 40)});
   policy.Accept(0s, "a");
   const std::string first = policy.ActionsOf<StartAttempt>()[0].endpoint;
   policy.Complete(100ms, "a", Outcome::kConnectFailed);
--- a/tests/policy/release_test.cpp
+++ b/tests/policy/release_test.cpp
@@ -10,7 +10,8 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 2;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2), EndpointAt("g", 0, 3)});
+  policy.UpdateEndpoints(
+      0s, {MakeEndpointRecord("e", 0, 1), MakeEndpointRecord("f", 0, 2), MakeEndpointRecord("g", 0, 3)});
   policy.Process(0s, {PolicyDriver::Accepted("a", 0, 20s, "", 1), PolicyDriver::Accepted("b", 0, 20s, "", 2),
                       PolicyDriver::Accepted("c", 0, 20s, "", 3)});
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a b");
@@ -22,7 +23,7 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 2)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 2)});
   policy.Process(0s, {PolicyDriver::Accepted("a"), PolicyDriver::Accepted("b"), PolicyDriver::Accepted("c"),
                       PolicyDriver::Accepted("d"), PolicyDriver::Accepted("f")});
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "a b c d");
@@ -32,7 +33,7 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 1;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1), EndpointAt("f", 0, 2)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1), MakeEndpointRecord("f", 0, 2)});
   policy.Accept(0s, "busy");
   policy.Accept(1s, "young", kIdempotentClass, 20s, "", 1);
   policy.Accept(1s, "old", kIdempotentClass, 19500ms, "", 2);  // is half a second old already
@@ -46,7 +47,7 @@
   Settings settings = SmallSettings();
   settings.max_concurrent_calls = 2;
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
   policy.Accept(1s, "a");
   const Duration usual_timeout = policy.ActionsOf<StartAttempt>().at(0).timeout;
@@ -82,7 +83,7 @@
     settings.cancellation_allowed = c.may_cancel;
     settings.max_concurrent_calls = c.max_calls;
     PolicyDriver policy(settings);
-    policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
     CompleteThreeCalls(policy, 0s);
     policy.Accept(1s, "silent", c.message_class);
     for (int i = 0; i < c.later_answers; ++i) policy.Accept(1010ms, "later" + std::to_string(i));
@@ -116,7 +117,7 @@
     Settings settings = SmallSettings();
     settings.max_concurrent_calls = 2;
     PolicyDriver policy(settings);
-    policy.UpdateEndpoints(0s, {EndpointAt("e1", 0, 1, 40), EndpointAt("e2", 0, 2, 40)});
+    policy.UpdateEndpoints(0s, {MakeEndpointRecord("e1", 0, 1, 40), MakeEndpointRecord("e2", 0, 2, 40)});
     CompleteThreeCalls(policy, 0s, 1);
     CompleteThreeCalls(policy, 1s, 2);
     policy.Accept(2s, "out1");
@@ -136,7 +137,7 @@
   settings.cancellation_allowed = true;
   settings.max_concurrent_calls = 3;  // the limit is reached
   PolicyDriver policy(settings);
-  policy.UpdateEndpoints(0s, {EndpointAt("e", 0, 1, 40)});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("e", 0, 1, 40)});
   CompleteThreeCalls(policy, 0s);
   for (int i = 0; i < 4; ++i) policy.Accept(1s + 10ms * i, "m" + std::to_string(i));
   for (int i = 0; i < 4; ++i) {
@@ -150,7 +151,7 @@
 // Guards against calls that the end of the process cuts off. A message that is not idempotent would be lost.
 TEST(Release, HoldsBackCallsThatWouldNotReturnBeforeTheShutdown) {
   PolicyDriver policy;
-  policy.UpdateEndpoints(0s, {EndpointAt("a")});
+  policy.UpdateEndpoints(0s, {MakeEndpointRecord("a")});
   policy.Process(0s, {ShutdownStarted{1s}});
   policy.Accept(100ms, "early", kNotIdempotentClass);
   EXPECT_EQ(policy.IdsOf<StartAttempt>(), "early");
