--- a/tests/golden/make_golden.cpp
+++ b/tests/golden/make_golden.cpp
@@ -1,6 +1,8 @@
 // Writes the golden data in this folder by driving the service's own code with a fixed clock: journals of
 // both formats, a snapshot, a dead-letter database, the packets of a process handover, and a page of metrics,
-// each with the values that a reader must find in expected/*.json. README.md describes the files.
+// each with the values that a reader must find, in expected/*.json. README.md describes the files. This
+// generator compiles only against the older program that README.md names, and is kept as a record of how the
+// data was made.
 //
 // Usage: make_golden OUTPUT_FOLDER. The folder must exist and hold none of the files.
 #include <fcntl.h>
@@ -55,11 +57,11 @@
 constexpr std::uint64_t kRulesHash = 1234;
 const std::string kRefusal = "the journal can't be written";
 constexpr int kOutcomes = 8;
-constexpr int kReasons = 9;  // without "none"
+constexpr int kReasons = 9;  // number of failure reasons, not counting "none"
 const std::vector<std::string> kClasses = {"aviso", "pedido", "pagamento"};
 const std::string kBinaryBody("\x00\x01\xff\"\n body with \xc3\xa9", 18);
 
-// Fails the run: what was made would not be golden.
+// Throws if `condition` is false, because the data made would not be what the golden files have to hold.
 void Require(bool condition, const char* what) {
   if (!condition) throw std::runtime_error(std::string("not as expected: ") + what);
 }
@@ -86,7 +88,8 @@
   return hex;
 }
 
-// Objects open over some levels, with one entry a line; what is in an array stands on one line each.
+// Appends `value` as JSON text. The outer kOpenLevels levels are written with one entry per line, and deeper
+// values and the elements of arrays on one line each.
 constexpr int kOpenLevels = 2;
 void AppendLines(const Json& value, int level, std::string& text) {
   const bool is_open = value.is_structured() && !value.empty() && level < kOpenLevels;
@@ -116,7 +119,7 @@
   WriteFile(path, text + "\n");
 }
 
-// ---- Values as JSON, under the names that the operators' commands print.
+// ---- Conversion of values to JSON, under the names that the operators' commands print.
 
 Json ToJson(const Moment& moment) {
   return {{"wall_us", moment.wall.count()}, {"steady_us", moment.steady.count()}, {"boot", moment.boot}};
@@ -221,7 +224,7 @@
   Time now = kStart;
 };
 
-// One process that writes a journal to a disk in memory.
+// Simulates one process that writes a journal to an in-memory disk.
 class JournalWriter : public JournalHost {
  public:
   JournalWriter(FaultyFileSystem& disk, FixedClock& clock, const JournalSettings& settings)
@@ -264,7 +267,8 @@
     for (Message& message : messages) added.push_back(&ledger_.Add(std::move(message)));
     Require(journal_.Taken(added), "the journal has room for a batch");
   }
-  // `recorded`: as where undeliverable messages are kept; without that no history is written.
+  // With `recorded`, the attempt is added to the message's history, as it is where undeliverable messages are
+  // dead-lettered. Without it, no history is written.
   void StartAttempt(Message& m, const std::string& endpoint, bool recorded = true) {
     m.out = true;
     m.attempts += 1;
@@ -292,7 +296,7 @@
     journal_.Ended(m);
     ledger_.Settle(m);
   }
-  // The whole of a message's ordinary life.
+  // Delivers the message with one successful attempt.
   void Deliver(Message& m) {
     StartAttempt(m, "s-1");
     m.out = false;
@@ -329,7 +333,8 @@
   return settings;
 }
 
-// Old messages that stay and new ones that go, until segments were copied from and dropped.
+// Keeps a few old messages pending while newer ones are delivered, until the journal has copied states out of
+// old segments and dropped segments.
 std::vector<std::uint64_t> WriteFirstEpoch(FaultyFileSystem& disk, FixedClock& clock) {
   JournalWriter writer(disk, clock, SmallJournal());
   std::vector<std::uint64_t> old;
@@ -350,7 +355,7 @@
   return old;
 }
 
-// Messages that end, each in another way.
+// Writes messages that each complete in a different way.
 void WriteEnds(JournalWriter& writer) {
   for (int i = 1; i <= kReasons; ++i) {
     Message& m = writer.Accept(writer.New("reason-" + std::to_string(i), i % 3));
@@ -377,7 +382,7 @@
   writer.Complete(ended_out, End::kFailed, Reason::kOutOfTimeAfterCalls, true);
 }
 
-// Events are remembered after their end.
+// Accepts a batch of events. Unlike other messages, events are remembered after their completion.
 void WriteEvents(JournalWriter& writer) {
   std::vector<Message> batch;
   for (int i = 0; i < 4; ++i) {
@@ -421,7 +426,8 @@
   writer.Accept(std::move(again));
 }
 
-// One message's end can't be written, nor another's attempt, until the disk has room again.
+// Fills the disk, so that the completion of one message and the attempt of another cannot be written until
+// the disk has room again.
 void WriteAfterFullDisk(JournalWriter& writer, FaultyFileSystem& disk) {
   Message& gone = writer.Accept(writer.New("gone"));
   Message& rewritten = writer.Accept(writer.New("written-anew"));
@@ -471,7 +477,8 @@
           {"messages", ToJson(ledger)}};
 }
 
-// Keeps in `expect` only the messages that are not just so in `other`, which the file `other_name` holds.
+// Keeps in `expect` only the messages that `other`, the content of the file `other_name`, does not hold in
+// exactly the same form.
 void KeepOnlyDifferences(Json& expect, const Json& other, const std::string& other_name) {
   const std::set<std::string> same = [&] {
     std::set<std::string> texts;
@@ -524,7 +531,7 @@
   WriteJson(expected / "journal.json", whole);
 }
 
-// A process that was killed amid its last write.
+// Makes the journal of a process that was killed during its last write.
 void MakeTornJournal(const fs::path& out, const fs::path& expected) {
   const fs::path folder = out / "journal-torn";
   FaultyFileSystem disk;
@@ -562,7 +569,7 @@
   WriteJson(expected / "snapshot.json", expect);
 }
 
-// ---- A log of format 1, which only this program's predecessors wrote.
+// ---- A log of format 1, which only older versions of this program wrote.
 
 class LegacyWriter {
  public:
@@ -575,7 +582,7 @@
                 .out();
     log_ += bytes;
   }
-  // `kept`: with what later programs of format 1 wrote behind the rest.
+  // With `kept`, appends the fields that later versions of format 1 added at the end of the record.
   void State(const Message& m, bool kept) {
     Writer w;
     const Request& r = m.request;
@@ -651,17 +658,17 @@
   const auto end = [&](std::uint64_t number, End value, Duration again) {
     return LegacyRecord('E', number).Number(value).At(again).At(kStart + seconds(2));
   };
-  log.Add(attempt(1, "s-1"));  // its call stays out
+  log.Add(attempt(1, "s-1"));  // the call stays in flight
   log.Add(attempt(2, "s-2"));
   log.Add(outcome(2, Outcome::kTimeout));
   log.Add(attempt(3, "s-3"));
   log.Add(outcome(3, Outcome::kFull));
   log.Add(end(3, End::kRefused, milliseconds(1500)));
   log.Add(end(4, End::kFailed, Duration(0)));
-  log.Add(LegacyRecord('N', 4));  // and forgotten
+  log.Add(LegacyRecord('N', 4));  // the notification is sent, and the message is forgotten
   log.Add(attempt(5, "s-5"));
   log.Add(end(5, End::kFailed, Duration(0)));
-  // Of programs that kept undeliverable messages.
+  // Records of versions that dead-lettered undeliverable messages.
   log.Add(attempt(6, "s-6").At(seconds(1001)).Number(kBoot));
   log.Add(outcome(6, Outcome::kFull).At(milliseconds(750)));
   const auto kept_end = [&](std::uint64_t number, End value, Reason reason, std::int32_t last) {
@@ -770,10 +777,10 @@
     entries.push_back(EntryOf(m, "n0"));
   }
   database.Keep(entries);
-  database.Keep({entries.front()});  // again: changes nothing
+  database.Keep({entries.front()});  // storing the same entry a second time changes nothing
 }
 
-// Sends a message again and takes in how that ended.
+// Claims a dead letter for a redrive and stores the outcome of that redrive.
 void Redrive(kept::Database& database, const kept::Id& id, End end, Outcome outcome, Time not_before) {
   const auto claimed = database.Claim(id, "again");
   Require(claimed.has_value(), "a message can be claimed");
@@ -825,7 +832,7 @@
   act(Action::Kind::kDrop, "dead-116");
   act(Action::Kind::kResend, "dead-117");
   database.Claim(OperatedId(8), "again");
-  // The journal was lost while that claim was open: the message may have run.
+  // The journal was lost while the claim on the third message was open, so that message may have run.
   database.Reconcile({OperatedId(2)}, true, kStart + seconds(310));
 }
 
@@ -872,7 +879,7 @@
     KeepMessages(database);
     OperateOnMessages(database);
     expect = ExpectDeadLetters(database);
-  }  // closing it moves the write-ahead log into the file
+  }  // closing the database moves the write-ahead log into its file
   Require(!fs::exists(settings.path + "-wal"), "the database is one file");
   WriteJson(expected / "dead_letters.json", expect);
 }
@@ -973,7 +980,8 @@
           {"load", ToJson(result.load)}};
 }
 
-// One datagram of the channel: kind, whether more of the packet follows, bytes, and perhaps a descriptor.
+// One datagram of the handover channel. Its bytes start with the kind of the packet and a flag that tells
+// whether more of the packet follows. It may carry a file descriptor.
 struct Datagram {
   std::string bytes;
   Fd fd = Fd();
@@ -1028,7 +1036,7 @@
   return address;
 }
 
-// Stands between the new process and the old one, and writes down each datagram that passes.
+// Forwards datagrams between the new process and the old one, and records each of them.
 class RecordingProxy {
  public:
   RecordingProxy(const fs::path& new_side, const fs::path& old_side)
@@ -1040,7 +1048,7 @@
             "connect");
     threads_.emplace_back([this] { Run(); });
   }
-  // After both sides have closed.
+  // Waits until both sides have closed their connections.
   void Join() {
     for (std::thread& thread : threads_) thread.join();
   }
@@ -1083,7 +1091,8 @@
   return config;
 }
 
-// The new process: takes all over, then cancels one call and withdraws another. What went wrong, or nothing.
+// Plays the new process: takes everything over, then cancels one call and withdraws another. Returns the
+// error text, or an empty string on success.
 std::string RunNewProcess(const Config& config) {
   try {
     const auto predecessor = Predecessor::Find(config);
@@ -1112,7 +1121,7 @@
   std::vector<Datagram> from_new, from_old;
 };
 
-// The datagrams of a whole handover; of a refused one if there is a refusal.
+// Returns the datagrams of a complete handover or, if `refusal` is not empty, of one that is refused with it.
 RecordedHandover RecordHandover(const fs::path& scratch, const std::string& refusal) {
   const fs::path new_side = scratch / "new", old_side = scratch / "old";
   fs::create_directories(new_side);
@@ -1149,7 +1158,8 @@
   return {std::move(proxy.from_new), std::move(proxy.from_old)};
 }
 
-// Writes one file for each datagram, such as 02-k, and says what is in it.
+// Writes one file for each datagram, named for its position and kind, such as 02-k. Returns their
+// descriptions.
 Json SaveDatagrams(const std::vector<Datagram>& datagrams, const fs::path& folder) {
   Json list = Json::array();
   int at = 0;
@@ -1222,7 +1232,7 @@
     ended(i, End::kFailed, 2, 21 + i);
     figures.Refused(i);
   }
-  ended(kNoClass, End::kDelivered, 1, 1);  // a class that is not configured counts nowhere
+  ended(kNoClass, End::kDelivered, 1, 1);  // a class that is not configured is not counted
   for (int i = 0; i < 1234; ++i) figures.Written();
   WriteFile(out / "metrics.txt", figures.Text({14, 9, 2}));
 
--- a/tests/golden/make_golden.sh
+++ b/tests/golden/make_golden.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Makes all golden data anew. Arguments: a build folder of the commit that README.md names, with the targets
-# sagetally_dispatcher, sagetally_lab and sagetally_faulty; a folder to write to, which must not exist. Run it
-# from the root of a checkout of that commit with this folder in it.
+# make_golden.sh BUILD OUTPUT: regenerates all golden data in the folder OUTPUT, which must not exist. BUILD is a build
+# folder of the commit that README.md names, with the targets sagetally_dispatcher, sagetally_lab and sagetally_faulty.
+# Run it from the root of a checkout of that commit that contains this folder.
 set -euo pipefail
 build=$(realpath "$1")
 source=$(pwd)
@@ -11,7 +11,7 @@
 mkdir "$2"
 cd "$2"
 
-# The generator, on the service's own libraries.
+# Builds the generator with the service's own libraries and runs it.
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 libraries=(libsagetally_node.a libsagetally_kept.a libsagetally_faulty.a libsagetally_journal.a
@@ -21,13 +21,14 @@
   -lsimdjson -lz -lsqlite3 -lxxhash -lspdlog -lfmt -levent_extra -levent_core -pthread
 "$scratch/make_golden" .
 
-# What the untouched program's own readers say. They run on a copy: SQLite makes files beside what it opens.
+# Records the output of that commit's own reading commands. They run on a copy of the data, because SQLite creates
+# files beside a database that it opens.
 reader_output=$PWD/reader-output
 mkdir "$reader_output"
 cp -r . "$scratch/copy"
 cd "$scratch/copy"
 rm -rf reader-output
-read_with() { # file for the output, arguments of sagetally
+read_with() { # read_with OUTPUT_FILE ARGUMENT...: runs sagetally with the arguments
   local file=$reader_output/$1 code=0
   shift
   echo "\$ sagetally ${*@Q}" >"$file"
@@ -56,9 +57,9 @@
 read_with kept-export.txt kept export --state dead_letters --body 'class = aviso'
 cd - >/dev/null
 
-# Help texts, of each program and each of its subcommands.
+# Records the help texts of each program and of each of its subcommands.
 mkdir help
-help_of() { # program and subcommand
+help_of() { # help_of PROGRAM [SUBCOMMAND...]: the command and, recursively, its subcommands
   local name
   name=$(IFS=-; echo "$*")
   "$@" --help >"help/$name.txt"
