--- a/bench/dead_letter_bench.cpp
+++ b/bench/dead_letter_bench.cpp
@@ -1,8 +1,13 @@
-// Measures dead letters: what they cost live traffic, and how the store does with a million of them.
-//   dead_letter_bench take off|on|stalled|synced SECONDS [RATE]    live messages (400 a second): time to the
-//   202, calls dead_letter_bench store COUNT                    fills a store, then lists with filters;
-//   memory by phase dead_letter_bench resend RATE|0 SECONDS          live traffic beside the redrive of
-//   20,000 dead letters
+// Measures the cost of dead letters for live traffic, and the store with a million of them.
+//
+//   dead_letter_bench take off|on|stalled|synced SECONDS [RATE]
+//       Live messages at RATE a second (400 if not given): times to the 202 response, and number of calls.
+//       Dead letters are off, on, or on with the store locked (stalled). With synced they are off, and each
+//       202 waits for the disk.
+//   dead_letter_bench store COUNT
+//       Fills a store and then lists it with filters: times, and memory in each phase.
+//   dead_letter_bench resend RATE|0 SECONDS
+//       Live traffic beside the redrive of 20,000 dead letters at RATE a second, or with no redrive at 0.
 #include <sqlite3.h>
 
 #include <fstream>
@@ -17,16 +22,18 @@
 
 using Clock = std::chrono::steady_clock;
 
-struct Times {
-  loadtest::LatencyHistogram all;
-  void Add(Clock::duration d) { all.Add(std::chrono::duration<double, std::micro>(d).count()); }
-  void Print(const char* what, double seconds) const {
-    std::printf("%s: %ld, %.0f a second, p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms\n", what, all.count(),
-                static_cast<double>(all.count()) / seconds, all.Quantile(0.5) / 1000,
-                all.Quantile(0.99) / 1000, all.Quantile(0.999) / 1000);
+// Response times in microseconds.
+struct ResponseTimes {
+  loadtest::LatencyHistogram histogram;
+  void Add(Clock::duration d) { histogram.Add(std::chrono::duration<double, std::micro>(d).count()); }
+  void Print(const char* label, double seconds) const {
+    std::printf("%s: %ld, %.0f a second, p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms\n", label, histogram.count(),
+                static_cast<double>(histogram.count()) / seconds, histogram.Quantile(0.5) / 1000,
+                histogram.Quantile(0.99) / 1000, histogram.Quantile(0.999) / 1000);
   }
 };
 
+// Returns the resident memory of this process in MB, or 0 if it cannot be read.
 double ResidentMb() {
   std::ifstream status("/proc/self/status");
   for (std::string line; std::getline(status, line);) {
@@ -35,46 +42,50 @@
   return 0;
 }
 
-// An open-loop client: messages at fixed times over kept-alive connections, timed from when each should have
-// gone.
-class Load {
+// Open-loop client: sends messages at fixed times over keep-alive connections, and measures each response
+// time from the intended sending time.
+class OpenLoopClient {
  public:
-  Load(World& w, double rate, double failing_share)
-      : w_(w), every_(1.0 / rate), failing_(failing_share), next_(w.loop, [this] { Send(); }) {}
+  // Sends `rate` messages a second, of which `failing_fraction` go to destination 8 and fail.
+  OpenLoopClient(World& w, double rate, double failing_fraction)
+      : world_(w),
+        interval_(1.0 / rate),
+        failing_fraction_(failing_fraction),
+        next_send_(w.loop, [this] { Send(); }) {}
   void Start() {
     start_ = Clock::now();
     Send();
   }
-  void Stop() { next_.Stop(); }
-  Times times;
+  void Stop() { next_send_.Stop(); }
+  ResponseTimes times;
   int rejected = 0;
 
  private:
-  struct One {
-    Load* load = nullptr;
+  struct PendingRequest {
+    OpenLoopClient* client = nullptr;
     evhttp_connection* connection = nullptr;
     Clock::time_point intended;
   };
   void Send() {
     while (true) {
-      const auto intended = start_ + std::chrono::duration_cast<Clock::duration>(every_ * sent_);
+      const auto intended = start_ + std::chrono::duration_cast<Clock::duration>(interval_ * sent_);
       const auto now = Clock::now();
-      if (intended > now) return next_.Schedule(std::chrono::duration_cast<Duration>(intended - now));
+      if (intended > now) return next_send_.Schedule(std::chrono::duration_cast<Duration>(intended - now));
       Post(intended);
       ++sent_;
     }
   }
   void Post(Clock::time_point intended) {
-    if (idle_.empty()) {
-      all_.emplace_back(
-          evhttp_connection_base_new(w_.loop.base(), nullptr, "127.0.0.1", w_.dispatcher->port()));
-      idle_.push_back(all_.back().get());
+    if (idle_connections_.empty()) {
+      connections_.emplace_back(
+          evhttp_connection_base_new(world_.loop.base(), nullptr, "127.0.0.1", world_.dispatcher->port()));
+      idle_connections_.push_back(connections_.back().get());
     }
-    evhttp_connection* connection = idle_.back();
-    idle_.pop_back();
-    evhttp_request* request = evhttp_request_new(Done, new One{this, connection, intended});
+    evhttp_connection* connection = idle_connections_.back();
+    idle_connections_.pop_back();
+    evhttp_request* request = evhttp_request_new(OnResponse, new PendingRequest{this, connection, intended});
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
-    const bool failing = sent_ % 1000 < failing_ * 1000;
+    const bool failing = sent_ % 1000 < failing_fraction_ * 1000;
     evhttp_add_header(headers, "Host", "b");
     evhttp_add_header(headers, "X-Request-Id", ("b" + std::to_string(sent_)).c_str());
     evhttp_add_header(headers, "X-Deadline", failing ? "300m" : "5000m");
@@ -82,27 +93,27 @@
     evbuffer_add(evhttp_request_get_output_buffer(request), body_.data(), body_.size());
     evhttp_make_request(connection, request, EVHTTP_REQ_POST, "/aviso");
   }
-  static void Done(evhttp_request* request, void* raw) {
-    const std::unique_ptr<One> one(static_cast<One*>(raw));
+  static void OnResponse(evhttp_request* request, void* raw) {
+    const std::unique_ptr<PendingRequest> pending(static_cast<PendingRequest*>(raw));
     if (request == nullptr || evhttp_request_get_response_code(request) != 202) {
-      ++one->load->rejected;
+      ++pending->client->rejected;
     } else {
-      one->load->times.Add(Clock::now() - one->intended);
+      pending->client->times.Add(Clock::now() - pending->intended);
     }
-    one->load->idle_.push_back(one->connection);
+    pending->client->idle_connections_.push_back(pending->connection);
   }
-  World& w_;
-  const std::chrono::duration<double> every_;
-  const double failing_;
+  World& world_;
+  const std::chrono::duration<double> interval_;
+  const double failing_fraction_;
   const std::string body_ = std::string(200, 'b');
   Clock::time_point start_;
   std::int64_t sent_ = 0;
-  Timer next_;
-  std::vector<ConnectionPtr> all_;
-  std::vector<evhttp_connection*> idle_;
+  Timer next_send_;
+  std::vector<ConnectionPtr> connections_;
+  std::vector<evhttp_connection*> idle_connections_;
 };
 
-// Destination 7 answers at once; destination 8 is a closed port, so that its messages end undelivered.
+// Destination 7 answers at once. Destination 8 is a closed port, so that its messages complete undelivered.
 struct BenchWorld : World {
   BenchWorld() : World(1, 64, 2000) {
     ports.push_back(1);
@@ -123,33 +134,36 @@
   }
 };
 
-void Take(const std::string& mode, double seconds, double rate) {
+// Measures live traffic with dead letters in the given mode. 20% of the messages fail.
+void MeasureLiveTraffic(const std::string& mode, double seconds, double rate) {
   BenchWorld w;
   if (mode == "on" || mode == "stalled") w.EnableDeadLetters();
   w.journal.synced = mode == "synced";
   w.Start();
   RunFor(w.loop, 300ms);
   sqlite3* lock = nullptr;
-  if (mode == "stalled") {  // another process holds the store's lock all the time
+  if (mode == "stalled") {  // another connection holds the store's write lock during the whole measurement
     sqlite3_open((w.folder.path + "/kept/kept.db").c_str(), &lock);
     sqlite3_exec(lock, "BEGIN IMMEDIATE", nullptr, nullptr, nullptr);
   }
-  Load load(w, rate, 0.2);
-  load.Start();
+  OpenLoopClient client(w, rate, 0.2);
+  client.Start();
   RunFor(w.loop, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
-  load.Stop();
-  load.times.Print(("take, kept " + mode).c_str(), seconds);
-  std::printf("  refused %d, called %zu", load.rejected, w.CountCalls());
+  client.Stop();
+  client.times.Print(("take, dead letters " + mode).c_str(), seconds);
+  std::printf("  rejected %d, called %zu", client.rejected, w.CountCalls());
   if (w.dispatcher->dead_letters() != nullptr) {
     dead_letter::DeadLetterManager& manager = w.dispatcher->dead_letters()->manager();
-    std::printf(", kept %ld, owed %zu, lost %ld", manager.counters().stored, manager.pending_transfers(),
-                manager.counters().transfers_given_up);
+    std::printf(", dead-lettered %ld, pending %zu, given up %ld", manager.counters().stored,
+                manager.pending_transfers(), manager.counters().transfers_given_up);
   }
   std::printf("\n");
   sqlite3_close(lock);
 }
 
-dead_letter::Database::Entry Sample(std::int64_t n) {
+// Returns the `n`th dead letter of the samples, which vary in class, destination, failure reason and
+// attempts.
+dead_letter::Database::Entry MakeSample(std::int64_t n) {
   constexpr const char* kClasses[] = {"aviso", "pedido", "pagamento"};
   dead_letter::Database::Entry entry;
   dead_letter::DeadLetter& k = entry.dead_letter;
@@ -168,7 +182,8 @@
   return entry;
 }
 
-void Million(std::int64_t count) {
+// Measures the store itself with `count` dead letters: filling it, and the first page of lists with filters.
+void MeasureStore(std::int64_t count) {
   const TemporaryFolder folder;
   dead_letter::Database::Settings settings;
   settings.path = folder.path + "/kept.db";
@@ -178,11 +193,11 @@
   const auto start = Clock::now();
   for (std::int64_t n = 0; n < count;) {
     std::vector<dead_letter::Database::Entry> batch;
-    for (int i = 0; i < 128 && n < count; ++i, ++n) batch.push_back(Sample(n));
+    for (int i = 0; i < 128 && n < count; ++i, ++n) batch.push_back(MakeSample(n));
     db.Store(batch);
   }
   const double filled = std::chrono::duration<double>(Clock::now() - start).count();
-  std::printf("kept %ld in %.1f s, %.0f a second; store %.0f MB, memory %.1f MB\n", count, filled,
+  std::printf("stored %ld in %.1f s, %.0f a second; store %.0f MB, memory %.1f MB\n", count, filled,
               static_cast<double>(count) / filled, static_cast<double>(db.UsedBytes()) / 1e6, ResidentMb());
   settings.read_only = true;
   dead_letter::Database reader(settings);
@@ -191,24 +206,25 @@
         "destination = 3 and attempts >= 2 and age > 1h", "id = \"m999999\"", "body_size > 1kb"}) {
     const dead_letter::Condition condition = dead_letter::ParseCondition(filter, {});
     const Time now(1'700'000'000'000'000 + count * 1000 + 7'200'000'000);
-    std::vector<double> took;
+    std::vector<double> times_ms;
     std::size_t found = 0;
     for (int i = 0; i < 5; ++i) {
       const auto begin = Clock::now();
       found = reader.List(condition, now, std::nullopt, 50).messages.size();
-      took.push_back(std::chrono::duration<double, std::milli>(Clock::now() - begin).count());
+      times_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - begin).count());
     }
-    std::sort(took.begin(), took.end());
-    std::printf("first page, %s: %zu messages, median %.1f ms, min %.1f, max %.1f\n", filter, found, took[2],
-                took[0], took[4]);
+    std::sort(times_ms.begin(), times_ms.end());
+    std::printf("first page, %s: %zu messages, median %.1f ms, min %.1f, max %.1f\n", filter, found,
+                times_ms[2], times_ms[0], times_ms[4]);
   }
   std::printf("memory after: %.1f MB\n", ResidentMb());
 }
 
-void Resend(double rate, double seconds) {
+// Measures live traffic beside the redrive of dead letters at `rate` a second, or without redrive at 0.
+void MeasureRedrive(double rate, double seconds) {
   BenchWorld w;
   w.EnableDeadLetters();
-  {  // as an earlier process of the node left them
+  {  // stores the dead letters before the start, as an earlier process of the node would have left them
     std::filesystem::create_directory(w.folder.path + "/kept");
     dead_letter::Database::Settings settings;
     settings.path = w.folder.path + "/kept/kept.db";
@@ -216,7 +232,7 @@
     dead_letter::Database db(settings);
     std::vector<dead_letter::Database::Entry> all;
     for (std::int64_t n = 0; n < 20'000; ++n) {
-      dead_letter::Database::Entry entry = Sample(n);
+      dead_letter::Database::Entry entry = MakeSample(n);
       entry.dead_letter.class_name = "aviso";
       entry.dead_letter.request.destination = 7;
       entry.dead_letter.attempts = 0;
@@ -233,27 +249,27 @@
   w.Start();
   RunFor(w.loop, 500ms);
   const auto before = w.dispatcher->dead_letters()->manager().counters().delivered;
-  Load load(w, 400, 0);
-  load.Start();
+  OpenLoopClient client(w, 400, 0);
+  client.Start();
   RunFor(w.loop, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
-  load.Stop();
-  load.times.Print("live", seconds);
+  client.Stop();
+  client.times.Print("live", seconds);
   const auto delivered = w.dispatcher->dead_letters()->manager().counters().delivered - before;
-  std::printf("  resent at %.0f/s asked: %.0f a second, live refused %d\n", rate,
-              static_cast<double>(delivered) / seconds, load.rejected);
+  std::printf("  redrive at %.0f/s requested: %.0f a second, live rejected %d\n", rate,
+              static_cast<double>(delivered) / seconds, client.rejected);
 }
 
 }  // namespace
 }  // namespace sagetally
 
 int main(int argc, char** argv) {
-  const std::string what = argc > 1 ? argv[1] : "";
-  if (what == "take" && (argc == 4 || argc == 5)) {
-    sagetally::Take(argv[2], std::atof(argv[3]), argc == 5 ? std::atof(argv[4]) : 400);
-  } else if (what == "store" && argc == 3) {
-    sagetally::Million(std::atoll(argv[2]));
-  } else if (what == "resend" && argc == 4) {
-    sagetally::Resend(std::atof(argv[2]), std::atof(argv[3]));
+  const std::string command = argc > 1 ? argv[1] : "";
+  if (command == "take" && (argc == 4 || argc == 5)) {
+    sagetally::MeasureLiveTraffic(argv[2], std::atof(argv[3]), argc == 5 ? std::atof(argv[4]) : 400);
+  } else if (command == "store" && argc == 3) {
+    sagetally::MeasureStore(std::atoll(argv[2]));
+  } else if (command == "resend" && argc == 4) {
+    sagetally::MeasureRedrive(std::atof(argv[2]), std::atof(argv[3]));
   } else {
     std::cerr
         << "usage: dead_letter_bench take off|on|stalled|synced SECONDS [RATE] | store COUNT | resend RATE "
--- a/bench/loadtest_limits.sh
+++ b/bench/loadtest_limits.sh
@@ -1,10 +1,14 @@
 #!/bin/bash
-# The generator's own limits and the dispatcher's, on cores of their own. Arguments: the build's folder (Release, with
-# sagetally-loadtest) and what to measure: generator | limit FRONT BYTES [SECONDS] | profile FRONT BYTES RATE, with FRONT one
-# of platform, binary, structured, batched.
+# Measures the limits of the load generator and of the dispatcher, with each process on cores of its own.
+#   loadtest_limits.sh BUILD generator                      highest rate of the generator against a stub frontend
+#   loadtest_limits.sh BUILD limit FRONT BYTES [SECONDS]    highest rate of the dispatcher, confirmed for SECONDS (60)
+#   loadtest_limits.sh BUILD profile FRONT BYTES RATE       perf profile of the dispatcher at RATE messages a second
+# BUILD is a Release build folder with sagetally-loadtest, BYTES the size of a body, and FRONT the ingress protocol:
+# platform, binary, structured or batched. The environment variables PROBE (3) and CONFIRM (20) set the seconds of a
+# probe and of the confirmation in `generator`.
 set -euo pipefail
 build=$(realpath "$1")
-what=$2
+command=$2
 work=$(mktemp -d)
 pids=()
 cleanup() {
@@ -15,16 +19,17 @@
 trap cleanup EXIT
 cd "$work"
 loadtest=$build/sagetally-loadtest
+# wait_for PATTERN FILE: waits until a line of FILE matches, for 500 * 20 ms at most. Fails with the content of FILE.
 wait_for() { for _ in $(seq 500); do grep -q "$1" "$2" && return; sleep 0.02; done; cat "$2"; exit 1; }
 
-if [ "$what" = generator ]; then
+if [ "$command" = generator ]; then
   taskset -c 3 "$loadtest" standin front >front.log 2>&1 &
   pids+=($!)
   wait_for frontend.ready front.log
   port=$(sed -n 's/.* frontend.ready port=//p' front.log)
   for cores in 0 0,1; do
     threads=$(( (${#cores} + 1) / 2 ))
-    echo "generator on $threads core(s), stand-in front on one:"
+    echo "generator on $threads core(s), stub frontend on one:"
     taskset -c "$cores" "$loadtest" limit --targets "127.0.0.1:$port" --connections 64 --threads "$threads" --from 2000 --to 200000 \
       --probe-s "${PROBE:-3}" --confirm-s "${CONFIRM:-20}" --p99-ms 1000000 --lag-p99-ms 1 --answer_ms 0 --hand_ins_again 0 || true
   done
@@ -64,13 +69,13 @@
 wait_for " ready name=" n0.log
 if [ "$front" = platform ]; then
   port=$(sed -n 's/.* ready name=n0 port=//p' n0.log)
-  how=(--front platform)
+  front_options=(--front platform)
 else
   port=$(sed -n 's/.* cloudevents.ready .*port=//p' n0.log)
-  how=(--front events --mode "$front")
+  front_options=(--front events --mode "$front")
 fi
-if [ "$what" = profile ]; then
-  taskset -c 2,3 "$loadtest" load --targets "127.0.0.1:$port" "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
+if [ "$command" = profile ]; then
+  taskset -c 2,3 "$loadtest" load --targets "127.0.0.1:$port" "${front_options[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
     --destinations.count 3 --connections 128 --threads 2 --arrivals.rate "$5" --seconds 10 &
   pids+=($!)
   perf record -o perf.data -g -p "$node" -- sleep 8 >/dev/null 2>&1
@@ -78,6 +83,6 @@
   exit
 fi
 echo "dispatcher on one core, $front, bodies of $bytes bytes:"
-taskset -c 2,3 "$loadtest" limit --targets "127.0.0.1:$port" "${how[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
+taskset -c 2,3 "$loadtest" limit --targets "127.0.0.1:$port" "${front_options[@]}" --body_bytes "{\"kind\":\"constant\",\"value\":$bytes}" \
   --destinations.count 3 --connections 128 --threads 2 --from 250 --to 64000 --probe-s 4 --confirm-s "${5:-60}" \
   --p99-ms 10 --lag-p99-ms 3 || true
