--- a/tests/all.sh
+++ b/tests/all.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Builds with warnings as errors and runs all tests, plainly and under the sanitizers.
+# all.sh: builds with warnings as errors and runs all tests, first without and then with the sanitizers.
 set -eu
 cd "$(dirname "$0")/.."
 for mode in OFF ON; do
@@ -9,7 +9,8 @@
       -DSAGETALLY_SANITIZE=$mode -DBUILD_TESTING="$1" -DSAGETALLY_LOADTEST="$2"
   }
   if [ $mode = OFF ]; then
-    # What the platform builds needs neither the tests nor the load tool; what it makes is used again below.
+    # The platform builds neither the tests nor the load test tool, so the service must build without them. The full
+    # build below reuses the objects.
     configure OFF OFF
     cmake --build "$build" -j"$(nproc)"
   fi
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,4 +1,5 @@
-// The example of the README: a dispatcher that accepts one message and asks the policy what to do with it.
+// The example of the README. A dispatcher with one endpoint accepts one message, and the policy decides which
+// attempt to start. The test checks the printed line.
 #include <cstdio>
 #include <variant>
 #include <vector>
--- a/tests/form.sh
+++ b/tests/form.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The decision module is split into files of 500 lines at most (its limit as a whole was lifted with incident 106eac), no
-# source line passes 110 characters, and the sources are formatted.
+# form.sh ROOT: checks that no file of the decision module has more than 500 lines, that no source line is longer than
+# 110 characters, and that clang-format would change nothing. The size of the decision module as a whole has not been
+# limited since incident 106eac.
 set -eu
 cd "$1"
 for file in src/policy/*.h src/policy/*.cpp; do
--- a/tests/include_order.sh
+++ b/tests/include_order.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# include_order.sh ROOT: each directory under src/ includes only headers of directories that stand before it in the
-# order below (docs/architecture.md), and the directories without I/O include no system or library header that does
-# any. Prints "N passed, N failed" as its last line; an include against the order fails it.
+# include_order.sh ROOT: checks that each directory under src/ includes only its own headers and those of directories
+# before it in the order below (docs/architecture.md), and that the directories without I/O include no system or library
+# header that does I/O. Prints "N passed, N failed" as its last line, and fails if an include violates the order.
 set -eu
 cd "$1"
 # Lower layers first. `sagetally` is include/sagetally, the interface of the decision module.
@@ -11,7 +11,7 @@
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 
-rank() { # position of a directory in the order; empty if it has none
+rank() { # rank DIRECTORY: prints its position in the order, or nothing if it has none
   position=0
   for name in $order; do
     position=$((position + 1))
@@ -22,7 +22,7 @@
   done
 }
 
-# One line an include of ours: directory, included directory, file.
+# Writes one line for each include of a project header: directory, included directory, file.
 grep -rn --include='*.h' --include='*.cpp' --include='*.in' '^#include "' src include |
   sed -nE 's#^(src|include)/([^:]*):[0-9]+:.include "([^"/]*)/.*#\2 \3#p' |
   while read -r file included; do
@@ -36,10 +36,10 @@
   own=$(rank "$directory")
   other=$(rank "$included")
   if [ -z "$own" ] || [ -z "$other" ]; then
-    echo "$file: '$directory' or '$included' has no place in the order"
+    echo "$file: '$directory' or '$included' is missing from the order"
     failed=$((failed + 1))
   elif [ "$other" -gt "$own" ]; then
-    echo "$file: $directory must not include $included, which stands above it"
+    echo "$file: $directory must not include $included, which is a higher layer"
     failed=$((failed + 1))
   else
     passed=$((passed + 1))
@@ -49,7 +49,7 @@
 for directory in $without_io; do
   [ -d "src/$directory" ] || continue
   if grep -rnE '^#include <(event2/|sys/|unistd|fcntl|netinet/|sqlite3|fstream|filesystem|thread)' "src/$directory"; then
-    echo "src/$directory: does no I/O, and must not include these"
+    echo "src/$directory: must do no I/O, and must not include the headers above"
     failed=$((failed + 1))
   else
     passed=$((passed + 1))
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# lint.sh [BUILD]: formatter, module size, line lengths, include order, shellcheck and clang-tidy. Warnings are errors.
+# lint.sh [BUILD]: checks formatting, file sizes of the decision module, line lengths and include order, and then
+# runs shellcheck and clang-tidy. Warnings are errors. BUILD is the folder that clang-tidy uses, or build-lint.
 set -eu
 cd "$(dirname "$0")/.."
 tests/form.sh .
--- a/tests/package.sh
+++ b/tests/package.sh
@@ -1,5 +1,7 @@
 #!/bin/sh
-# Installs the build into a scratch prefix and builds and runs a separate small project against it.
+# package.sh BUILD PROJECT [FLAGS [SANITIZE]]: installs the build folder BUILD under a temporary prefix, and builds and
+# runs the separate project in the folder PROJECT against the installed package. FLAGS are compiler flags. SANITIZE is
+# ON if BUILD was built with the sanitizers.
 set -eu
 build=$1 project=$2
 flags=${3:-}
--- a/tests/tidy.sh
+++ b/tests/tidy.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# tidy.sh ROOT BUILD: runs clang-tidy with .clang-tidy over the service's sources, on all cores, once each. The load tool
-# (src/loadtest) is left out: its headers take as long again, and not all of its findings are mended yet.
-# BUILD is a directory of its own that is only configured: no precompiled headers, and a compile command for each source.
-# Prints "N passed, N failed" as its last line; any finding fails it.
+# tidy.sh ROOT BUILD: runs clang-tidy with .clang-tidy once over each source of the service, on all cores. The load test
+# tool (src/loadtest) is left out, because its headers would double the time and not all of its findings are fixed.
+# BUILD is a separate folder that is configured but not built, without precompiled headers and with a compile command
+# for each source. Prints "N passed, N failed" as its last line, and fails on any finding.
 set -eu
 cd "$1"
 build=$2
@@ -14,7 +14,7 @@
 reports=$build/tidy
 rm -rf "$reports"
 mkdir -p "$reports"
-# The largest sources first, so that no core is left with one of them at the end.
+# Sorts the largest sources first, so that no core starts a large one at the end while the others are idle.
 find src -name '*.cpp' ! -path 'src/loadtest/*' -exec ls -S {} + >"$build/sources"
 # shellcheck disable=SC2016 # expanded by the inner shell
 xargs -P "$(nproc)" -n 1 sh -c '
