--- a/src/policy/endpoint_health.h
+++ b/src/policy/endpoint_health.h
@@ -170,8 +170,9 @@
   Endpoint& endpoint = *call.endpoint;
   RateLimitScope& scope = *endpoint.scope;
   const bool is_keep_alive_limited = KeepAliveTime(state, endpoint) < state.settings.connection_idle_timeout;
-  if (is_keep_alive_limited && call.idle_age == Duration(0))
+  if (is_keep_alive_limited && call.idle_age == Duration(0)) {
     state.keep_alive_factors[endpoint.kind] *= kKeepAliveIncreaseFactor;
+  }
   // The expected latency is learned from answers only, never from failures or rejections.
   if (latency > Duration(0)) {
     endpoint.destination->latency.Add(latency);
@@ -253,8 +254,9 @@
   Endpoint& endpoint = *call.endpoint;
   RateLimitScope& scope = *endpoint.scope;
   const bool never_ran = outcome == Outcome::kConnectFailed;
-  if (never_ran && !endpoint.HasFailed(state.now))
+  if (never_ran && !endpoint.HasFailed(state.now)) {
     state.keep_alive_factors[endpoint.kind] *= kKeepAliveDecreaseFactor;
+  }
   // Connections also break at random, so an error answer or a reset counts little. An endpoint that has
   // really gone does not accept the next connection, or does not answer, and that counts in full.
   const bool is_soft = outcome == Outcome::kError || outcome == Outcome::kReset;
--- a/src/policy/message_queues.h
+++ b/src/policy/message_queues.h
@@ -25,8 +25,9 @@
 // Puts the message into its queue.
 inline void Enqueue(PolicyState& state, Message& message) {
   QueueOf(message)[{message.arrived_at, message.number}] = &message;
-  if (message.target->waiting_count++ == 0)
+  if (message.target->waiting_count++ == 0) {
     state.active_destinations[message.target->number] = message.target;
+  }
   state.relegated_count += message.relegated ? 1 : 0;
 }
 
--- a/src/policy/recovery_budget.h
+++ b/src/policy/recovery_budget.h
@@ -119,8 +119,9 @@
     // One call at once also shows whether a scope that gave an answer a moment ago has failed at all.
     const bool was_answered_recently =
         scope.last_answered_at && state.now - *scope.last_answered_at < kShortestOutage / 2;
-    if (was_answered_recently && !needs_confirmation && scope.rejections == 0)
+    if (was_answered_recently && !needs_confirmation && scope.rejections == 0) {
       GrantPermit(state, scope.permits);
+    }
   }
   // A dispatcher that never got an answer from the scope has no reason to doubt the failure.
   const bool is_first_failure = scope.recovering_since == state.now && scope.rejections == 0;
--- a/src/policy/release.h
+++ b/src/policy/release.h
@@ -68,8 +68,9 @@
   Minimum<Endpoint*> cheapest;
   for (Endpoint* endpoint : message.target->endpoints) {
     if (!MaySendTo(state, *endpoint, message.IsNotIdempotent())) continue;
-    if (RemembersKey(state, *endpoint, message))
+    if (RemembersKey(state, *endpoint, message)) {
       cheapest.Offer(endpoint, CallPrice(state, *endpoint, message));
+    }
   }
   return cheapest.item;
 }
--- a/tests/policy/cold_return_fleet.h
+++ b/tests/policy/cold_return_fleet.h
@@ -206,8 +206,9 @@
     dispatcher.policy->Process(now_, events, actions);
     for (const Action& action : actions) {
       if (const auto* attempt = std::get_if<StartAttempt>(&action)) Call(i, *attempt);
-      if (const auto* rejection = std::get_if<RejectMessage>(&action))
+      if (const auto* rejection = std::get_if<RejectMessage>(&action)) {
         dispatcher.pending.erase(rejection->id);
+      }
       if (const auto* failure = std::get_if<FailMessage>(&action)) dispatcher.pending.erase(failure->id);
       if (const auto* gossip = std::get_if<SendGossip>(&action)) Broadcast(i, gossip->body);
       if (const auto* timer = std::get_if<ScheduleTimer>(&action)) {
