--- a/src/loadtest/commands/soak_command.cpp
+++ b/src/loadtest/commands/soak_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest soak`.
+// `sagetally-loadtest soak`: runs soak schedules one after another and prints the violations of each.
 #include <fmt/format.h>
 
 #include <filesystem>
@@ -17,8 +17,8 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kShownBreaks = 5;
-constexpr std::size_t kShownLines = 40;
+constexpr std::size_t kMaxShownViolations = 5;
+constexpr std::size_t kMaxShownLogLines = 40;
 
 struct SoakCommandOptions {
   std::uint64_t seed = 1;
@@ -32,8 +32,9 @@
   return (fs::read_symlink("/proc/self/exe").parent_path() / name).string();
 }
 
-// The lines of all logs that name the id, which are in order by their time.
-void PrintTimeline(const std::string& folder, const std::string& id) {
+// Prints the lines of the node logs in `folder` that name the request `id`, in order of time. Each line
+// begins with its time, so the order of the text is that of time.
+void PrintLogLines(const std::string& folder, const std::string& id) {
   std::set<std::string> lines;
   for (const auto& entry : fs::directory_iterator(folder)) {
     if (entry.path().extension() != ".log") continue;
@@ -46,25 +47,26 @@
   }
   std::size_t shown = 0;
   for (const std::string& line : lines) {
-    if (++shown > kShownLines) break;
+    if (++shown > kMaxShownLogLines) break;
     std::cout << "    " << line << "\n";
   }
 }
 
 void PrintResult(const SoakSchedule& schedule, const SoakResult& result) {
   std::cout << fmt::format(
-      "seed {}: {} nodes, crowd {}, {} requests, {} answered, {} faults injected, {} breaks\n", schedule.seed,
-      schedule.nodes, schedule.crowd, result.requests, result.answered, result.injected_faults,
-      result.breaks.size());
-  for (std::size_t i = 0; i < result.breaks.size() && i < kShownBreaks; ++i) {
-    const SoakBreak& found = result.breaks[i];
-    std::cout << "  " << found.rule << " " << found.id << ": " << found.detail << "\n";
-    if (!found.id.empty()) PrintTimeline(result.folder, found.id);
+      "seed {}: {} nodes, crowd {}, {} requests, {} answered, {} faults injected, {} violations\n",
+      schedule.seed, schedule.nodes, schedule.half_request_connections, result.requests, result.answered,
+      result.injected_faults, result.violations.size());
+  for (std::size_t i = 0; i < result.violations.size() && i < kMaxShownViolations; ++i) {
+    const SoakViolation& violation = result.violations[i];
+    std::cout << "  " << violation.rule << " " << violation.id << ": " << violation.detail << "\n";
+    if (!violation.id.empty()) PrintLogLines(result.folder, violation.id);
   }
-  if (!result.breaks.empty()) std::cout << "  files: " << result.folder << "\n";
+  if (!result.violations.empty()) std::cout << "  files: " << result.folder << "\n";
   std::cout << std::flush;
 }
 
+// The schedule file's run, or one run for each seed.
 std::vector<SoakSchedule> Schedules(const SoakCommandOptions& options) {
   if (!options.schedule.empty()) return {ReadSchedule(options.schedule)};
   std::vector<SoakSchedule> schedules;
@@ -86,7 +88,7 @@
     if (interrupt.Requested()) break;
     const SoakResult result = RunSoak(schedule, options);
     PrintResult(schedule, result);
-    (result.breaks.empty() ? passed : failed) += 1;
+    (result.violations.empty() ? passed : failed) += 1;
   }
   std::cout << fmt::format("{} passed, {} failed\n", passed, failed);
   return failed == 0 && passed > 0 ? 0 : 1;
@@ -97,11 +99,12 @@
 Command AddSoakCommand(CLI::App& parent) {
   auto options = std::make_shared<SoakCommandOptions>();
   CLI::App* command = AddSubcommand(
-      parent, "soak", "real dispatchers under injected faults, with the rules counted from outside");
-  AddOption(command, "--seed", options->seed, "of the first run");
-  AddOption(command, "--seeds", options->seeds, "how many runs, each with the next seed")
+      parent, "soak", "runs dispatchers under injected faults, and checks the rules from outside");
+  AddOption(command, "--seed", options->seed, "seed of the first run");
+  AddOption(command, "--seeds", options->seeds, "number of runs, each with the next seed")
       ->check(CLI::Range(1, 10'000));
-  AddOption(command, "--schedule", options->schedule, "a file with one run to play, in place of seeds");
+  AddOption(command, "--schedule", options->schedule,
+            "a file with the schedule of one run, used instead of seeds");
   AddOption(command, "--program", options->program,
             "the sagetally to start; default: the one beside this program");
   AddOption(command, "--shim", options->shim, "the fault shim; default: the one beside this program");
--- a/src/loadtest/soak/soak_client.cpp
+++ b/src/loadtest/soak/soak_client.cpp
@@ -22,14 +22,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::int64_t kPatienceUs = 400'000;  // after which a client gives a request up
-constexpr auto kReconnectPause = milliseconds(20);
-constexpr int kMaxPauseMs = 60;  // between two requests
-constexpr int kDeadlineMs = 4000;
-constexpr int kRequestsPerConnection = 30;
+// How long a client waits for a response.
+constexpr std::int64_t kResponseTimeoutUs = 400'000;
+constexpr auto kReconnectInterval = milliseconds(20);
+constexpr int kMaxRequestPauseMs = 60;  // longest pause of a client between two requests
+constexpr int kMessageDeadlineMs = 4000;
+constexpr int kMaxRequestsPerConnection = 30;
 constexpr std::size_t kReadBytes = 4096;
-// By Idempotency.
-constexpr std::array<const char*, 3> kClasses = {"aviso", "pedido", "pagamento"};
+// Names of the demonstration's message classes, indexed by Idempotency.
+constexpr std::array<const char*, 3> kClassNames = {"aviso", "pedido", "pagamento"};
 
 sockaddr_in Loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -39,6 +40,7 @@
   return address;
 }
 
+// Returns an empty descriptor if the connection is not established.
 FileDescriptor ConnectTo(std::uint16_t port) {
   FileDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const sockaddr_in address = Loopback(port);
@@ -48,8 +50,9 @@
   return socket;
 }
 
-// Whether `text` holds a whole response, by its Content-Length.
-bool IsWholeResponse(const std::string& text) {
+// Whether `text` holds a complete response. The body's length is taken from Content-Length; without that
+// header the response ends with its header section.
+bool IsCompleteResponse(const std::string& text) {
   static constexpr std::string_view kLength = "Content-Length: ";
   const std::size_t head_end = text.find("\r\n\r\n");
   if (head_end == std::string::npos) return false;
@@ -77,7 +80,7 @@
   if (std::sscanf(text.c_str(), "soak-%d-%d-%d-%d", &id.node, &id.client, &id.number, &idempotency) != 4) {
     return std::nullopt;
   }
-  if (idempotency < 0 || idempotency >= static_cast<int>(kClasses.size())) return std::nullopt;
+  if (idempotency < 0 || idempotency >= static_cast<int>(kClassNames.size())) return std::nullopt;
   id.idempotency = static_cast<Idempotency>(idempotency);
   return id;
 }
@@ -95,24 +98,24 @@
   return fmt::format(
       "POST /{0} HTTP/1.1\r\nHost: soak\r\nX-Request-Id: {1}\r\nX-Class: {0}\r\nX-Deadline: {2}m\r\n"
       "Idempotency-Key: key-{1}\r\nX-Envelope: dest={3}\r\nContent-Length: 2\r\n\r\nok",
-      kClasses.at(static_cast<std::size_t>(idempotency)), id, kDeadlineMs, destination);
+      kClassNames.at(static_cast<std::size_t>(idempotency)), id, kMessageDeadlineMs, destination);
 }
 
 void SoakClient::Run(const std::atomic<bool>& stop) {
   while (!stop) {
     if (Connect()) {
       SendOne();
-      const int pause = boost::random::uniform_int_distribution<int>(0, kMaxPauseMs)(random_);
+      const int pause = boost::random::uniform_int_distribution<int>(0, kMaxRequestPauseMs)(random_);
       std::this_thread::sleep_for(milliseconds(pause));
     } else {
-      std::this_thread::sleep_for(kReconnectPause);
+      std::this_thread::sleep_for(kReconnectInterval);
     }
   }
 }
 
 void SoakClient::SendOne() {
   RequestRecord record;
-  const int last_class = static_cast<int>(kClasses.size()) - 1;
+  const int last_class = static_cast<int>(kClassNames.size()) - 1;
   const auto idempotency =
       static_cast<Idempotency>(boost::random::uniform_int_distribution<int>(0, last_class)(random_));
   record.id = ToString(SoakRequestId{node_, number_, next_request_++, idempotency});
@@ -120,7 +123,7 @@
   const std::string text = RequestText(record.id, idempotency);
   const ssize_t sent = ::send(socket_.get(), text.data(), text.size(), MSG_NOSIGNAL);
   record.sent_us = NowUs();
-  if (sent != static_cast<ssize_t>(text.size())) {  // its last byte was never written
+  if (sent != static_cast<ssize_t>(text.size())) {  // not written in full, so the request is not recorded
     socket_ = FileDescriptor();
     return;
   }
@@ -128,25 +131,26 @@
   AwaitResponse(record);
   record.ended_us = NowUs();
   records_.push_back(record);
-  if (requests_on_connection_ >= kRequestsPerConnection) socket_ = FileDescriptor();
+  if (requests_on_connection_ >= kMaxRequestsPerConnection) socket_ = FileDescriptor();
 }
 
 void SoakClient::AwaitResponse(RequestRecord& record) {
   std::string received;
   char bytes[kReadBytes];
-  while (!IsWholeResponse(received)) {
-    const std::int64_t left_us = record.sent_us + kPatienceUs - NowUs();
+  while (!IsCompleteResponse(received)) {
+    const std::int64_t left_us = record.sent_us + kResponseTimeoutUs - NowUs();
     pollfd readable{socket_.get(), POLLIN, 0};
     const int ready = left_us > 0 ? ::poll(&readable, 1, static_cast<int>(left_us / 1000 + 1)) : 0;
     if (ready < 0 && errno == EINTR) continue;
     if (ready <= 0) {
-      record.end = RequestEnd::kGivenUp;
+      record.outcome = RequestOutcome::kTimedOut;
       socket_ = FileDescriptor();
       return;
     }
     const ssize_t size = ::recv(socket_.get(), bytes, sizeof bytes, 0);
     if (size <= 0) {
-      record.end = requests_on_connection_ == 1 ? RequestEnd::kClosedOnFirst : RequestEnd::kClosedOnLater;
+      record.outcome = requests_on_connection_ == 1 ? RequestOutcome::kClosedOnFirstRequest
+                                                    : RequestOutcome::kClosedOnLaterRequest;
       socket_ = FileDescriptor();
       return;
     }
@@ -156,21 +160,22 @@
   if (received.find("Connection: close") != std::string::npos) socket_ = FileDescriptor();
 }
 
-void RunCrowd(const std::atomic<std::uint16_t>& port, int connections, const std::atomic<bool>& stop) {
+void HoldHalfRequests(const std::atomic<std::uint16_t>& port, int connections,
+                      const std::atomic<bool>& stop) {
   static constexpr std::string_view kHalfRequest = "POST /aviso HTTP/1.1\r\nHost: so";
   std::vector<FileDescriptor> sockets(static_cast<std::size_t>(connections));
   while (!stop) {
     for (FileDescriptor& socket : sockets) {
       char byte = 0;
-      const bool has_ended = socket.get() < 0 || ::recv(socket.get(), &byte, 1, MSG_DONTWAIT) >= 0 ||
+      const bool is_closed = socket.get() < 0 || ::recv(socket.get(), &byte, 1, MSG_DONTWAIT) >= 0 ||
                              (errno != EAGAIN && errno != EINTR);
-      if (!has_ended) continue;
+      if (!is_closed) continue;
       socket = port != 0 ? ConnectTo(port) : FileDescriptor();
       if (socket.get() < 0) break;
       [[maybe_unused]] const auto sent =
           ::send(socket.get(), kHalfRequest.data(), kHalfRequest.size(), MSG_NOSIGNAL);
     }
-    std::this_thread::sleep_for(kReconnectPause);
+    std::this_thread::sleep_for(kReconnectInterval);
   }
 }
 
--- a/src/loadtest/soak/soak_client.h
+++ b/src/loadtest/soak/soak_client.h
@@ -1,5 +1,6 @@
-// A client of the soak: hands messages to one dispatcher process over blocking sockets, one at a time, and
-// records what became of each request.
+// The clients of a soak run. A SoakClient submits messages to one dispatcher process over a blocking socket,
+// one request at a time, and records the outcome of each request. HoldHalfRequests() occupies connections
+// with incomplete requests. The soak runner starts each on a thread of its own.
 #ifndef SAGETALLY_SRC_LOADTEST_SOAK_SOAK_CLIENT_H_
 #define SAGETALLY_SRC_LOADTEST_SOAK_SOAK_CLIENT_H_
 
@@ -15,49 +16,60 @@
 
 namespace sagetally::loadtest {
 
-// What a client knows of one request after its last byte was written.
-enum class RequestEnd {
-  kAnswered,       // a whole response
-  kGivenUp,        // no response in the time that a client waits
-  kClosedOnFirst,  // the connection ended without a whole response to its first request
-  kClosedOnLater   // the same to a later request
+// The outcome of a request as its client observed it, after the last byte of the request was written.
+enum class RequestOutcome {
+  kAnswered,              // a complete response arrived
+  kTimedOut,              // no complete response arrived within the client's timeout of 400 ms
+  kClosedOnFirstRequest,  // the connection closed without a complete response to its first request
+  kClosedOnLaterRequest   // the connection closed without a complete response to a later request
 };
 
+// One request that was written in full. Times are those of NowUs(), in microseconds.
 struct RequestRecord {
   std::string id;
-  int node = 0;
-  std::int64_t sent_us = 0;
-  std::int64_t ended_us = 0;
-  RequestEnd end = RequestEnd::kAnswered;
-  int status = 0;  // kAnswered only
+  int node = 0;               // number of the node that the request was sent to
+  std::int64_t sent_us = 0;   // when the last byte had been written
+  std::int64_t ended_us = 0;  // when the outcome was known
+  RequestOutcome outcome = RequestOutcome::kAnswered;
+  int status = 0;  // HTTP status; set for kAnswered only, otherwise 0
 };
 
-// A request's id says where it was handed in and what class its message has.
+// The parts of a request's id: where the message was submitted and which class it has.
 struct SoakRequestId {
   int node = 0;
-  int client = 0;
-  int number = 0;
+  int client = 0;  // number of the client among those of its node
+  int number = 0;  // number of the request among those of its client
   Idempotency idempotency = Idempotency::kIdempotent;
 };
+
+// Formats the id as the X-Request-Id header carries it.
 std::string ToString(const SoakRequestId& id);
-// Nothing if `text` is no such id.
+
+// Parses what ToString() returns. Returns std::nullopt if `text` has another form.
 std::optional<SoakRequestId> ParseSoakRequestId(const std::string& text);
 
+// Submits messages to one node. Not thread-safe: Run() and records() must not overlap.
 class SoakClient {
  public:
-  // `port`: the node's at present; 0 while it is down. Must outlive the client.
+  // `port` is the node's current port, or 0 while the node is down. It changes during the run and must
+  // outlive the client. `seed` is that of the schedule, `number` the client's number among those of the node.
   SoakClient(int node, const std::atomic<std::uint16_t>& port, std::uint64_t seed, int number);
 
-  // Hands in messages until `stop`. On a thread of its own.
+  // Submits messages until `stop` is true. Blocks, so it is called on a thread of its own.
   void Run(const std::atomic<bool>& stop);
-  // After Run has returned.
+
+  // The requests that were written in full, in order. Call it only after Run() has returned.
   const std::vector<RequestRecord>& records() const { return records_; }
 
  private:
+  // Connects unless a connection is open. Returns whether one is open.
   bool Connect();
+  // Builds a request to a random destination.
   std::string RequestText(const std::string& id, Idempotency idempotency);
+  // Sends one request and records its outcome.
   void SendOne();
-  // Reads until a whole response has come, and returns how the request ended.
+  // Reads until a complete response arrives, the connection closes or the timeout expires, and stores the
+  // outcome in `record`.
   void AwaitResponse(RequestRecord& record);
 
   const int node_;
@@ -70,8 +82,9 @@
   std::vector<RequestRecord> records_;
 };
 
-// Connections that stop within a first request, anew as they are closed, until `stop`.
-void RunCrowd(const std::atomic<std::uint16_t>& port, int connections, const std::atomic<bool>& stop);
+// Holds `connections` connections to `port` open, each with half of a first request sent, and replaces each
+// connection that the node closes. Blocks until `stop` is true. While `port` is 0, no connection is opened.
+void HoldHalfRequests(const std::atomic<std::uint16_t>& port, int connections, const std::atomic<bool>& stop);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/soak/soak_judge.cpp
+++ b/src/loadtest/soak/soak_judge.cpp
@@ -8,64 +8,70 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr int kAccepted = 202;
-constexpr int kOk = 200;
+constexpr int kAcceptedStatus = 202;
+constexpr int kOkStatus = 200;
 
-struct MessageFacts {
-  int effects = 0;
+// What the stub servers observed of one message.
+struct ObservedMessage {
+  int effects = 0;  // times that the message took effect at a partner
   bool is_delivered = false;
-  bool is_notified = false;
+  bool is_notified = false;  // reported to the agent as undeliverable or deferred
 };
 
-std::map<std::string, MessageFacts> FactsById(const std::vector<Observation>& observations) {
-  std::map<std::string, MessageFacts> facts;
+std::map<std::string, ObservedMessage> GroupById(const std::vector<Observation>& observations) {
+  std::map<std::string, ObservedMessage> messages;
   for (const Observation& observation : observations) {
-    MessageFacts& message = facts[observation.id];
+    ObservedMessage& message = messages[observation.id];
     message.effects += observation.kind == ObservationKind::kEffect ? 1 : 0;
     message.is_delivered |= observation.kind == ObservationKind::kDelivered;
     message.is_notified |=
         observation.kind == ObservationKind::kUndeliverable || observation.kind == ObservationKind::kDeferred;
   }
-  return facts;
+  return messages;
 }
 
+// Whether any part of the request's lifetime falls into a down time of its node.
 bool WasDown(const std::vector<DownTime>& down_times, const RequestRecord& request) {
-  return std::ranges::any_of(down_times, [&](const DownTime& down) {
-    return down.node == request.node && request.ended_us >= down.from_us && request.sent_us <= down.until_us;
+  return std::ranges::any_of(down_times, [&](const DownTime& down_time) {
+    return down_time.node == request.node && request.ended_us >= down_time.from_us &&
+           request.sent_us <= down_time.until_us;
   });
 }
 
-bool IsClosed(const RequestRecord& request) {
-  return request.end == RequestEnd::kClosedOnFirst || request.end == RequestEnd::kClosedOnLater;
+bool IsClosedWithoutResponse(const RequestRecord& request) {
+  return request.outcome == RequestOutcome::kClosedOnFirstRequest ||
+         request.outcome == RequestOutcome::kClosedOnLaterRequest;
 }
 
 }  // namespace
 
-std::vector<SoakBreak> JudgeRequests(const std::vector<RequestRecord>& requests,
-                                     const std::vector<Observation>& observations,
-                                     const std::vector<DownTime>& down_times) {
-  const std::map<std::string, MessageFacts> facts = FactsById(observations);
-  std::vector<SoakBreak> breaks;
+std::vector<SoakViolation> FindViolations(const std::vector<RequestRecord>& requests,
+                                          const std::vector<Observation>& observations,
+                                          const std::vector<DownTime>& down_times) {
+  const std::map<std::string, ObservedMessage> messages = GroupById(observations);
+  std::vector<SoakViolation> violations;
   for (const RequestRecord& request : requests) {
-    const auto found = facts.find(request.id);
-    const MessageFacts known = found == facts.end() ? MessageFacts() : found->second;
-    const bool ran = known.effects > 0 || known.is_delivered;
-    if (IsClosed(request) && (ran || known.is_notified) && !WasDown(down_times, request)) {
-      breaks.push_back(
+    const auto found = messages.find(request.id);
+    const ObservedMessage observed = found == messages.end() ? ObservedMessage() : found->second;
+    const bool was_executed = observed.effects > 0 || observed.is_delivered;
+    if (IsClosedWithoutResponse(request) && (was_executed || observed.is_notified) &&
+        !WasDown(down_times, request)) {
+      violations.push_back(
           {"lost request", request.id,
-           fmt::format("node {}: the connection ended {} us after the request without a response; "
-                       "effects {}, delivered {}, end told {}",
-                       request.node, request.ended_us - request.sent_us, known.effects, known.is_delivered,
-                       known.is_notified)});
+           fmt::format("node {}: the connection closed {} us after the request without a response; "
+                       "effects {}, delivered {}, reported as undeliverable or deferred {}",
+                       request.node, request.ended_us - request.sent_us, observed.effects,
+                       observed.is_delivered, observed.is_notified)});
     }
-    const bool is_taken = request.status == kAccepted || request.status == kOk;
-    if (is_taken && !known.is_delivered && !known.is_notified) {
-      breaks.push_back({"lost message", request.id,
-                        fmt::format("node {}: taken with {} and neither delivered nor told", request.node,
-                                    request.status)});
+    const bool is_accepted = request.status == kAcceptedStatus || request.status == kOkStatus;
+    if (is_accepted && !observed.is_delivered && !observed.is_notified) {
+      violations.push_back({"lost message", request.id,
+                            fmt::format("node {}: accepted with status {}, but neither delivered nor "
+                                        "reported as undeliverable or deferred",
+                                        request.node, request.status)});
     }
   }
-  return breaks;
+  return violations;
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/soak/soak_judge.h
+++ b/src/loadtest/soak/soak_judge.h
@@ -1,4 +1,6 @@
-// Judges a soak run from the records of clients, partners and agent alone, never from the dispatchers' logs.
+// The rules that a soak run checks. The check uses only the records of the clients and the observations of
+// the partner and agent stub servers, never the dispatchers' logs. The soak runner calls it once after a run;
+// it has no state and starts no threads.
 #ifndef SAGETALLY_SRC_LOADTEST_SOAK_SOAK_JUDGE_H_
 #define SAGETALLY_SRC_LOADTEST_SOAK_SOAK_JUDGE_H_
 
@@ -11,24 +13,30 @@
 
 namespace sagetally::loadtest {
 
-// A time in which a node may not answer: it was killed in it, or was down.
+// A period in which a node need not respond because it exited, was killed or was not running. Times are those
+// of NowUs(), in microseconds.
 struct DownTime {
-  int node = 0;
+  int node = 0;  // the node's number
   std::int64_t from_us = 0;
   std::int64_t until_us = 0;
 };
 
-struct SoakBreak {
-  std::string rule;
-  std::string id;
-  std::string detail;
+// A violated rule.
+struct SoakViolation {
+  std::string rule;    // the rule's name
+  std::string id;      // of the request or message; empty if the violation concerns a whole process
+  std::string detail;  // what was observed
 };
 
-// The breaks of two rules: a request whose connection was ended without a response did not run and was not
-// taken; a message that was taken is delivered or its end is told.
-std::vector<SoakBreak> JudgeRequests(const std::vector<RequestRecord>& requests,
-                                     const std::vector<Observation>& observations,
-                                     const std::vector<DownTime>& down_times);
+// Returns the violations of two rules:
+// - "lost request": the message of a request whose connection closed without a response must not be
+//   delivered, take effect at a partner, or be reported to the agent as undeliverable or deferred. A request
+//   that overlaps a down time of its node is exempt.
+// - "lost message": an accepted message (status 200 or 202) must be delivered, or reported to the agent as
+//   undeliverable or deferred.
+std::vector<SoakViolation> FindViolations(const std::vector<RequestRecord>& requests,
+                                          const std::vector<Observation>& observations,
+                                          const std::vector<DownTime>& down_times);
 
 }  // namespace sagetally::loadtest
 
--- a/src/loadtest/soak/soak_run.cpp
+++ b/src/loadtest/soak/soak_run.cpp
@@ -25,16 +25,18 @@
 using std::chrono::milliseconds;
 using Json = nlohmann::json;
 
-constexpr std::int64_t kTerminationUs = 3'700'000;  // from SIGTERM to SIGKILL
-constexpr std::int64_t kRestartPauseUs = 600'000;   // from SIGKILL to the next start
-constexpr std::int64_t kPauseUs = 150'000;          // of SIGSTOP
-constexpr const char* kWaitRule = "wait not kept";  // as the checker names it
-constexpr auto kTick = milliseconds(5);
+constexpr std::int64_t kTerminationTimeoutUs = 3'700'000;  // from SIGTERM to SIGKILL
+constexpr std::int64_t kRestartDelayUs = 600'000;          // from a process's exit to its next start
+constexpr std::int64_t kPauseDurationUs = 150'000;         // from SIGSTOP to SIGCONT
+constexpr const char* kWaitNotKeptRule = "wait not kept";  // the checker's name of the rule
+constexpr auto kStepInterval = milliseconds(5);
 constexpr auto kReadyTimeout = std::chrono::seconds(20);
-// After the last message: its deadline, the time for a notice after a restart, and some room.
+// How long the nodes run on after the last submission. It covers the message's deadline of 4 s, the time that
+// a restarted node needs to report an undelivered message, and a margin.
 constexpr double kDrainSeconds = 8;
 
-// One dispatcher process with the signals that are due.
+// One dispatcher process of the run: applies its faults, restarts it, and records its down times. Used by the
+// runner's thread only, except port(), which the clients read.
 class SoakNode {
  public:
   SoakNode(int number, const SoakSchedule& schedule, const SoakOptions& options,
@@ -42,7 +44,7 @@
       : number_(number), schedule_(schedule), options_(options), folder_(folder) {
     const std::string name = fmt::format("n{}", number);
     Json config = DemoPlatformConfigJson(name, stubs, fmt::format("{}/{}", folder, name), true);
-    config["limits"]["sockets"] = schedule.sockets;
+    config["limits"]["sockets"] = schedule.descriptor_limit;
     fs::create_directories(config.at("state").get<std::string>());
     std::ofstream(ConfigPath()) << config.dump(1);
     Start();
@@ -50,8 +52,9 @@
 
   const std::atomic<std::uint16_t>& port() const { return port_; }
   const std::vector<DownTime>& down_times() const { return down_times_; }
-  std::vector<SoakBreak> breaks;
+  std::vector<SoakViolation> violations;
 
+  // Injects the fault, unless the process isn't running or has been sent SIGTERM.
   void Apply(NodeFault fault) {
     if (!process_->Running() || terminated_us_ != 0) return;
     switch (fault) {
@@ -71,32 +74,34 @@
     }
   }
 
-  // Does what is due.
+  // Continues, kills or starts the process where that is due, and notices an exit or readiness. Called every
+  // kStepInterval.
   void Step() {
     const std::int64_t now = NowUs();
-    if (paused_us_ != 0 && now >= paused_us_ + kPauseUs) {
+    if (paused_us_ != 0 && now >= paused_us_ + kPauseDurationUs) {
       process_->Signal(SIGCONT);
       paused_us_ = 0;
     }
-    if (terminated_us_ != 0 && now >= terminated_us_ + kTerminationUs) Kill();
+    if (terminated_us_ != 0 && now >= terminated_us_ + kTerminationTimeoutUs) Kill();
     if (terminated_us_ != 0 && !process_->Running()) OnExit();
     if (start_at_us_ != 0 && now >= start_at_us_) Start();
     if (port_ == 0 && start_at_us_ == 0) CheckReady();
   }
 
-  // Ends the process by SIGTERM at the end of the run.
+  // Sends SIGTERM at the end of the run, after SIGCONT if the process is paused. Doesn't wait for the exit.
   void Stop() {
     if (paused_us_ != 0) process_->Signal(SIGCONT);
     process_->Signal(SIGTERM);
   }
   bool Running() const { return process_->Running(); }
+  // Throws std::runtime_error if the node isn't ready within kReadyTimeout.
   void AwaitReady() {
     const auto deadline = std::chrono::steady_clock::now() + kReadyTimeout;
     while (port_ == 0) {
       if (std::chrono::steady_clock::now() > deadline) {
-        throw std::runtime_error(fmt::format("node {} did not start; see {}", number_, LogPath()));
+        throw std::runtime_error(fmt::format("node {} was not ready in time; see {}", number_, LogPath()));
       }
-      std::this_thread::sleep_for(kTick);
+      std::this_thread::sleep_for(kStepInterval);
       Step();
     }
   }
@@ -125,7 +130,7 @@
       port_ = *port;
       if (!down_times_.empty()) down_times_.back().until_us = NowUs();
     } else if (!process_->Running()) {
-      throw std::runtime_error(fmt::format("node {} ended at its start; see {}", number_, LogPath()));
+      throw std::runtime_error(fmt::format("node {} exited before it was ready; see {}", number_, LogPath()));
     }
   }
 
@@ -135,23 +140,28 @@
     BeginDownTime();
   }
 
-  // It has ended after SIGTERM by itself.
+  // Handles the exit of the process after SIGTERM. The node is restarted later, as after a kill. An exit code
+  // other than 0 is a violation.
   void OnExit() {
     const int code = process_->Wait();
     if (code != 0)
-      breaks.push_back({"exit", "", fmt::format("node {} ended with {} after SIGTERM", number_, code)});
+      violations.push_back(
+          {"exit", "", fmt::format("node {} exited with code {} after SIGTERM", number_, code)});
     BeginDownTime();
   }
 
-  // Only a kill excuses a request that was read; one that is sent as the process has ended meets a reset.
+  // Records the time around an exit in which a connection of the node may close without a response. The down
+  // time begins two steps (10 ms) before now, because a request that is sent while the process exits meets a
+  // connection reset and the exit is noticed only in a later step. A request that the node had read is
+  // excused by a kill only: between SIGTERM and the exit, the node must respond to it.
   void BeginDownTime() {
     const std::int64_t now = NowUs();
     port_ = 0;
     terminated_us_ = 0;
     paused_us_ = 0;
-    start_at_us_ = now + kRestartPauseUs;
+    start_at_us_ = now + kRestartDelayUs;
     down_times_.push_back(
-        {number_, now - 2 * static_cast<std::int64_t>(kTick.count()) * 1000, now + kRestartPauseUs});
+        {number_, now - 2 * static_cast<std::int64_t>(kStepInterval.count()) * 1000, now + kRestartDelayUs});
   }
 
   const int number_;
@@ -165,6 +175,8 @@
   std::vector<DownTime> down_times_;
 };
 
+// Identifies a call at a partner for the checker: the message by its request id, the dispatcher by the node
+// number in that id.
 Identity IdentifyBySoakRequestId(const Call& call) {
   Identity identity;
   identity.id = call.Header("X-Request-Id");
@@ -175,6 +187,7 @@
   return identity;
 }
 
+// The demonstration's stub servers, without its outage, but with the schedule's partner faults.
 StubServerSettings PartnerSettingsOf(const SoakSchedule& schedule) {
   DemoOptions demo;
   demo.seed = schedule.seed;
@@ -193,7 +206,9 @@
   return settings;
 }
 
-// A restart ends the waits that its node was told, which the checker does not hear of.
+// Whether a node restarts during the run. A restarted node forgets the waits that partners have announced to
+// it, and the checker isn't notified of restarts in a soak run, so its reports of ignored waits don't count
+// then.
 bool HasRestart(const SoakSchedule& schedule) {
   return std::ranges::any_of(schedule.node_faults, [](const NodeFaultEvent& event) {
     return event.fault == NodeFault::kRestart || event.fault == NodeFault::kKill;
@@ -202,11 +217,12 @@
 
 std::string MakeFolder() {
   std::string path = (fs::temp_directory_path() / "sagetally-soak-XXXXXX").string();
-  if (::mkdtemp(path.data()) == nullptr) throw std::runtime_error(path + ": can't be made");
+  if (::mkdtemp(path.data()) == nullptr) throw std::runtime_error(path + ": can't be created");
   return path;
 }
 
-// All nodes of a run with their clients.
+// The nodes of a run and their clients. The clients run on threads of their own, the nodes are driven by the
+// caller's thread.
 class Fleet {
  public:
   Fleet(const SoakSchedule& schedule, const SoakOptions& options, const StubServerThread& stubs,
@@ -219,12 +235,13 @@
   }
   ~Fleet() { StopClients(); }
 
-  void Play() {
+  // Applies the schedule, then stops clients and nodes.
+  void RunSchedule() {
     StartClients();
     const std::int64_t started = NowUs();
     std::size_t next = 0;
-    const double all_ms = schedule_.seconds * 1000;
-    for (double now_ms = 0; now_ms < all_ms && !IsInterrupted();
+    const double duration_ms = schedule_.seconds * 1000;
+    for (double now_ms = 0; now_ms < duration_ms && !IsInterrupted();
          now_ms = static_cast<double>(NowUs() - started) / 1000) {
       const auto& events = schedule_.node_faults;
       for (; next < events.size() && events[next].at_ms <= now_ms; ++next) {
@@ -250,9 +267,9 @@
     }
     return all;
   }
-  std::vector<SoakBreak> Breaks() const {
-    std::vector<SoakBreak> all;
-    for (const auto& node : nodes_) all.insert(all.end(), node->breaks.begin(), node->breaks.end());
+  std::vector<SoakViolation> Violations() const {
+    std::vector<SoakViolation> all;
+    for (const auto& node : nodes_) all.insert(all.end(), node->violations.begin(), node->violations.end());
     return all;
   }
 
@@ -261,7 +278,7 @@
 
   void Step() {
     for (const auto& node : nodes_) node->Step();
-    std::this_thread::sleep_for(kTick);
+    std::this_thread::sleep_for(kStepInterval);
   }
 
   void StartClients() {
@@ -271,8 +288,9 @@
         clients_.push_back(std::make_unique<SoakClient>(i, port, schedule_.seed, c));
         threads_.emplace_back([this, client = clients_.back().get()] { client->Run(stop_); });
       }
-      if (schedule_.crowd > 0) {
-        threads_.emplace_back([this, &port] { RunCrowd(port, schedule_.crowd, stop_); });
+      if (schedule_.half_request_connections > 0) {
+        threads_.emplace_back(
+            [this, &port] { HoldHalfRequests(port, schedule_.half_request_connections, stop_); });
       }
     }
   }
@@ -285,15 +303,16 @@
     threads_.clear();
   }
 
-  // What was taken has its end by then.
+  // Runs the nodes for kDrainSeconds more, in which every accepted message must reach its final status, then
+  // stops them.
   void Drain() {
     const std::int64_t until = NowUs() + static_cast<std::int64_t>(kDrainSeconds * 1e6);
     while (NowUs() < until && !IsInterrupted()) Step();
     for (const auto& node : nodes_) node->Stop();
-    const std::int64_t stop_until = NowUs() + kTerminationUs;
+    const std::int64_t stop_until = NowUs() + kTerminationTimeoutUs;
     while (NowUs() < stop_until &&
            std::ranges::any_of(nodes_, [](const auto& node) { return node->Running(); })) {
-      std::this_thread::sleep_for(kTick);
+      std::this_thread::sleep_for(kStepInterval);
     }
   }
 
@@ -314,25 +333,26 @@
 
 SoakResult RunSoak(const SoakSchedule& schedule, const SoakOptions& options) {
   if (!schedule.call_faults.empty() && !fs::exists(options.shim)) {
-    throw std::runtime_error(options.shim + ": no such fault shim; build the tests, or name it with --shim");
+    throw std::runtime_error(options.shim +
+                             ": no such fault shim; build the tests, or pass its path with --shim");
   }
   SoakResult result;
   result.folder = MakeFolder();
   std::ofstream(result.folder + "/schedule.json") << ToJson(schedule).dump(1);
   StubServerThread stubs(PartnerSettingsOf(schedule));
   Fleet fleet(schedule, options, stubs, result.folder);
-  fleet.Play();
+  fleet.RunSchedule();
   const std::vector<RequestRecord> requests = fleet.Requests();
   result.requests = static_cast<std::int64_t>(requests.size());
-  result.answered = std::ranges::count(requests, RequestEnd::kAnswered, &RequestRecord::end);
-  result.breaks = JudgeRequests(requests, stubs.Observations(), fleet.DownTimes());
-  for (const SoakBreak& found : fleet.Breaks()) result.breaks.push_back(found);
+  result.answered = std::ranges::count(requests, RequestOutcome::kAnswered, &RequestRecord::outcome);
+  result.violations = FindViolations(requests, stubs.Observations(), fleet.DownTimes());
+  for (const SoakViolation& node_violation : fleet.Violations()) result.violations.push_back(node_violation);
   for (const Violation& violation : stubs.Stop().checker.violations()) {
-    if (violation.rule == kWaitRule && HasRestart(schedule)) continue;
-    result.breaks.push_back({violation.rule, violation.id, violation.detail});
+    if (violation.rule == kWaitNotKeptRule && HasRestart(schedule)) continue;
+    result.violations.push_back({violation.rule, violation.id, violation.detail});
   }
   result.injected_faults = CountLines(result.folder + "/faults.log");
-  if (result.breaks.empty()) fs::remove_all(result.folder);
+  if (result.violations.empty()) fs::remove_all(result.folder);
   return result;
 }
 
--- a/src/loadtest/soak/soak_run.h
+++ b/src/loadtest/soak/soak_run.h
@@ -1,4 +1,6 @@
-// Plays one soak schedule with real dispatcher processes on loopback, and judges it.
+// Runs one soak schedule with real dispatcher processes on loopback, and checks the rules of soak_judge.h and
+// of the stub servers' checker. Called by the `soak` command; it starts and joins its own threads and
+// processes.
 #ifndef SAGETALLY_SRC_LOADTEST_SOAK_SOAK_RUN_H_
 #define SAGETALLY_SRC_LOADTEST_SOAK_SOAK_RUN_H_
 
@@ -13,20 +15,21 @@
 namespace sagetally::loadtest {
 
 struct SoakOptions {
-  std::string program;         // the sagetally to start
-  std::string shim;            // the fault shim's library; needed if a schedule has faults of system calls
-  std::function<bool()> stop;  // asked now and then whether to end early; may be empty
+  std::string program;  // path of the sagetally program to start
+  std::string shim;     // path of the fault shim's library; needed if the schedule has system call faults
+  std::function<bool()> stop;  // polled during the run; returns true to stop it early; may be empty
 };
 
 struct SoakResult {
-  std::int64_t requests = 0;
-  std::int64_t answered = 0;
-  std::int64_t injected_faults = 0;  // by the shim
-  std::vector<SoakBreak> breaks;
-  std::string folder;  // logs and files of the run; removed unless a rule was broken
+  std::int64_t requests = 0;         // written in full by the clients
+  std::int64_t answered = 0;         // of these, those with a complete response
+  std::int64_t injected_faults = 0;  // system call faults that the shim injected
+  std::vector<SoakViolation> violations;
+  std::string folder;  // the run's logs and files; already removed unless a rule was violated
 };
 
-// Throws std::runtime_error if a process does not start, or the shim is missing.
+// Blocks until the run is over. Throws std::runtime_error if a process doesn't start, the shim is missing or
+// the folder can't be created.
 SoakResult RunSoak(const SoakSchedule& schedule, const SoakOptions& options);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/soak/soak_schedule.cpp
+++ b/src/loadtest/soak/soak_schedule.cpp
@@ -16,22 +16,28 @@
 using Json = nlohmann::json;
 
 constexpr int kMaxNodes = 4;
-constexpr double kCrowdShare = 0.35;  // of the runs
-constexpr double kCallFaultShare = 0.7;
-constexpr int kCrowdSockets = 256;
-constexpr int kRoomySockets = 1024;
-
+// Fraction of the runs in which connections with half a request are held, and fraction with system call
+// faults.
+constexpr double kHalfRequestRunFraction = 0.35;
+constexpr double kCallFaultRunFraction = 0.7;
+// Descriptor limit of each node in a run with half requests, and in other runs.
+constexpr int kHalfRequestRunDescriptors = 256;
+constexpr int kDefaultDescriptors = 1024;
+
+// Names in schedule files, indexed by NodeFault.
 constexpr std::array<const char*, 4> kNodeFaultNames = {"restart", "kill", "reload", "pause"};
 
-// What may go wrong with a system call; a run gets some of them.
+// Faults of system calls, as the fault shim reads them: CALL:FAULT=PROBABILITY. A run with system call faults
+// draws each with a probability of 0.25.
 constexpr std::array<const char*, 12> kCallFaults = {
     "writev:ENOBUFS=0.02", "writev:short=0.2",          "readv:short=0.2",         "readv:EINTR=0.1",
     "readv:ENOMEM=0.02",   "send:ENOBUFS=0.05",         "accept:ECONNABORTED=0.1", "accept:EMFILE=0.1",
     "socket:EMFILE=0.1",   "connect:EADDRNOTAVAIL=0.1", "epoll_wait:EINTR=0.05",   "write:ENOSPC=0.02"};
 
+// Faults of the stub servers that a run draws from.
 constexpr std::array<const char*, 6> kPartnerFaults = {"error", "silent", "reset", "shut", "full", "spoilt"};
 
-// Draws for one schedule.
+// Random values for one schedule.
 class Draws {
  public:
   explicit Draws(std::uint64_t seed) : random_(Stream(seed, "soak")) {}
@@ -48,7 +54,7 @@
 };
 
 std::string DrawCallFaults(Draws& draws) {
-  if (!draws.Chance(kCallFaultShare)) return "";
+  if (!draws.Chance(kCallFaultRunFraction)) return "";
   std::string faults;
   for (const char* fault : kCallFaults) {
     if (!draws.Chance(0.25)) continue;
@@ -96,7 +102,7 @@
   }
 }
 
-NodeFault NodeFaultNamed(const std::string& name) {
+NodeFault NodeFaultFromName(const std::string& name) {
   const auto* const found = std::ranges::find(kNodeFaultNames, name);
   if (found == kNodeFaultNames.end()) {
     throw std::runtime_error("/node_faults: expected restart, kill, reload or pause, not " + name);
@@ -110,11 +116,11 @@
   schedule.seconds = Get<double>(json, "seconds");
   schedule.nodes = Get<int>(json, "nodes");
   schedule.clients_per_node = Get<int>(json, "clients_per_node");
-  schedule.crowd = Get<int>(json, "crowd");
-  schedule.sockets = Get<int>(json, "sockets");
+  schedule.half_request_connections = Get<int>(json, "crowd");
+  schedule.descriptor_limit = Get<int>(json, "sockets");
   schedule.call_faults = Get<std::string>(json, "call_faults");
   for (const Json& event : Get<Json>(json, "node_faults")) {
-    schedule.node_faults.push_back({NodeFaultNamed(Get<std::string>(event, "fault")),
+    schedule.node_faults.push_back({NodeFaultFromName(Get<std::string>(event, "fault")),
                                     Get<double>(event, "at_ms"), Get<int>(event, "node")});
   }
   for (const Json& event : Get<Json>(json, "partner_faults")) {
@@ -133,9 +139,9 @@
   schedule.seed = seed;
   schedule.nodes = draws.Integer(1, kMaxNodes);
   schedule.clients_per_node = draws.Integer(2, 8);
-  const bool has_crowd = draws.Chance(kCrowdShare);
-  schedule.crowd = has_crowd ? draws.Integer(100, 200) : 0;
-  schedule.sockets = has_crowd ? kCrowdSockets : kRoomySockets;
+  const bool has_half_requests = draws.Chance(kHalfRequestRunFraction);
+  schedule.half_request_connections = has_half_requests ? draws.Integer(100, 200) : 0;
+  schedule.descriptor_limit = has_half_requests ? kHalfRequestRunDescriptors : kDefaultDescriptors;
   schedule.call_faults = DrawCallFaults(draws);
   schedule.node_faults = DrawNodeFaults(draws, schedule);
   schedule.partner_faults = DrawPartnerFaults(draws, schedule);
@@ -161,8 +167,8 @@
           {"seconds", schedule.seconds},
           {"nodes", schedule.nodes},
           {"clients_per_node", schedule.clients_per_node},
-          {"crowd", schedule.crowd},
-          {"sockets", schedule.sockets},
+          {"crowd", schedule.half_request_connections},
+          {"sockets", schedule.descriptor_limit},
           {"call_faults", schedule.call_faults},
           {"node_faults", node_faults},
           {"partner_faults", partner_faults}};
--- a/src/loadtest/soak/soak_schedule.h
+++ b/src/loadtest/soak/soak_schedule.h
@@ -1,5 +1,6 @@
-// One soak run, drawn from a seed: the processes, their clients, and every fault. Equal seeds give equal
-// schedules, and a schedule written to a file can be played again.
+// The schedule of one soak run: the number of processes and clients, and every fault. It is drawn at random
+// from a seed; equal seeds give equal schedules. A schedule that was written to a file can be run again.
+// Plain values, no threads.
 #ifndef SAGETALLY_SRC_LOADTEST_SOAK_SOAK_SCHEDULE_H_
 #define SAGETALLY_SRC_LOADTEST_SOAK_SOAK_SCHEDULE_H_
 
@@ -10,39 +11,50 @@
 
 namespace sagetally::loadtest {
 
-enum class NodeFault { kRestart, kKill, kReload, kPause };
+// A fault of a dispatcher process, each caused by a signal.
+enum class NodeFault {
+  kRestart,  // SIGTERM, then a new start
+  kKill,     // SIGKILL, then a new start
+  kReload,   // SIGHUP
+  kPause     // SIGSTOP, and SIGCONT 150 ms later
+};
 
-// A fault of one dispatcher process.
+// A fault of one dispatcher process at a time of the run.
 struct NodeFaultEvent {
   NodeFault fault = NodeFault::kRestart;
-  double at_ms = 0;
-  int node = 0;
+  double at_ms = 0;  // since the start of the run
+  int node = 0;      // the node's number
 };
 
-// A fault of one partner, by the names of the stub servers' timeline.
+// A fault of one partner's stub server.
 struct PartnerFaultEvent {
-  std::string fault;
-  double at_ms = 0;
-  double for_ms = 0;
-  int destination = 0;
-  double share = 1;  // of the calls
+  std::string fault;    // a fault name of the stub servers' timeline
+  double at_ms = 0;     // since the start of the stub servers
+  double for_ms = 0;    // duration
+  int destination = 0;  // the partner's destination
+  double share = 1;     // fraction of the calls that the fault affects, from 0 to 1
 };
 
 struct SoakSchedule {
   std::uint64_t seed = 1;
-  double seconds = 6;
-  int nodes = 1;
+  double seconds = 6;  // how long messages are submitted
+  int nodes = 1;       // dispatcher processes
   int clients_per_node = 4;
-  int crowd = 0;            // connections to each node that stop within a first request
-  int sockets = 256;        // descriptors of each node, by its configuration
-  std::string call_faults;  // the fault shim's specification; empty: none
-  std::vector<NodeFaultEvent> node_faults;
+  int half_request_connections = 0;  // connections to each node that send only half of a first request
+  int descriptor_limit = 256;        // limit of each node's descriptors in its configuration
+  std::string call_faults;  // the fault shim's specification of system call faults; empty if there are none
+  std::vector<NodeFaultEvent> node_faults;  // in order of time
   std::vector<PartnerFaultEvent> partner_faults;
 };
 
+// Draws a random schedule. Equal seeds give equal schedules.
 SoakSchedule DrawSchedule(std::uint64_t seed);
+
+// The schedule as ReadSchedule() reads it.
 nlohmann::json ToJson(const SoakSchedule& schedule);
-// Throws std::runtime_error that names line or key and what was expected there.
+
+// Reads a schedule from a JSON file. Throws std::runtime_error if the file can't be read or is not valid; the
+// message names the file, the line or key, and the error.
 SoakSchedule ReadSchedule(const std::string& path);
 
 }  // namespace sagetally::loadtest
--- a/tests/loadtest/soak_test.cpp
+++ b/tests/loadtest/soak_test.cpp
@@ -1,4 +1,4 @@
-// The soak's schedules and its judge.
+// Soak schedules, and the rules that a soak run checks (soak_judge.h).
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -11,48 +11,52 @@
 namespace sagetally::loadtest {
 namespace {
 
-RequestRecord Request(const std::string& id, RequestEnd end, int status = 0) {
+// A request from 1000 to 2000 us to node 0.
+RequestRecord Request(const std::string& id, RequestOutcome outcome, int status = 0) {
   RequestRecord request;
   request.id = id;
   request.sent_us = 1000;
   request.ended_us = 2000;
-  request.end = end;
+  request.outcome = outcome;
   request.status = status;
   return request;
 }
 
-TEST(SoakJudge, FindsARequestThatRanAndGotNoResponse) {
+TEST(SoakRules, ReportsAnExecutedRequestWithoutAResponse) {
   const std::vector<Observation> effect = {{ObservationKind::kEffect, 1500, "a"}};
-  for (const RequestEnd end : {RequestEnd::kClosedOnFirst, RequestEnd::kClosedOnLater}) {
-    const auto breaks = JudgeRequests({Request("a", end)}, effect, {});
-    ASSERT_EQ(breaks.size(), 1U);
-    EXPECT_EQ(breaks[0].rule, "lost request");
-    EXPECT_EQ(breaks[0].id, "a");
+  for (const RequestOutcome outcome :
+       {RequestOutcome::kClosedOnFirstRequest, RequestOutcome::kClosedOnLaterRequest}) {
+    const auto violations = FindViolations({Request("a", outcome)}, effect, {});
+    ASSERT_EQ(violations.size(), 1U);
+    EXPECT_EQ(violations[0].rule, "lost request");
+    EXPECT_EQ(violations[0].id, "a");
   }
 }
 
-TEST(SoakJudge, FindsAMessageWithoutAnEnd) {
+TEST(SoakRules, ReportsAnAcceptedMessageWithoutAFinalStatus) {
   const std::vector<Observation> effect = {{ObservationKind::kEffect, 1500, "a"}};
-  const auto breaks = JudgeRequests({Request("a", RequestEnd::kAnswered, 202)}, effect, {});
-  ASSERT_EQ(breaks.size(), 1U);
-  EXPECT_EQ(breaks[0].rule, "lost message");
+  const auto violations = FindViolations({Request("a", RequestOutcome::kAnswered, 202)}, effect, {});
+  ASSERT_EQ(violations.size(), 1U);
+  EXPECT_EQ(violations[0].rule, "lost message");
 }
 
-TEST(SoakJudge, LetsPassWhatTheRulesAllow) {
+TEST(SoakRules, ReportNothingForAllowedOutcomes) {
   const std::vector<Observation> observations = {{ObservationKind::kDelivered, 1500, "delivered"},
-                                                 {ObservationKind::kUndeliverable, 1500, "told"},
+                                                 {ObservationKind::kUndeliverable, 1500, "notified"},
                                                  {ObservationKind::kEffect, 1500, "killed"},
-                                                 {ObservationKind::kEffect, 1500, "given up"}};
-  const std::vector<RequestRecord> requests = {
-      Request("delivered", RequestEnd::kAnswered, 202), Request("told", RequestEnd::kAnswered, 202),
-      Request("refused", RequestEnd::kAnswered, 429), Request("unread", RequestEnd::kClosedOnLater),
-      Request("given up", RequestEnd::kGivenUp)};
-  EXPECT_TRUE(JudgeRequests(requests, observations, {}).empty());
+                                                 {ObservationKind::kEffect, 1500, "timed out"}};
+  const std::vector<RequestRecord> requests = {Request("delivered", RequestOutcome::kAnswered, 202),
+                                               Request("notified", RequestOutcome::kAnswered, 202),
+                                               Request("rejected", RequestOutcome::kAnswered, 429),
+                                               Request("unread", RequestOutcome::kClosedOnLaterRequest),
+                                               Request("timed out", RequestOutcome::kTimedOut)};
+  EXPECT_TRUE(FindViolations(requests, observations, {}).empty());
   const std::vector<DownTime> killed = {{0, 1800, 5000}};
-  EXPECT_TRUE(JudgeRequests({Request("killed", RequestEnd::kClosedOnFirst)}, observations, killed).empty());
+  EXPECT_TRUE(FindViolations({Request("killed", RequestOutcome::kClosedOnFirstRequest)}, observations, killed)
+                  .empty());
 }
 
-TEST(SoakSchedule, IsDrawnAlikeForOneSeedAndReadBackWhole) {
+TEST(SoakSchedule, IsEqualForEqualSeedsAndAfterWritingAndReading) {
   const std::string path = testing::TempDir() + "soak-schedule.json";
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     const SoakSchedule drawn = DrawSchedule(seed);
@@ -63,7 +67,7 @@
   std::filesystem::remove(path);
 }
 
-TEST(SoakSchedule, NamesWhatCannotBeRead) {
+TEST(SoakSchedule, ErrorNamesTheLineKeyOrUnknownFault) {
   const std::string path = testing::TempDir() + "soak-broken.json";
   const auto error_for = [&](const std::string& text) -> std::string {
     std::ofstream(path) << text;
