--- a/src/loadtest/report/comparison.cpp
+++ b/src/loadtest/report/comparison.cpp
@@ -12,6 +12,7 @@
 
 using Json = nlohmann::json;
 
+// Whether b is better or worse than a. The two differ only if the interval of the ratio b/a excludes 1.
 std::string Verdict(const std::optional<Interval>& interval, bool less_is_better) {
   if (!interval) return "one run is too few to tell";
   const bool is_more = interval->low > 1;
@@ -20,7 +21,7 @@
   return is_more == less_is_better ? "worse" : "better";
 }
 
-// null if there is no mean to divide by.
+// The ratio b/a. Returns null if the mean of a is not positive.
 Json Ratio(const std::optional<Interval>& interval, double mean_a, double mean_b) {
   if (!(mean_a > 0)) return nullptr;
   return interval ? interval->middle : mean_b / mean_a;
--- a/src/loadtest/report/histogram.h
+++ b/src/loadtest/report/histogram.h
@@ -13,27 +13,32 @@
 
 namespace sagetally::loadtest {
 
+// A mergeable histogram of latencies in microseconds.
 class LatencyHistogram {
  public:
   LatencyHistogram();
-  // In microseconds; below 10 counts as under the axis, from 600,000,000 as over it.
+  // Adds a latency in microseconds. A value below 10 is counted in the underflow bin, one from 600,000,000 in
+  // the overflow bin.
   void Add(double us);
   // Adds all values of `other`.
   void Merge(const LatencyHistogram& other);
+  // Removes all values.
   void Clear();
 
+  // The number of values.
   std::int64_t count() const { return count_; }
-  // The extremes are exact; 0 if empty.
+  // The smallest and the largest value in microseconds. Both are exact, and 0 if the histogram is empty.
   double min() const { return min_; }
   double max() const { return max_; }
+  // The exact mean in microseconds; 0 if the histogram is empty.
   double Mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }
-  // The smallest value that a share of at least `p` of all values doesn't exceed, `p` from 0 to 1; 0 if
-  // empty.
+  // The smallest value in microseconds that at least the fraction `p` (0 to 1) of all values doesn't exceed;
+  // 0 if the histogram is empty.
   double Quantile(double p) const;
-  // The number of values over `us`, to the width of a bin.
+  // The number of values over `us` microseconds. A bin is counted as a whole, by its middle.
   std::int64_t CountOver(double us) const;
 
-  // Minimum, maximum, sum and the non-empty bins as [index, count].
+  // Returns minimum, maximum, sum and the non-empty bins as [index, count].
   nlohmann::json ToJson() const;
   // Throws std::runtime_error if a bin is out of range.
   static LatencyHistogram FromJson(const nlohmann::json& json);
--- a/src/loadtest/report/message_record.cpp
+++ b/src/loadtest/report/message_record.cpp
@@ -10,17 +10,17 @@
 namespace sagetally::loadtest {
 namespace {
 
-// Names in observation files, by ObservationKind.
+// Names in observation files, indexed by ObservationKind.
 constexpr const char* kKindNames[] = {"delivered", "effect", "undeliverable", "deferred"};
 
 ObservationKind KindFromName(const std::string& name) {
   for (std::size_t i = 0; i < std::size(kKindNames); ++i) {
     if (name == kKindNames[i]) return static_cast<ObservationKind>(i);
   }
-  throw std::runtime_error("unknown sighting '" + name + "'");
+  throw std::runtime_error("unknown observation kind '" + name + "'");
 }
 
-// Reads one line of an observation file into `result`.
+// Reads one line of an observation file into `result`. The first line may be the header.
 void ReadLine(const std::string& line, bool is_first, ObservationFile& result) {
   const auto json = nlohmann::json::parse(line);
   if (is_first && json.contains("standins")) {
@@ -61,7 +61,7 @@
     try {
       ReadLine(line, line_number == 1, result);
     } catch (const std::exception& error) {
-      if (file.eof()) break;  // a last line that its writer had no time to complete
+      if (file.eof()) break;  // the last line is incomplete: its writer may still be running
       throw std::runtime_error(path + ":" + std::to_string(line_number) + ": " + error.what());
     }
   }
--- a/src/loadtest/report/message_record.h
+++ b/src/loadtest/report/message_record.h
@@ -16,48 +16,54 @@
 
 namespace sagetally::loadtest {
 
-// A time that has not come.
+// The value of a time field whose event has not happened.
 inline constexpr std::int64_t kNever = -1;
 
-// One message, as its sender recorded it.
+// One message, as its sender recorded it. Times are in microseconds of NowUs().
 struct MessageRecord {
   PlannedMessage planned;
-  std::int64_t intended_us = 0;
-  std::int64_t due_us = kNever;        // when the sender turned to it: later than intended by its own lag
-  std::int64_t sent_us = kNever;       // first submission written; kNever: no connection was free for it
-  std::int64_t responded_us = kNever;  // first response of any kind, or the end of waiting for one
+  std::int64_t intended_us = 0;        // when the plan has the message sent
+  std::int64_t due_us = kNever;        // when the sender began with it: intended_us plus the generator's lag
+  std::int64_t sent_us = kNever;       // first submission written; kNever if no connection was free for it
+  std::int64_t responded_us = kNever;  // first response of any status, or the client's timeout without one
   std::int64_t accepted_us = kNever;   // first 200 or 202 for any of its submissions
-  std::int16_t first_status = 0;       // HTTP status of the first submission; 0: no response
-  std::int16_t last_status = 0;        // HTTP status of the last submission; 0: no response
-  std::uint8_t submissions = 0;
-  std::int8_t accepted_submission = -1;  // whose id the target answers for; -1: none
+  std::int16_t first_status = 0;       // HTTP status of the first submission; 0 if there was no response
+  std::int16_t last_status = 0;        // HTTP status of the last submission; 0 if there was no response
+  std::uint8_t submissions = 0;        // how often the message was submitted
+  std::int8_t accepted_submission = -1;  // number of the submission that the target accepted; -1 if none
 };
 
-enum class ObservationKind : std::uint8_t { kDelivered, kEffect, kUndeliverable, kDeferred };
+enum class ObservationKind : std::uint8_t {
+  kDelivered,      // a delivery was observed
+  kEffect,         // the message took effect at a partner
+  kUndeliverable,  // the target reported the message as undeliverable
+  kDeferred        // the target reported the message as deferred
+};
 
-// The observation file's name of the value.
+// The value's name in observation files.
 const char* Name(ObservationKind kind);
 
 // One event at a stub server.
 struct Observation {
   ObservationKind kind = ObservationKind::kDelivered;
-  std::int64_t at_us = 0;
-  std::string id;  // of the submission, as it was received
+  std::int64_t at_us = 0;  // when the stub server observed it
+  std::string id;          // the submission's id, as it was received
 };
 
 // The content of an observation file.
 struct ObservationFile {
   std::vector<Observation> observations;
-  std::int64_t started_us = 0;    // time 0 of the fault timeline
-  std::vector<FaultSpan> faults;  // relative to `started_us`
+  std::int64_t started_us = 0;    // start of the fault timeline
+  std::vector<FaultSpan> faults;  // times are relative to `started_us`
 };
 
-// An observation file has one JSON value a line; the first is the header.
+// An observation file has one JSON value a line, of which the first is the header. The header is written
+// once, before all observations.
 void WriteObservationHeader(std::ostream& out, std::int64_t started_us, const FaultTimeline& timeline);
 void WriteObservation(std::ostream& out, const Observation& observation);
 
-// Throws std::runtime_error that names file and line. An incomplete last line is ignored: its writer may
-// still be running.
+// Reads an observation file. Throws std::runtime_error that names the file and, for an invalid line, its
+// number. An incomplete last line is ignored, because the writer may still be running.
 ObservationFile ReadObservations(const std::string& path);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/report/plots.cpp
+++ b/src/loadtest/report/plots.cpp
@@ -22,14 +22,15 @@
   if (!file) throw std::runtime_error(path.string() + ": can't be written");
 }
 
-// Quotes text for gnuplot's single-quoted strings.
-std::string Quoted(std::string text) {
-  for (std::size_t at = 0; (at = text.find('\'', at)) != std::string::npos; at += 2) text.insert(at, 1, '\'');
+// Returns the text as a single-quoted gnuplot string.
+std::string QuoteForGnuplot(std::string text) {
+  for (std::size_t position = 0; (position = text.find('\'', position)) != std::string::npos; position += 2)
+    text.insert(position, 1, '\'');
   return "'" + text + "'";
 }
 
-// Commands that mark the faults in a plot over time.
-std::string FaultMarks(const RunResult& result) {
+// The gnuplot commands that mark the faults in a plot over time.
+std::string FaultMarkCommands(const RunResult& result) {
   std::string commands;
   for (const FaultSpan& fault : result.faults) {
     const double from_s = fault.from_ms / 1000;
@@ -39,16 +40,18 @@
         "set object rectangle from {0}, graph 0 to {1}, graph 1 behind fillcolor rgb '#f3d9d9' fillstyle "
         "solid noborder\n"
         "set label {2} at {0}, graph 0.96 font ',9'\n",
-        from_s, to_s, Quoted(fmt::format("{} {}", Name(fault.fault), fault.endpoint)));
+        from_s, to_s, QuoteForGnuplot(fmt::format("{} {}", Name(fault.fault), fault.endpoint)));
   }
   return commands;
 }
 
+// Runs a script of `folder`. Returns whether gnuplot ran and succeeded.
 bool RunGnuplot(const fs::path& folder, const std::string& script) {
   const Child child({"gnuplot", script}, folder.string(), (folder / (script + ".log")).string());
   return child.Wait() == 0;
 }
 
+// Writes one row for each time bucket: rates a second and latencies in milliseconds.
 void WriteSeries(const RunSummary& summary, std::ostream& out) {
   out << "second\toffered\ttaken\trefused\tunanswered\tunsent\tdelivered\tundelivered\tcorrected_p50_ms\t"
          "corrected_p99_ms\tcorrected_max_ms\tas_sent_p99_ms\tas_sent_max_ms\n";
@@ -64,11 +67,13 @@
   }
 }
 
+// Writes latencies in milliseconds by quantile. A row for "one in N" has the latency that one message in N
+// exceeds, which is the quantile 1 - 1/N. N grows by a constant factor up to the number of messages.
 void WriteQuantiles(const RunSummary& summary, std::ostream& out) {
-  constexpr double kStep = 1.25;
+  constexpr double kOneInFactor = 1.25;
   out << "one_in\tcorrected_ms\tas_sent_ms\ttaken_ms\tdelivered_ms\n";
   const double last = std::max(2.0, static_cast<double>(summary.offered));
-  for (double one_in = kStep; one_in <= last; one_in *= kStep) {
+  for (double one_in = kOneInFactor; one_in <= last; one_in *= kOneInFactor) {
     const double quantile = 1 - 1 / one_in;
     out << fmt::format("{}\t{}\t{}\t{}\t{}\n", one_in, summary.response_corrected.Quantile(quantile) / 1000,
                        summary.response_as_sent.Quantile(quantile) / 1000,
@@ -80,7 +85,7 @@
 struct PlotKind {
   const char* name;
   const char* title;
-  const char* commands;  // {0}: the file of series, {1}: the file of quantiles
+  const char* commands;  // gnuplot commands; {0} is the series file, {1} the quantiles file
   bool is_over_time;
 };
 constexpr PlotKind kPlotKinds[] = {
@@ -112,12 +117,12 @@
               const std::string& prefix) {
   const std::string name = prefix + kind.name;
   std::string commands = "set datafile separator '\\t'\nset key outside below\nset grid\nset title " +
-                         Quoted(std::string(kind.title) + (result.partial ? " (PARTIAL)" : "") +
-                                (result.valid() ? "" : " (NOT VALID)")) +
+                         QuoteForGnuplot(std::string(kind.title) + (result.partial ? " (PARTIAL)" : "") +
+                                         (result.valid() ? "" : " (NOT VALID)")) +
                          "\n";
-  if (kind.is_over_time) commands += FaultMarks(result);
-  commands += fmt::format(fmt::runtime(kind.commands), Quoted(prefix + "series.tsv") + " skip 1",
-                          Quoted(prefix + "quantiles.tsv") + " skip 1");
+  if (kind.is_over_time) commands += FaultMarkCommands(result);
+  commands += fmt::format(fmt::runtime(kind.commands), QuoteForGnuplot(prefix + "series.tsv") + " skip 1",
+                          QuoteForGnuplot(prefix + "quantiles.tsv") + " skip 1");
   WriteFile(folder / (name + ".gnuplot"), [&](std::ostream& out) {
     out << "set terminal svg size 900,420 font 'sans,11' background '#ffffff'\nset output '" << name
         << ".svg'\n"
--- a/src/loadtest/report/plots.h
+++ b/src/loadtest/report/plots.h
@@ -1,4 +1,4 @@
-// Plots of one run by gnuplot, as SVG and PNG.
+// Plots of one run, drawn by gnuplot as SVG and PNG. Called by the report; gnuplot runs as a child process.
 #ifndef SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
 #define SAGETALLY_SRC_LOADTEST_REPORT_PLOTS_H_
 
@@ -10,13 +10,13 @@
 namespace sagetally::loadtest {
 
 struct Plot {
-  std::string name;   // of its files NAME.svg and NAME.png
-  std::string title;  // plain text
-  bool drawn = false;
+  std::string name;    // name of the files NAME.svg and NAME.png, with the prefix
+  std::string title;   // plain text
+  bool drawn = false;  // whether gnuplot drew it
 };
 
-// Writes data, scripts and plots of one run into `folder`; file names begin with `prefix`. Without gnuplot
-// the plots are missing (`drawn` is false) and the rest is written. Throws std::runtime_error if `folder`
+// Writes data, scripts and plots of one run into `folder`; file names begin with `prefix`. If gnuplot
+// can't be run, `drawn` is false and only data and scripts are written. Throws std::runtime_error if `folder`
 // can't be written.
 std::vector<Plot> DrawPlots(const RunResult& result, const std::string& folder, const std::string& prefix);
 
--- a/src/loadtest/report/report.cpp
+++ b/src/loadtest/report/report.cpp
@@ -47,7 +47,8 @@
   return text.str();
 }
 
-// A table of the metrics' means over all runs; adds them to `json` too.
+// Returns an HTML table of the metrics' means over all runs, and adds the means to `json`. Needs two runs or
+// more, because one has no interval.
 std::string MetricsSection(const std::vector<RunResult>& runs, Json& json) {
   std::string html =
       "<h2>All runs</h2><table><tr><th>figure</th><th>mean</th><th>95% interval of the mean</th></tr>";
--- a/src/loadtest/report/result_file.cpp
+++ b/src/loadtest/report/result_file.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-// The histograms' names in result files.
+// A histogram and its name in result files.
 struct NamedHistogram {
   const char* name;
   LatencyHistogram RunSummary::*histogram;
@@ -24,6 +24,7 @@
                                           {"lag", &RunSummary::lag},
                                           {"connection_wait", &RunSummary::connection_wait}};
 
+// A quantile (0 to 1) and its name in result files.
 struct NamedQuantile {
   const char* name;
   double quantile;
@@ -31,7 +32,7 @@
 constexpr NamedQuantile kQuantiles[] = {
     {"p50_us", 0.5}, {"p90_us", 0.9}, {"p99_us", 0.99}, {"p999_us", 0.999}};
 
-// The columns of a time bucket, in the order of BucketToJson.
+// The names of a time bucket's columns, in the order of BucketToJson().
 constexpr const char* kBucketColumns[] = {
     "offered",          "taken",          "refused",       "failed",           "unanswered",
     "unsent",           "delivered",      "undelivered",   "corrected_p50_us", "corrected_p99_us",
--- a/src/loadtest/report/result_table.cpp
+++ b/src/loadtest/report/result_table.cpp
@@ -14,10 +14,10 @@
 
 void PrintOutcomes(const RunSummary& summary, std::ostream& out) {
   Table table({"messages", "count", "share"});
-  const auto add_row = [&](const std::string& what, std::int64_t count) {
+  const auto add_row = [&](const std::string& name, std::int64_t count) {
     const double share =
         summary.offered == 0 ? 0 : 100.0 * static_cast<double>(count) / static_cast<double>(summary.offered);
-    table.Add({what, std::to_string(count), fmt::format("{:.2f}%", share)});
+    table.Add({name, std::to_string(count), fmt::format("{:.2f}%", share)});
   };
   add_row("offered", summary.offered);
   add_row("taken", summary.accepted.count());
@@ -49,6 +49,7 @@
   table.Print(out);
 }
 
+// The endpoint or destination that a fault affects; empty if it affects all.
 std::string Scope(const FaultSpan& fault) {
   if (!fault.endpoint.empty()) return " at " + fault.endpoint;
   if (fault.destination) return " at " + std::to_string(*fault.destination);
@@ -70,7 +71,8 @@
   table.Print(out);
 }
 
-// What coordinated omission would have hidden.
+// Prints how much of the latency coordinated omission would have hidden: the difference between the p99.9
+// from the intended time and the p99.9 from the time of sending.
 void PrintHiddenLatency(const RunSummary& summary, std::ostream& out) {
   const double hidden_us =
       summary.response_corrected.Quantile(0.999) - summary.response_as_sent.Quantile(0.999);
--- a/src/loadtest/report/result_table.h
+++ b/src/loadtest/report/result_table.h
@@ -1,4 +1,4 @@
-// The plain-text tables that end a run on the terminal; the HTML report shows the same text.
+// The plain-text tables that are printed after a run. The HTML report contains the same text. No threads.
 #ifndef SAGETALLY_SRC_LOADTEST_REPORT_RESULT_TABLE_H_
 #define SAGETALLY_SRC_LOADTEST_REPORT_RESULT_TABLE_H_
 
@@ -8,7 +8,8 @@
 
 namespace sagetally::loadtest {
 
-// Prints messages by outcome, latencies, the faults' impact, violated rules and why the run is not valid.
+// Prints the messages by outcome, latencies, the impact of faults, violated rules, and the reasons why the
+// run is not valid.
 void PrintResult(const RunResult& result, std::ostream& out);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/report/run_summary.cpp
+++ b/src/loadtest/report/run_summary.cpp
@@ -6,8 +6,9 @@
 namespace sagetally::loadtest {
 namespace {
 
-// The protocol's tolerance: a message is lost 300 ms after its deadline.
+// The protocol's tolerance: a message counts as lost from 300 ms after its deadline.
 constexpr std::int64_t kLossGraceUs = 300'000;
+// A message that waited longer for its first response counts as FaultImpact::waited_long.
 constexpr std::int64_t kLongWaitUs = 20'000;
 
 constexpr int kTooManyRequests = 429;
@@ -19,10 +20,10 @@
   std::int64_t undeliverable_us = kNever;
   std::int64_t deferred_us = kNever;
   int deliveries = 0;
-  int notices = 0;
+  int notices = 0;  // reports of the message as undeliverable or deferred
   int effects = 0;
-  int effects_of_one_submission = 0;
-  std::int32_t effect_submission = -1;
+  int effects_of_one_submission = 0;    // consecutive effects of `effect_submission`
+  std::int32_t effect_submission = -1;  // the submission of the latest effect; -1 if there was none
 };
 
 void KeepEarliest(std::int64_t& time_us, std::int64_t observed_us) {
@@ -31,6 +32,7 @@
 
 std::int64_t AsCount(bool condition) { return condition ? 1 : 0; }
 
+// Builds a summary in three steps: AddObservations(), AddRecord() for each record, AddBucketLatencies().
 class SummaryBuilder {
  public:
   SummaryBuilder(const Scenario& scenario, bool outcomes_observed, std::int64_t ended_us,
@@ -54,7 +56,8 @@
         continue;
       }
       if (static_cast<std::size_t>(id->number) >= messages) {
-        AddViolation("unknown message", observation.id, "a stand-in saw a message that was never offered");
+        AddViolation("unknown message", observation.id,
+                     "a stub server observed a message that was never offered");
         continue;
       }
       AddObservation(*id, observation);
@@ -77,8 +80,8 @@
     }
   }
 
-  // Fills in the buckets' latencies. `sorted`: by intended time, so that one histogram serves bucket after
-  // bucket.
+  // Computes the buckets' latencies. `sorted` is in order of intended time, so that the same two histograms
+  // can be reused for one bucket after another.
   void AddBucketLatencies(std::span<const MessageRecord* const> sorted) {
     LatencyHistogram corrected;
     LatencyHistogram as_sent;
@@ -115,8 +118,8 @@
     const auto number = static_cast<std::size_t>(id.number);
     ObservedOutcome& outcome = observed_outcomes_[number];
     if (observation.kind != ObservationKind::kEffect && id.submission != accepted_submissions_[number]) {
-      ++summary_
-            .abandoned_observations;  // the client has given this submission up: no outcome of the message
+      // The client has abandoned this submission, so this is no outcome of the message.
+      ++summary_.abandoned_observations;
       return;
     }
     switch (observation.kind) {
@@ -162,7 +165,7 @@
     const MessageClass& message_class = ClassOf(record);
     const std::string id = std::to_string(record.planned.number);
     if (observed.delivered_us != kNever && observed.notices > 0) {
-      AddViolation("two ends", id, "delivered, and told as undelivered too");
+      AddViolation("two ends", id, "delivered, and also reported as undeliverable or deferred");
     }
     if (observed.delivered_us != kNever) {
       const auto objective_us = static_cast<std::int64_t>(message_class.latency_objective_ms * 1000);
@@ -173,7 +176,8 @@
     if (observed.deferred_us != kNever) return FinalOutcome::kDeferred;
     const auto deadline_us = static_cast<std::int64_t>(message_class.deadline_ms * 1000);
     if (ended_us_ <= record.intended_us + deadline_us + kLossGraceUs) return FinalOutcome::kPending;
-    AddViolation("lost", id, "taken, and neither delivered nor ended in its time");
+    AddViolation("lost", id,
+                 "accepted, but neither delivered nor reported as undeliverable or deferred in time");
     return FinalOutcome::kLost;
   }
 
@@ -243,14 +247,14 @@
   const std::int64_t ended_us_;
   const std::span<const FaultSpan> faults_;
   std::vector<ObservedOutcome> observed_outcomes_;  // by message number
-  std::vector<std::int8_t> accepted_submissions_;   // by message number; -1: none
+  std::vector<std::int8_t> accepted_submissions_;   // by message number; -1 if none
   RunSummary summary_;
 };
 
 }  // namespace
 
 const char* Name(FinalOutcome outcome) {
-  // Names in result files and tables, by FinalOutcome.
+  // Names in result files and tables, indexed by FinalOutcome.
   static constexpr const char* kNames[kFinalOutcomeCount] = {
       "unsent",        "refused",  "failed", "unanswered", "in_aim",   "late",
       "undeliverable", "deferred", "lost",   "pending",    "unwatched"};
--- a/src/loadtest/report/statistics.cpp
+++ b/src/loadtest/report/statistics.cpp
@@ -14,22 +14,23 @@
 
 namespace acc = boost::accumulators;
 
-struct Sample {
+struct SampleStatistics {
   double mean = 0;
-  double squared_error = 0;  // of the mean
+  double squared_standard_error = 0;  // of the mean
   double size = 0;
 };
 
-Sample Describe(std::span<const double> values) {
+SampleStatistics ComputeStatistics(std::span<const double> values) {
   acc::accumulator_set<double, acc::stats<acc::tag::mean, acc::tag::variance>> accumulator;
   for (const double value : values) accumulator(value);
   const auto size = static_cast<double>(values.size());
-  // Boost's variance divides by the size, not by the size less one.
+  // Boost's variance divides by the size n instead of n - 1, so dividing it by n - 1 gives the squared
+  // standard error.
   const double squared_error = size > 1 ? acc::variance(accumulator) / (size - 1) : 0;
   return {acc::mean(accumulator), squared_error, size};
 }
 
-// Student's t of a two-sided 95% interval.
+// The critical value of Student's t for a two-sided 95% interval.
 double CriticalT(double degrees_of_freedom) {
   return boost::math::quantile(boost::math::complement(boost::math::students_t(degrees_of_freedom), 0.025));
 }
@@ -44,13 +45,13 @@
 
 }  // namespace
 
-double Mean(std::span<const double> values) { return values.empty() ? 0 : Describe(values).mean; }
+double Mean(std::span<const double> values) { return values.empty() ? 0 : ComputeStatistics(values).mean; }
 
 std::optional<Interval> MeanInterval(std::span<const double> values) {
   if (values.size() < 2) return std::nullopt;
-  const Sample sample = Describe(values);
-  const double half = CriticalT(sample.size - 1) * std::sqrt(sample.squared_error);
-  return Interval{sample.mean, sample.mean - half, sample.mean + half};
+  const SampleStatistics sample = ComputeStatistics(values);
+  const double half_width = CriticalT(sample.size - 1) * std::sqrt(sample.squared_standard_error);
+  return Interval{sample.mean, sample.mean - half_width, sample.mean + half_width};
 }
 
 std::optional<Interval> RatioInterval(std::span<const double> a, std::span<const double> b) {
@@ -58,18 +59,18 @@
     return values.size() >= 2 && std::all_of(values.begin(), values.end(), [](double v) { return v > 0; });
   };
   if (!is_usable(a) || !is_usable(b)) return std::nullopt;
-  const Sample sample_a = Describe(Logs(a));
-  const Sample sample_b = Describe(Logs(b));
-  const double squared_error = sample_a.squared_error + sample_b.squared_error;
+  const SampleStatistics sample_a = ComputeStatistics(Logs(a));
+  const SampleStatistics sample_b = ComputeStatistics(Logs(b));
+  const double squared_error = sample_a.squared_standard_error + sample_b.squared_standard_error;
   const double log_ratio = sample_b.mean - sample_a.mean;
   const double ratio = std::exp(log_ratio);
   if (squared_error <= 0) return Interval{ratio, ratio, ratio};
-  // The Welch-Satterthwaite equation.
+  // By the Welch-Satterthwaite equation.
   const double degrees_of_freedom =
-      Square(squared_error) / (Square(sample_a.squared_error) / (sample_a.size - 1) +
-                               Square(sample_b.squared_error) / (sample_b.size - 1));
-  const double half = CriticalT(degrees_of_freedom) * std::sqrt(squared_error);
-  return Interval{ratio, std::exp(log_ratio - half), std::exp(log_ratio + half)};
+      Square(squared_error) / (Square(sample_a.squared_standard_error) / (sample_a.size - 1) +
+                               Square(sample_b.squared_standard_error) / (sample_b.size - 1));
+  const double half_width = CriticalT(degrees_of_freedom) * std::sqrt(squared_error);
+  return Interval{ratio, std::exp(log_ratio - half_width), std::exp(log_ratio + half_width)};
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/report/statistics.h
+++ b/src/loadtest/report/statistics.h
@@ -1,4 +1,4 @@
-// Confidence intervals over repeated runs (Student's t and Welch's, by Boost.Math).
+// Confidence intervals over repeated runs, by Student's and Welch's t tests with Boost.Math. Pure functions.
 #ifndef SAGETALLY_SRC_LOADTEST_REPORT_STATISTICS_H_
 #define SAGETALLY_SRC_LOADTEST_REPORT_STATISTICS_H_
 
@@ -9,19 +9,19 @@
 
 // A 95% confidence interval.
 struct Interval {
-  double middle = 0;
+  double middle = 0;  // the estimate
   double low = 0;
   double high = 0;
 };
 
-// Of the mean, by Student's t. None for fewer than two values.
+// The interval of the mean, by Student's t. Returns std::nullopt for fewer than two values.
 std::optional<Interval> MeanInterval(std::span<const double> values);
 
-// Of the ratio of b's geometric mean to a's, by Welch's t on the logarithms. None unless both have two values
-// or more, all of them positive.
+// The interval of the ratio of b's geometric mean to a's, by Welch's t on the logarithms. Returns
+// std::nullopt unless both have two or more values and all values are positive.
 std::optional<Interval> RatioInterval(std::span<const double> a, std::span<const double> b);
 
-// 0 if there are no values.
+// The arithmetic mean; 0 if there are no values.
 double Mean(std::span<const double> values);
 
 }  // namespace sagetally::loadtest
