--- a/src/loadtest/demo/child.cpp
+++ b/src/loadtest/demo/child.cpp
@@ -13,11 +13,13 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr int kSignalExitCode = 128;  // as in shells, plus the signal's number
-constexpr int kCannotExecute = 127;
+// Exit codes as in shells: 128 plus the signal's number, and 127 for a program that can't be executed.
+constexpr int kSignalExitCodeBase = 128;
+constexpr int kCannotExecuteExitCode = 127;
 
+// The exit code for a status of waitpid().
 int ExitCode(int status) {
-  return WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitCode + WTERMSIG(status);
+  return WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitCodeBase + WTERMSIG(status);
 }
 
 }  // namespace
@@ -30,18 +32,18 @@
   const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (out < 0) throw std::runtime_error(log + ": can't be written");
   pid_ = ::fork();
-  if (pid_ == 0) {  // only calls that are safe after a fork in a program with threads
+  if (pid_ == 0) {  // the child makes only calls that are safe after fork() in a program with threads
     ::dup2(out, STDOUT_FILENO);
     ::dup2(out, STDERR_FILENO);
-    ::setpgid(0, 0);  // a terminal's Ctrl-C goes to the parent alone, which ends its children itself
+    ::setpgid(0, 0);  // a terminal's Ctrl-C reaches only the parent, which stops its children itself
     sigset_t none{};
     ::sigemptyset(&none);
     ::sigprocmask(SIG_SETMASK, &none, nullptr);
     if (folder.empty() || ::chdir(folder.c_str()) == 0) ::execvp(argv[0], argv.data());
-    ::_exit(kCannotExecute);
+    ::_exit(kCannotExecuteExitCode);
   }
   ::close(out);
-  if (pid_ < 0) throw std::runtime_error("no child process can be started");
+  if (pid_ < 0) throw std::runtime_error("can't start a child process");
 }
 
 Child::~Child() {
--- a/src/loadtest/demo/child.h
+++ b/src/loadtest/demo/child.h
@@ -1,5 +1,5 @@
-// A child process: started without a shell, ended and reaped at the latest when its object is destroyed. Also
-// used by tests of the dispatcher. Not thread-safe.
+// A child process. It is started without a shell, and killed and reaped at the latest when its object is
+// destroyed. Used by the demonstration, the soak, the plots and tests of the dispatcher. Not thread-safe.
 #ifndef SAGETALLY_SRC_LOADTEST_DEMO_CHILD_H_
 #define SAGETALLY_SRC_LOADTEST_DEMO_CHILD_H_
 
@@ -12,33 +12,39 @@
 
 namespace sagetally::loadtest {
 
+// Owns one child process.
 class Child {
  public:
-  // `arguments`: the program, looked up in PATH unless it contains a slash, and its arguments. `folder`:
-  // where it is started; empty: here. `log`: a file for its output. A program that can't be executed ends at
-  // once with 127. Throws std::runtime_error if `log` can't be written or no process can be started.
+  // Starts the process. `arguments` holds the program, which is looked up in PATH unless it contains a slash,
+  // and the program's arguments. `folder` is its working directory; if empty, that of this process. `log` is
+  // the file for its standard output and standard error. If the program can't be executed, the child exits at
+  // once with code 127. Throws std::runtime_error if `log` can't be written or no process can be started.
   Child(std::vector<std::string> arguments, const std::string& folder, const std::string& log);
-  // Kills it if it still runs.
+  // Kills and reaps the process if it still runs.
   ~Child();
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
+  // Whether the process still runs. Reaps it if it has exited.
   bool Running() const;
-  // Does nothing if it has ended.
+  // Sends a signal. Does nothing if the process has been reaped.
   void Signal(int number) const;
-  // Waits for its end. Returns the exit code, or 128 and the number of the signal that ended it.
+  // Waits for the exit. Returns the exit code, or 128 plus the number of the signal that ended the process.
   int Wait() const;
-  pid_t pid() const { return pid_; }  // 0 once it has ended
+  // The process id; 0 once the exit has been noticed.
+  pid_t pid() const { return pid_; }
+  // The path of the file with the process's output.
   const std::string& log() const { return log_; }
 
  private:
   const std::string log_;
-  // Changed by the first call that finds that it has ended.
+  // Set by the first call that notices the exit.
   mutable pid_t pid_ = 0;
   mutable int exit_code_ = 0;
 };
 
-// The port for clients that a node's log names once it is ready; 0 for a node without one; none until then.
+// Reads a node's log and returns the port for clients that it names once the node is ready, which is 0 for a
+// node that has none. Returns std::nullopt while the node is not ready.
 std::optional<std::uint16_t> ReadyPort(const std::string& log);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/demo/demo.cpp
+++ b/src/loadtest/demo/demo.cpp
@@ -27,11 +27,11 @@
 constexpr auto kOutcomePollInterval = std::chrono::milliseconds(100);
 constexpr auto kRegistrationTimeout = std::chrono::seconds(10);
 
-// A folder that is removed with its content at the end.
+// A temporary folder, which the destructor removes with its content.
 class TemporaryFolder {
  public:
   TemporaryFolder() : path_((fs::temp_directory_path() / "sagetally-try-XXXXXX").string()) {
-    if (::mkdtemp(path_.data()) == nullptr) throw std::runtime_error(path_ + ": can't be made");
+    if (::mkdtemp(path_.data()) == nullptr) throw std::runtime_error(path_ + ": can't be created");
   }
   ~TemporaryFolder() {
     std::error_code ignored;
@@ -50,12 +50,12 @@
                             ? (fs::read_symlink("/proc/self/exe").parent_path() / "sagetally").string()
                             : options.program;
   if (!fs::exists(program)) {
-    throw std::runtime_error(program + ": no such program; build it, or name it with --program");
+    throw std::runtime_error(program + ": no such program; build it, or pass its path with --program");
   }
   return program;
 }
 
-// A progress bar, if the output is a terminal.
+// Prints a progress bar if the output is a terminal.
 void PrintProgress(std::ostream& out, double seconds, double total_seconds, const Progress& progress) {
   if (::isatty(STDOUT_FILENO) != 1) return;
   constexpr int kWidth = 30;
@@ -67,6 +67,7 @@
       << std::flush;
 }
 
+// Starts `count` nodes of one role and returns their names. Doesn't wait until they are ready.
 std::vector<std::string> StartNodesOfRole(const std::string& role, int count, const StubServerThread& stubs,
                                           const std::string& folder, NodeProcesses& nodes) {
   std::vector<std::string> names;
@@ -79,11 +80,13 @@
   return names;
 }
 
+// Waits until `count` planners have registered with the service registry. Throws std::runtime_error after
+// kRegistrationTimeout.
 void WaitForPlanners(const StubServerThread& stubs, int count) {
   const auto deadline = std::chrono::steady_clock::now() + kRegistrationTimeout;
   while (stubs.planners() < static_cast<std::size_t>(count)) {
     if (std::chrono::steady_clock::now() > deadline) {
-      throw std::runtime_error("the planners did not register");
+      throw std::runtime_error("the planners did not register in time");
     }
     std::this_thread::sleep_for(kRegistrationPollInterval);
   }
@@ -127,7 +130,7 @@
   return RunLoad(scenario, run_options);
 }
 
-// Summarizes the run again and again, until no message is pending any more or the user interrupts.
+// Summarizes the run repeatedly, until no message is pending or the user interrupts.
 RunResult AwaitOutcomes(const DemoOptions& options, const Scenario& scenario, RunRecords& run,
                         const StubServerThread& stubs, const FaultTimeline& timeline) {
   const std::string name = options.two_levels ? "try, two levels" : "try, one dispatcher";
@@ -172,7 +175,8 @@
   const std::vector<std::uint16_t> ports = StartNodes(options, stubs, folder.path(), nodes);
   const Scenario scenario = ScenarioFromJson(DemoScenarioJson(options, ports));
   PrintIntroduction(options, out);
-  // The timeline's time 0 is the start of the stub servers; results have that of the run.
+  // The timeline's times are relative to the start of the stub servers; those of results are relative to the
+  // run's.
   const std::int64_t offset_ms = (NowUs() - stubs.started_us) / 1000;
   std::vector<FaultSpan> spans = settings.timeline.spans();
   for (FaultSpan& span : spans) span.from_ms -= static_cast<double>(offset_ms);
--- a/src/loadtest/demo/demo_config.cpp
+++ b/src/loadtest/demo/demo_config.cpp
@@ -7,8 +7,9 @@
 
 using Json = nlohmann::json;
 
-constexpr int kMaxConcurrentCalls = 40;
+constexpr int kMaxConcurrentCalls = 40;  // of each node
 
+// The scenario's message classes.
 Json ClassesJson() {
   return Json::array(
       {{{"name", "aviso"}, {"weight", 6}, {"deadline_ms", 8000}, {"aim_ms", 2000}, {"repeat", "free"}},
@@ -18,7 +19,7 @@
 
 std::string LoopbackAddress(std::uint16_t port) { return fmt::format("127.0.0.1:{}", port); }
 
-// A scenario's class as the platform's configuration has it.
+// Converts a class of the scenario to a class ("grade") of the platform's configuration.
 Json GradeJson(const Json& message_class) {
   const std::string repeat = message_class["repeat"];
   Json grade = {{"name", message_class["name"]},
@@ -37,6 +38,8 @@
   return grade;
 }
 
+// Two faults: partner-1 refuses connections from 40% of the run for 15% of it, and partner-2 responds with
+// errors to 30% of the calls from 65% of the run for 10% of it.
 Json OutageJson(const DemoOptions& options) {
   return Json::array({{{"fault", "shut"},
                        {"at_ms", options.seconds * 400},
--- a/src/loadtest/demo/node_processes.cpp
+++ b/src/loadtest/demo/node_processes.cpp
@@ -20,6 +20,7 @@
 constexpr auto kStopTimeout = std::chrono::seconds(5);
 constexpr std::size_t kLogTailBytes = 2000;
 
+// The last kLogTailBytes of the process's log.
 std::string LogTail(const Child& process) {
   std::ifstream file(process.log());
   const std::string text((std::istreambuf_iterator<char>(file)), {});
@@ -50,14 +51,14 @@
     if (!process.Running()) break;
     std::this_thread::sleep_for(kPollInterval);
   }
-  throw std::runtime_error(name + " did not start; it wrote:\n" + LogTail(process));
+  throw std::runtime_error(name + " did not become ready; the end of its log:\n" + LogTail(process));
 }
 
 std::vector<std::string> NodeProcesses::Stop() {
   std::vector<std::string> problems;
   for (const Node& node : nodes_) {
     if (!node.process->Running()) {
-      problems.push_back(node.name + " had ended by itself:\n" + LogTail(*node.process));
+      problems.push_back(node.name + " exited before it was stopped:\n" + LogTail(*node.process));
     }
     node.process->Signal(SIGTERM);
   }
@@ -67,9 +68,9 @@
       std::this_thread::sleep_for(kPollInterval);
     }
     if (node.process->Running()) {
-      problems.push_back(node.name + " did not end on SIGTERM");
+      problems.push_back(node.name + " did not exit on SIGTERM");
     } else if (const int exit_code = node.process->Wait(); exit_code != 0) {
-      problems.push_back(fmt::format("{} ended with {}", node.name, exit_code));
+      problems.push_back(fmt::format("{} exited with code {}", node.name, exit_code));
     }
   }
   nodes_.clear();
--- a/src/loadtest/demo/node_processes.h
+++ b/src/loadtest/demo/node_processes.h
@@ -1,4 +1,5 @@
-// The sagetally nodes of a demonstration, each a child process with its files and log in one folder.
+// The sagetally nodes of a demonstration. Each is a child process, and the files and logs of all are in one
+// folder. Not thread-safe.
 #ifndef SAGETALLY_SRC_LOADTEST_DEMO_NODE_PROCESSES_H_
 #define SAGETALLY_SRC_LOADTEST_DEMO_NODE_PROCESSES_H_
 
@@ -12,21 +13,22 @@
 
 namespace sagetally::loadtest {
 
-// Nodes that still run are killed at the end.
+// Owns the nodes' processes. The destructor kills those that still run.
 class NodeProcesses {
  public:
-  // `program`: sagetally's path. `folder`: for all files.
+  // `program` is sagetally's path, `folder` the folder for all files.
   NodeProcesses(std::string program, std::string folder);
 
-  // Writes the node's files and starts it. `node_file`: null for none.
+  // Writes the node's files and starts it. No node file is written if `node_file` is null. Doesn't wait until
+  // the node is ready.
   void Start(const std::string& name, const nlohmann::json& platform_config, const nlohmann::json& node_file);
 
-  // Waits until the node is ready, and returns its port for clients (0: it has none). Throws
-  // std::runtime_error with the end of its log if it isn't ready in time.
+  // Waits until the node is ready, and returns its port for clients, or 0 if it has none. Throws
+  // std::runtime_error with the end of the node's log if it isn't ready within 10 s.
   std::uint16_t WaitUntilReady(const std::string& name) const;
 
-  // Stops all nodes at once by SIGTERM, and returns a description of each that had exited, didn't exit in
-  // time or failed.
+  // Sends SIGTERM to all nodes, waits until they exit, and returns a description of each node that had exited
+  // before, didn't exit within 5 s, or exited with a code other than 0.
   std::vector<std::string> Stop();
 
  private:
@@ -34,6 +36,7 @@
     std::string name;
     std::unique_ptr<Child> process;
   };
+  // Throws std::runtime_error if there is no such node.
   const Node& Find(const std::string& name) const;
 
   const std::string program_;
