--- a/src/loadtest/commands/command.h
+++ b/src/loadtest/commands/command.h
@@ -1,6 +1,7 @@
-// The subcommands of sagetally-loadtest. Each Add... function adds one to its parent and returns what runs
-// it; cli.cpp calls that of the command that was given. All runs return the program's exit code: 0, or 1 for
-// a violated rule or a run that is not valid. They throw std::runtime_error for a file that can't be used.
+// The subcommands of sagetally-loadtest. Each Add...Command() adds one subcommand to its parent and returns
+// the function that runs it; cli.cpp calls the function of the subcommand that was given. That function
+// returns the program's exit code, which is 0, or 1 for a violated rule or a run that is not valid. It throws
+// std::runtime_error for a file that can't be used.
 #ifndef SAGETALLY_SRC_LOADTEST_COMMANDS_COMMAND_H_
 #define SAGETALLY_SRC_LOADTEST_COMMANDS_COMMAND_H_
 
@@ -12,13 +13,14 @@
 
 namespace sagetally::loadtest {
 
-// Of all environment variables that set an option.
+// The prefix of the environment variables that set options.
 inline constexpr char kVariablePrefix[] = "SAGETALLY_LAB_";
 inline constexpr char kVersion[] = "sagetally-loadtest " SAGETALLY_VERSION;
 
+// A subcommand and the function that runs it.
 struct Command {
-  CLI::App* app = nullptr;  // owned by its parent
-  std::function<int()> run;
+  CLI::App* app = nullptr;   // owned by its parent
+  std::function<int()> run;  // returns the exit code; call it after the command line has been parsed
 };
 
 Command AddDemoCommand(CLI::App& parent);
@@ -30,14 +32,15 @@
 Command AddReportCommand(CLI::App& parent);
 Command AddCompareCommand(CLI::App& parent);
 
+// Adds a subcommand with a --version flag.
 inline CLI::App* AddSubcommand(CLI::App& parent, const std::string& name, const std::string& description) {
   CLI::App* command = parent.add_subcommand(name, description);
   command->set_version_flag("--version", std::string(kVersion));
   return command;
 }
 
-// `names`: CLI11's, such as "--scenario,scenario". An option whose first name is a flag can be set by a
-// variable too, and its help shows the default.
+// Adds an option that sets `value`. `names` is in the form of CLI11, such as "--scenario,scenario". If the
+// first name is a flag, an environment variable can set the option too, and the help shows its default.
 template <typename T>
 CLI::Option* AddOption(CLI::App* command, const std::string& names, T& value,
                        const std::string& description) {
--- a/src/loadtest/commands/demo_command.cpp
+++ b/src/loadtest/commands/demo_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest try`.
+// `sagetally-loadtest try`: runs the demonstration.
 #include <iostream>
 #include <memory>
 
@@ -11,8 +11,8 @@
 
 struct DemoCommandOptions {
   DemoOptions demo;
-  std::string levels = "one";
-  bool calm = false;
+  std::string levels = "one";  // "one" or "two"
+  bool calm = false;           // without the outage and the errors
 };
 
 int RunDemoCommand(DemoCommandOptions& options) {
@@ -29,17 +29,18 @@
 Command AddDemoCommand(CLI::App& parent) {
   auto options = std::make_shared<DemoCommandOptions>();
   DemoOptions& demo = options->demo;
-  CLI::App* command =
-      AddSubcommand(parent, "try", "starts partners, an agent and a dispatcher, and shows them at work");
+  CLI::App* command = AddSubcommand(
+      parent, "try", "starts stub partners, an agent and a dispatcher, and offers a load to them");
   AddOption(command, "--levels", options->levels, "one (a dispatcher) or two (forwarders and planners)")
       ->check(CLI::IsMember({"one", "two"}));
   AddOption(command, "--seconds", demo.seconds, "how long messages are offered")
       ->check(CLI::Range(1.0, 3600.0));
-  AddOption(command, "--rate", demo.rate, "messages a second at the height of it")
-      ->check(CLI::Range(1.0, 100000.0));
-  AddOption(command, "--seed", demo.seed, "of all random numbers");
-  AddOption(command, "--forwarders", demo.forwarders, "with two levels")->check(CLI::Range(1, 32));
-  AddOption(command, "--planners", demo.planners, "with two levels")->check(CLI::Range(1, 32));
+  AddOption(command, "--rate", demo.rate, "messages a second at the peak")->check(CLI::Range(1.0, 100000.0));
+  AddOption(command, "--seed", demo.seed, "seed of all random numbers");
+  AddOption(command, "--forwarders", demo.forwarders, "number of forwarders with two levels")
+      ->check(CLI::Range(1, 32));
+  AddOption(command, "--planners", demo.planners, "number of planners with two levels")
+      ->check(CLI::Range(1, 32));
   AddOption(command, "--program", demo.program,
             "the sagetally to start; default: the one beside this program");
   AddOption(command, "--output", demo.output, "folder for the report");
--- a/src/loadtest/commands/import_command.cpp
+++ b/src/loadtest/commands/import_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest trace import`.
+// `sagetally-loadtest trace import`: converts recorded traces.
 #include <fstream>
 #include <iostream>
 #include <memory>
@@ -14,7 +14,7 @@
   std::string input;
   std::string output = "trace.jsonl";
   std::string format = "csv";
-  std::map<std::string, std::string> columns;  // by what they hold
+  std::map<std::string, std::string> columns;  // the trace's column or key names, by their content
   ImportOptions import;
 };
 
@@ -24,6 +24,7 @@
   return TraceFormat::kCsv;
 }
 
+// The option for the column that holds `content`. Throws std::runtime_error for an unknown content.
 std::string& ColumnFor(const std::string& content, TraceColumns& columns) {
   if (content == "time") return columns.time;
   if (content == "class") return columns.message_class;
@@ -34,15 +35,15 @@
                            content + "'");
 }
 
-void PrintImport(const std::string& input, const ImportResult& result) {
-  std::cout << input << ": " << result.line_count << " lines, " << result.messages.size() << " messages, "
+void PrintImport(const std::string& path, const ImportResult& result) {
+  std::cout << path << ": " << result.line_count << " lines, " << result.messages.size() << " messages, "
             << result.malformed_count << " malformed\n";
   for (const MalformedLine& malformed : result.malformed_lines) {
-    std::cout << input << ":" << malformed.line << ":" << malformed.column << ": expected "
+    std::cout << path << ":" << malformed.line << ":" << malformed.column << ": expected "
               << malformed.expected << "\n";
   }
   if (result.out_of_order_lines > 0) {
-    std::cout << input << ": the clock goes back in " << result.out_of_order_lines << " lines, by up to "
+    std::cout << path << ": the time goes back in " << result.out_of_order_lines << " lines, by up to "
               << result.max_backward_s << " s; sorted\n";
   }
 }
@@ -74,32 +75,37 @@
   ImportOptions& import = options->import;
   CLI::App* trace = AddSubcommand(parent, "trace", "recorded traces");
   trace->require_subcommand(1);
-  CLI::App* command = AddSubcommand(*trace, "import", "makes a foreign trace one that load can offer");
+  CLI::App* command =
+      AddSubcommand(*trace, "import", "converts a recorded trace to the format that load replays");
   AddOption(command, "in", options->input, "the trace")->required();
-  AddOption(command, "--output", options->output, "the trace as load reads it");
+  AddOption(command, "--output", options->output, "file for the converted trace");
   AddOption(command, "--format", options->format, "csv, jsonl or combined (access logs)")
       ->check(CLI::IsMember({"csv", "jsonl", "combined"}));
-  command->add_option("--column", options->columns,
-                      "WHAT NAME: which column or key holds time, class, destination, bytes, caller");
+  command->add_option(
+      "--column", options->columns,
+      "CONTENT NAME: column or key NAME holds CONTENT, one of time, class, destination, bytes, caller");
   AddOption(command, "--time-unit", import.time_unit_s, "seconds of one unit of plain numbers")
       ->check(CLI::PositiveNumber);
-  AddOption(command, "--time-scale", import.time_scale, "2: twice as slow")->check(CLI::PositiveNumber);
+  AddOption(command, "--time-scale", import.time_scale,
+            "factor for all times; 2 makes the trace twice as slow")
+      ->check(CLI::PositiveNumber);
   AddOption(command, "--rate-scale", import.rate_scale,
-            "0.5: half of the messages, drawn; 3: each three times")
+            "factor for the rate; 0.5 draws half of the messages, 3 takes each three times")
       ->check(CLI::Range(1e-6, 1000.0));
   AddOption(command, "--from", import.from_s, "seconds of the scaled trace that are cut off its start")
       ->check(CLI::NonNegativeNumber);
   AddOption(command, "--to", import.to_s, "seconds of the scaled trace at which it is cut; 0: its end")
       ->check(CLI::NonNegativeNumber);
-  AddOption(command, "--classes", import.classes, "known classes; messages of others become the first")
+  AddOption(command, "--classes", import.classes,
+            "known classes; messages of other classes get the first of them")
       ->delimiter(',');
   AddOption(command, "--destinations", import.destinations,
-            "hash destinations into so many; 0: they are numbers")
+            "number of destinations to hash names into; 0 if destinations are numbers")
       ->check(CLI::Range(0, 100000));
-  AddOption(command, "--bytes", import.bytes, "body size where the trace has none")
+  AddOption(command, "--bytes", import.bytes, "body size of messages for which the trace has none")
       ->check(CLI::Range(1, 65536));
-  AddOption(command, "--seed", import.seed, "of draws and of the hash that hides callers");
-  command->add_flag("--strict", import.strict, "the first malformed line ends it")
+  AddOption(command, "--seed", import.seed, "seed of random draws and of the hash that hides callers");
+  command->add_flag("--strict", import.strict, "fail at the first malformed line")
       ->envname(VariableFor(kVariablePrefix, "strict"));
   return {command, [options] { return RunImportCommand(*options); }};
 }
--- a/src/loadtest/commands/limit_command.cpp
+++ b/src/loadtest/commands/limit_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest limit`.
+// `sagetally-loadtest limit`: searches for the highest rate that a target sustains.
 #include <fmt/format.h>
 
 #include <iostream>
@@ -16,23 +16,26 @@
   std::string scenario;
   Overrides settings;
   RateSearchOptions search;
-  double p99_ms = 10;     // accepted up to this
-  double lag_p99_ms = 1;  // of the generator; above it the probe proves nothing
+  // The highest p99 of the time to acceptance at which a rate counts as sustained.
+  double p99_ms = 10;
+  // The highest p99 of the generator's lag. Above it, a probe says nothing about the target.
+  double lag_p99_ms = 1;
 };
 
-// Why the target did not sustain the probe's rate; empty if it did: the generator kept up, and each message
-// was accepted at its first submission and in time.
+// Returns why the target did not sustain the probe's rate. Returns an empty string if it did, which means
+// that the generator kept up and that each message was accepted at its first submission and in time.
 std::string FailureReason(const RunResult& result, const RateProbe& probe,
                           const LimitCommandOptions& options) {
-  const std::int64_t missing = result.summary.offered - result.summary.accepted.count();
-  if (result.partial) return "broken off";
+  const std::int64_t not_accepted = result.summary.offered - result.summary.accepted.count();
+  if (result.partial) return "interrupted";
   if (probe.lag_p99_ms > options.lag_p99_ms) return "the generator lagged";
-  if (missing > 0) return std::to_string(missing) + " not taken";
-  if (result.summary.submissions > result.summary.offered) return "some handed in again";
-  if (probe.p99_ms > options.p99_ms) return "too slow";
+  if (not_accepted > 0) return std::to_string(not_accepted) + " not accepted";
+  if (result.summary.submissions > result.summary.offered) return "some messages were submitted again";
+  if (probe.p99_ms > options.p99_ms) return "p99 too high";
   return "";
 }
 
+// Offers `rate` messages a second for `seconds`, and prints and returns the measurement.
 RateProbe ProbeRate(const Scenario& scenario, const LimitCommandOptions& options, double rate, double seconds,
                     Interrupt& interrupt) {
   Scenario probe_scenario = scenario;
@@ -49,7 +52,7 @@
   probe.lag_p99_ms = result.summary.lag.Quantile(0.99) / 1000;
   probe.reason = FailureReason(result, probe, options);
   probe.is_sustained = probe.reason.empty();
-  std::cout << fmt::format("{:8.0f}/s for {:3.0f} s: p99 {:9.3f} ms, own lag p99 {:8.3f} ms: {}", rate,
+  std::cout << fmt::format("{:8.0f}/s for {:3.0f} s: p99 {:9.3f} ms, generator lag p99 {:8.3f} ms: {}", rate,
                            seconds, probe.p99_ms, probe.lag_p99_ms,
                            probe.is_sustained ? "held" : probe.reason)
             << std::endl;
@@ -72,23 +75,24 @@
 Command AddLimitCommand(CLI::App& parent) {
   auto options = std::make_shared<LimitCommandOptions>();
   RateSearchOptions& search = options->search;
-  CLI::App* command = AddSubcommand(parent, "limit", "searches for the highest rate that a target holds");
-  AddOption(command, "--scenario,scenario", options->scenario,
-            "a JSON file; its rate is what is searched for");
-  AddOption(command, "--from", search.from, "messages a second to begin with")->check(CLI::PositiveNumber);
-  AddOption(command, "--to", search.to, "messages a second to end with")->check(CLI::PositiveNumber);
-  AddOption(command, "--within", search.relative_width, "relative width of the answer")
+  CLI::App* command = AddSubcommand(parent, "limit", "searches for the highest rate that a target sustains");
+  AddOption(command, "--scenario,scenario", options->scenario, "a JSON file; the search replaces its rate");
+  AddOption(command, "--from", search.from, "lowest rate, in messages a second")->check(CLI::PositiveNumber);
+  AddOption(command, "--to", search.to, "highest rate, in messages a second")->check(CLI::PositiveNumber);
+  AddOption(command, "--within", search.relative_width, "relative width of the result")
       ->check(CLI::Range(0.005, 1.0));
-  AddOption(command, "--probe-s", search.probe_seconds, "seconds of a probe")->check(CLI::PositiveNumber);
-  AddOption(command, "--confirm-s", search.confirm_seconds, "seconds for which the answer must hold")
+  AddOption(command, "--probe-s", search.probe_seconds, "duration of a probe in seconds")
+      ->check(CLI::PositiveNumber);
+  AddOption(command, "--confirm-s", search.confirm_seconds, "seconds for which the result must be sustained")
       ->check(CLI::PositiveNumber);
   AddOption(command, "--p99-ms", options->p99_ms,
-            "the p99 from the intended start to the 202 that is still held")
+            "highest p99 from the intended time to the 202 at which a rate counts as sustained")
       ->check(CLI::PositiveNumber);
-  AddOption(command, "--lag-p99-ms", options->lag_p99_ms, "the generator's own lag that is still trusted")
+  AddOption(command, "--lag-p99-ms", options->lag_p99_ms,
+            "highest p99 of the generator's lag at which a probe counts")
       ->check(CLI::PositiveNumber);
   AddSettings(*command, SettingNames(ScenarioSchema()), kVariablePrefix, options->settings,
-              "Settings of the scenario, which go before the file");
+              "Settings of the scenario, which override the file");
   return {command, [options] { return RunLimitCommand(*options); }};
 }
 
--- a/src/loadtest/commands/load_command.cpp
+++ b/src/loadtest/commands/load_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest load`.
+// `sagetally-loadtest load`: offers a scenario's messages to running nodes.
 #include <filesystem>
 #include <iostream>
 #include <memory>
@@ -21,7 +21,7 @@
   int repeat = 1;
 };
 
-// Prints a line a second.
+// Prints one line for each second of the run.
 void PrintProgress(double seconds, const Progress& progress) {
   static std::int64_t last_second = -1;
   const auto second = static_cast<std::int64_t>(seconds);
@@ -31,7 +31,7 @@
             << progress.rejected << ", unanswered " << progress.unanswered << "\n";
 }
 
-// What stub servers of other processes recorded.
+// The content of the observation files that stub servers in other processes recorded.
 struct RecordedObservations {
   std::vector<Observation> observations;
   std::vector<FaultSpan> faults;  // relative to the run's start
@@ -55,7 +55,7 @@
   return options.scenario.empty() ? "load" : options.scenario;
 }
 
-// "result.json" becomes "result-2.json".
+// Inserts the run's number before the extension: "result.json" becomes "result-2.json".
 std::string NumberedPath(std::string path, int number) {
   const std::size_t extension_size = std::filesystem::path(path).extension().string().size();
   return path.insert(path.size() - extension_size, "-" + std::to_string(number));
@@ -96,15 +96,17 @@
   CLI::App* command = AddSubcommand(parent, "load", "offers a scenario's messages to running nodes");
   AddOption(command, "--scenario,scenario", options->scenario,
             "a JSON file; its settings may be flags instead");
-  AddOption(command, "--record", options->record, "a file for the plan as it was offered, to be replayed");
+  AddOption(command, "--record", options->record,
+            "file for a trace of the offered messages, which can be replayed");
   AddOption(command, "--observed", options->observation_paths,
-            "what stand-ins recorded; then deliveries and ends are accounted for");
+            "files that stub servers recorded; with them, final outcomes are counted");
   AddOption(command, "--output", options->output, "the result, a JSON file");
-  AddOption(command, "--name", options->name, "for tables and plots; default: the scenario's file");
-  AddOption(command, "--repeat", options->repeat, "runs one after another, each with a result of its own")
+  AddOption(command, "--name", options->name, "name in tables and plots; default: the scenario's file");
+  AddOption(command, "--repeat", options->repeat,
+            "number of runs, one after another, each with its own result file")
       ->check(CLI::Range(1, 1000));
   AddSettings(*command, SettingNames(ScenarioSchema()), kVariablePrefix, options->settings,
-              "Settings of the scenario, which go before the file");
+              "Settings of the scenario, which override the file");
   return {command, [options] { return RunLoadCommand(*options); }};
 }
 
--- a/src/loadtest/commands/report_command.cpp
+++ b/src/loadtest/commands/report_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest report` and `sagetally-loadtest compare`.
+// `sagetally-loadtest report` and `sagetally-loadtest compare`: read result files and report or compare them.
 #include <iostream>
 #include <memory>
 
@@ -48,18 +48,20 @@
 
 Command AddReportCommand(CLI::App& parent) {
   auto options = std::make_shared<ReportCommandOptions>();
-  CLI::App* command = AddSubcommand(parent, "report", "one HTML page, plots and JSON of one run or several");
+  CLI::App* command =
+      AddSubcommand(parent, "report", "writes an HTML page, plots and JSON for one or more runs");
   AddOption(command, "runs", options->runs, "results of load or try")->required();
-  AddOption(command, "--output", options->output, "a folder");
+  AddOption(command, "--output", options->output, "folder for the report");
   return {command, [options] { return RunReportCommand(*options); }};
 }
 
 Command AddCompareCommand(CLI::App& parent) {
   auto options = std::make_shared<CompareCommandOptions>();
-  CLI::App* command = AddSubcommand(parent, "compare", "ratios of two sets of runs, with intervals");
+  CLI::App* command =
+      AddSubcommand(parent, "compare", "compares two sets of runs by ratios with 95% intervals");
   AddOption(command, "runs", options->runs, "results of the first set")->required();
   AddOption(command, "--with", options->other_runs, "results of the second set")->required();
-  command->add_flag("--json", options->json, "as JSON")->envname(VariableFor(kVariablePrefix, "json"));
+  command->add_flag("--json", options->json, "print JSON")->envname(VariableFor(kVariablePrefix, "json"));
   return {command, [options] { return RunCompareCommand(*options); }};
 }
 
--- a/src/loadtest/commands/stub_command.cpp
+++ b/src/loadtest/commands/stub_command.cpp
@@ -1,4 +1,4 @@
-// `sagetally-loadtest standin`.
+// `sagetally-loadtest standin`: runs stub servers until SIGTERM or SIGINT.
 #include <algorithm>
 #include <csignal>
 #include <fstream>
@@ -20,7 +20,8 @@
   Overrides settings;
 };
 
-// The settings of the requested kinds alone, which listen at any port unless the file says otherwise.
+// The settings of the requested kinds of stub server. Each listens on any free port of loopback unless the
+// file names an address.
 StubServerSettings RequestedSettings(const StubCommandOptions& options) {
   StubServerSettings settings = ReadStubServerSettings(options.file, options.settings);
   const auto is_requested = [&](const char* kind) {
@@ -42,7 +43,8 @@
   return settings;
 }
 
-// Writes observations to a file as they come, so that a reader need not wait for the end.
+// Writes observations to a file while the stub servers run, so that a reader needn't wait until they stop.
+// The file is flushed every kFlushInterval.
 class ObservationRecorder {
  public:
   // Throws std::runtime_error if the file can't be written.
@@ -111,14 +113,14 @@
 Command AddStubCommand(CLI::App& parent) {
   auto options = std::make_shared<StubCommandOptions>();
   CLI::App* command =
-      AddSubcommand(parent, "standin", "runs stand-ins until SIGTERM, and judges what they saw");
+      AddSubcommand(parent, "standin", "runs stub servers until SIGTERM, and checks what they observed");
   AddOption(command, "kinds", options->kinds, "any of partner, agent, registry, sink, front")
       ->required()
       ->check(CLI::IsMember({"partner", "agent", "registry", "sink", "front"}));
   AddOption(command, "--file", options->file, "a JSON file of deploy/schema/standin.schema.json");
-  AddOption(command, "--record", options->record, "a file for what was seen, for load --observed");
+  AddOption(command, "--record", options->record, "file for the observations, for load --observed");
   AddSettings(*command, SettingNames(StubServerSchema()), kVariablePrefix, options->settings,
-              "Settings of the file, which go before it");
+              "Settings of the file, which override it");
   return {command, [options] { return RunStubCommand(*options); }};
 }
 
