--- a/tests/loadtest/arrivals_test.cpp
+++ b/tests/loadtest/arrivals_test.cpp
@@ -1,5 +1,5 @@
-// Distributions, arrival processes and plans against their theory, with fixed seeds; submission ids and
-// scenarios.
+// Compares distributions, arrival processes and plans with their theory, with fixed seeds. Also tests
+// submission ids and scenarios.
 #undef NDEBUG
 #include <boost/math/distributions/chi_squared.hpp>
 #include <cassert>
@@ -15,8 +15,9 @@
 namespace sagetally::loadtest {
 namespace {
 
-// The chance that a sample of the distribution lies at least so far off, by 50 bins of equal chance.
-double ChiSquared(const Distribution& d, const std::vector<double>& sample) {
+// The p-value of Pearson's chi-squared test of the sample against the distribution, with 50 bins of equal
+// probability.
+double ChiSquaredPValue(const Distribution& d, const std::vector<double>& sample) {
   constexpr int kBins = 50;
   std::vector<double> bins(kBins);
   for (const double x : sample) {
@@ -28,7 +29,7 @@
   return boost::math::cdf(boost::math::complement(boost::math::chi_squared(kBins - 1), statistic));
 }
 
-void DistributionsMatchTheirTheory() {
+void SamplesMatchTheirDistribution() {
   const std::pair<const char*, Distribution> table[] = {
       {"exponential", Distribution::Exponential(3)},   {"uniform", Distribution::Uniform(1, 4)},
       {"lognormal", Distribution::Lognormal(20, 1.5)}, {"gamma", Distribution::Gamma(5, 0.7)},
@@ -49,11 +50,11 @@
     const double variance = squares / kCount - mean * mean;
     assert(std::abs(mean - d.Mean()) < 4 * std::sqrt(d.Variance() / kCount));
     assert(std::abs(variance / d.Variance() - 1) < 0.25);
-    assert(ChiSquared(d, sample) > 0.001);
-    // The test can tell them apart: a mean that is a twentieth off is found.
-    std::vector<double> off;
-    for (const double x : sample) off.push_back(x * 1.05);
-    assert(ChiSquared(d, off) < 0.001);
+    assert(ChiSquaredPValue(d, sample) > 0.001);
+    // The test is strong enough to reject a sample whose mean is 5% too high.
+    std::vector<double> scaled;
+    for (const double x : sample) scaled.push_back(x * 1.05);
+    assert(ChiSquaredPValue(d, scaled) < 0.001);
   }
   assert(std::isinf(Distribution::Pareto(10, 1.5).Variance()) && Distribution::Constant(7).Variance() == 0);
 }
@@ -67,23 +68,26 @@
   }
 }
 
-// Spacings in operational time, where a ramp's arrivals are a plain process again.
+// Arrivals with a changing rate have the spacing distribution again when their times are mapped to
+// operational time, which is the integral of the rate.
 void RampStretchesSpacingsExactly() {
   const Distribution spacings[] = {Distribution::Exponential(1), Distribution::Gamma(1, 4),
                                    Distribution::Lognormal(1, 0.5)};
   for (const Distribution& spacing : spacings) {
-    // 100 a second rising to 300 in 100 s, then constant.
+    // The rate rises from 100 a second to 300 in 100 s and is constant from then on.
     Arrivals arrivals(spacing, SteppedRate({{0, 100, true}, {100, 300, false}}), Stream(5, "ramp"));
-    const auto passed = [](double t) { return t < 100 ? 100 * t + t * t : 20'000 + 300 * (t - 100); };
+    const auto operational_time = [](double t) {
+      return t < 100 ? 100 * t + t * t : 20'000 + 300 * (t - 100);
+    };
     std::vector<double> sample;
     double last = 0;
     for (int i = 0; i < 30'000; ++i) {
       const double t = arrivals.Next();
-      assert(passed(t) >= last);
-      sample.push_back(passed(t) - last);
-      last = passed(t);
+      assert(operational_time(t) >= last);
+      sample.push_back(operational_time(t) - last);
+      last = operational_time(t);
     }
-    assert(ChiSquared(spacing, sample) > 0.001);
+    assert(ChiSquaredPValue(spacing, sample) > 0.001);
   }
 }
 
@@ -121,14 +125,16 @@
     assert(std::abs(mean - 40) < 0.1 && variance < 0.1);
   }
   {
-    // A renewal process: variance over mean tends to the squared coefficient of variation, here 4.
+    // In a renewal process, the ratio of variance to mean tends to the squared coefficient of variation,
+    // here 4.
     Arrivals gamma(Distribution::Gamma(1, 0.25), ConstantRate(40), Stream(3, "gamma"));
     const auto [mean, variance] = MeanAndVariance(CountsBySecond(gamma, 20'000));
     assert(std::abs(mean / 40 - 1) < 0.02 && std::abs(variance / mean / 4 - 1) < 0.12);
   }
   {
-    // Two states: mean and asymptotic index of dispersion (Heffes and Lucantoni, 1986), at windows of 100 s
-    // where stays of 2 s and 1 s have long been forgotten.
+    // A process that alternates between two rates has this mean and this asymptotic index of
+    // dispersion (Heffes and Lucantoni, 1986). Windows of 100 s are long compared with its mean stays of 2 s
+    // and 1 s.
     const double low = 20;
     const double high = 200;
     const double leave_low = 0.5;
@@ -145,10 +151,10 @@
     }
     const auto [mean, variance] = MeanAndVariance(windows);
     const double rate = (low * leave_high + high * leave_low) / (leave_low + leave_high);
-    const double all = leave_low + leave_high;
-    const double index = 1 + 2 * (low - high) * (low - high) * leave_low * leave_high /
-                                 (all * all * (low * leave_high + high * leave_low));
-    assert(std::abs(mean / 100 / rate - 1) < 0.02 && std::abs(variance / mean / index - 1) < 0.15);
+    const double leave_sum = leave_low + leave_high;
+    const double dispersion_index = 1 + 2 * (low - high) * (low - high) * leave_low * leave_high /
+                                            (leave_sum * leave_sum * (low * leave_high + high * leave_low));
+    assert(std::abs(mean / 100 / rate - 1) < 0.02 && std::abs(variance / mean / dispersion_index - 1) < 0.15);
   }
 }
 
@@ -169,14 +175,14 @@
   assert(!ErrorOf([] { SteppedRate({{5, 1, false}, {2, 1, false}}); }).empty());
 }
 
-nlohmann::json Base() {
+nlohmann::json BaseScenarioJson() {
   return nlohmann::json::parse(R"({"targets":["127.0.0.1:1"],"seconds":100,"seed":9,
     "arrivals":{"rate":200},"classes":[{"name":"a","weight":3},{"name":"b","weight":1}],
     "destinations":{"first":5,"count":10,"zipf":1},
     "callers":{"count":8,"hot":{"share":0.21,"from_s":40,"for_s":20}}})");
 }
 
-std::vector<PlannedMessage> All(const Scenario& scenario) {
+std::vector<PlannedMessage> AllMessages(const Scenario& scenario) {
   Plan plan(scenario);
   std::vector<PlannedMessage> all;
   while (const auto p = plan.Next()) all.push_back(*p);
@@ -184,11 +190,11 @@
 }
 
 void PlanDependsOnScenarioAndSeedAlone() {
-  const std::vector<PlannedMessage> all = All(ScenarioFromJson(Base()));
-  assert(all == All(ScenarioFromJson(Base())));
-  nlohmann::json other = Base();
+  const std::vector<PlannedMessage> all = AllMessages(ScenarioFromJson(BaseScenarioJson()));
+  assert(all == AllMessages(ScenarioFromJson(BaseScenarioJson())));
+  nlohmann::json other = BaseScenarioJson();
   other["seed"] = 10;
-  assert(all != All(ScenarioFromJson(other)));
+  assert(all != AllMessages(ScenarioFromJson(other)));
   std::map<int, double> classes;
   std::map<int, double> destinations;  // outside the hot period
   double hot_messages = 0;
@@ -215,21 +221,22 @@
   for (int n = 1; n <= 10; ++n) harmonic += 1.0 / n;
   for (int n = 1; n <= 10; ++n) {
     const double share = 1 / (n * harmonic);
-    const double of = count - hot_period_messages;
-    assert(std::abs(destinations[4 + n] / of - share) < 4 * std::sqrt(share / of));
+    const double messages_outside = count - hot_period_messages;
+    assert(std::abs(destinations[4 + n] / messages_outside - share) <
+           4 * std::sqrt(share / messages_outside));
   }
 }
 
-void BurstsBringSecondsOfOneDestinationsWork() {
-  nlohmann::json json = Base();
+void BurstSizesMatchTheConfiguredSecondsOfWork() {
+  nlohmann::json json = BaseScenarioJson();
   json["arrivals"]["rate"] = 0;
   json.erase("callers");
   json["clumps"] = {
       {"every_s", 5}, {"partner_rate", 40}, {"over_ms", 300}, {"worth_least_s", 1}, {"worth_most_s", 3.5}};
-  const std::vector<PlannedMessage> all = All(ScenarioFromJson(json));
+  const std::vector<PlannedMessage> all = AllMessages(ScenarioFromJson(json));
   int bursts = 0;
   for (std::size_t i = 0; i < all.size();) {
-    std::size_t j = i;  // those of one destination within the spread
+    std::size_t j = i;  // the end of the messages to one destination within the spread of 300 ms
     while (j < all.size() && all[j].at_us - all[i].at_us < 300'000 &&
            all[j].destination == all[i].destination) {
       ++j;
@@ -273,13 +280,13 @@
 
 int main() {
   using namespace sagetally::loadtest;
-  DistributionsMatchTheirTheory();
+  SamplesMatchTheirDistribution();
   InvalidDistributionsAreRejected();
   RampStretchesSpacingsExactly();
   ArrivalCountsHaveExpectedMeanAndVariance();
   RateCurvesHaveExpectedShape();
   PlanDependsOnScenarioAndSeedAlone();
-  BurstsBringSecondsOfOneDestinationsWork();
+  BurstSizesMatchTheConfiguredSecondsOfWork();
   SubmissionIdsRoundTrip();
   ScenarioErrorsNameThePointer();
   std::puts("9 passed, 0 failed");
--- a/tests/loadtest/cli.sh
+++ b/tests/loadtest/cli.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The command line of sagetally-loadtest: help, exit codes, a run against stub servers in processes of their own, a replay,
-# an import, a report and a comparison, and the demonstration on both levels.
-# Arguments: sagetally-loadtest, sagetally.
+# Tests the command line of sagetally-loadtest: help, exit codes, a run against stub servers in their own processes, a
+# replay, an import, a report and a comparison, and the demonstration with one and two levels.
+# Arguments: the paths of sagetally-loadtest and sagetally.
 set -euo pipefail
 loadtest=$1
 program=$2
@@ -10,12 +10,12 @@
 trap 'test -z "$stubs" || kill "$stubs" 2>/dev/null || true; rm -rf "$work"' EXIT
 cd "$work"
 
-expect() {  # expect CODE TEXT WORDS...: the exit code, and a text in what is written
+expect() {  # expect CODE TEXT COMMAND...: checks the exit code, and that the output contains TEXT
   local code=$1 text=$2 got=0
   shift 2
   "$@" >out 2>&1 || got=$?
   if [ "$got" != "$code" ] || { [ -n "$text" ] && ! grep -qF -- "$text" out; }; then
-    echo "'$*' ended with $got instead of $code, or without '$text':"
+    echo "'$*' exited with $got instead of $code, or its output lacks '$text':"
     cat out
     exit 1
   fi
@@ -39,7 +39,7 @@
 echo '{"sagetally_lab":1}' >half.json
 expect 1 "half.json: /" "$loadtest" report half.json
 
-# Stub servers as a program, and a load on them.
+# Stub servers in their own process, and a load on them.
 echo '{"timeline":[{"fault":"full","ms":100,"at_ms":0,"for_ms":100}]}' >stubs.json
 "$loadtest" standin front --file stubs.json --record seen.jsonl >stubs.log 2>&1 &
 stubs=$!
@@ -61,7 +61,7 @@
 fi
 expect 0 "highest rate held for 1 s: 100/s" "$loadtest" limit scenario.json --from 100 --to 100 --probe-s 0.5 --confirm-s 1 \
   --lag-p99-ms 50 --p99-ms 100
-# Ctrl-C: what there was until then, said to be partial.
+# Ctrl-C: the result up to the interruption is written and marked as partial.
 "$loadtest" load scenario.json --seconds 60 --output cut.json >cut.log 2>&1 &
 cut=$!
 for _ in $(seq 500); do grep -q "^1 s:" cut.log && break; sleep 0.02; done
@@ -79,7 +79,7 @@
 expect 0 '"class":"pedido","destination":4' cat t.jsonl
 expect 1 "line 3, column 1" "$loadtest" trace import foreign.csv --column time ts --strict
 
-# The demonstration: its partners fail, and every message still has one final outcome.
+# The demonstration: some of its partners fail, and every message still has exactly one final outcome.
 for levels in one two; do
   expect 0 "rules checked: all kept" "$loadtest" try --levels $levels --seconds 3 --rate 80 --program "$program" --output try-$levels
   test -s try-$levels/report.html
--- a/tests/loadtest/rejected.h
+++ b/tests/loadtest/rejected.h
@@ -1,4 +1,4 @@
-// Helpers for tests of errors.
+// Helpers for tests of error messages. Header-only; used by the tests of this folder.
 #ifndef SAGETALLY_TESTS_LOADTEST_REJECTED_H_
 #define SAGETALLY_TESTS_LOADTEST_REJECTED_H_
 
@@ -9,7 +9,7 @@
 
 namespace sagetally::loadtest {
 
-// The message of the exception that `call` throws; empty if it throws none.
+// Returns the message of the exception that `call` throws, or an empty string if it throws none.
 template <typename F>
 std::string ErrorOf(F call) {
   try {
@@ -20,13 +20,13 @@
   return "";
 }
 
-// A text that can't be read, and where its error is.
+// An invalid text, and the JSON pointer of the value that is invalid.
 struct InvalidText {
   const char* text;
   const char* pointer;
 };
 
-// Asserts that reading each text fails with a message that begins with its pointer.
+// Asserts that `read` fails for each text of the table with a message that begins with the row's pointer.
 template <typename F, std::size_t kSize>
 void EachErrorBeginsWithItsPointer(const InvalidText (&table)[kSize], F read) {
   for (const InvalidText& row : table) {
--- a/tests/loadtest/report_test.cpp
+++ b/tests/loadtest/report_test.cpp
@@ -1,5 +1,5 @@
-// Histograms, statistics, run summaries, the checker's rules, imported traces and the rate search: all that
-// needs no socket.
+// Tests the parts that need no socket: histograms, statistics, run summaries, the checker's rules, imported
+// traces and the rate search.
 #undef NDEBUG
 #include <algorithm>
 #include <cassert>
@@ -34,8 +34,8 @@
   }
   std::sort(exact.begin(), exact.end());
   for (const double p : {0.001, 0.1, 0.5, 0.9, 0.99, 0.999, 0.9999}) {
-    const double truth = exact[static_cast<std::size_t>(std::ceil(p * 40'000)) - 1];
-    assert(std::abs(whole.Quantile(p) / truth - 1) < 0.01);
+    const double exact_quantile = exact[static_cast<std::size_t>(std::ceil(p * 40'000)) - 1];
+    assert(std::abs(whole.Quantile(p) / exact_quantile - 1) < 0.01);
   }
   assert(whole.Quantile(1) == exact.back() && whole.Quantile(0) == exact.front() &&
          whole.max() == exact.back());
@@ -43,9 +43,9 @@
   for (const LatencyHistogram& part : parts) merged.Merge(part);
   assert(merged.count() == whole.count() && merged.min() == whole.min() && merged.max() == whole.max());
   assert(merged.ToJson()["bins"] == whole.ToJson()["bins"]);
-  const LatencyHistogram read = LatencyHistogram::FromJson(nlohmann::json::parse(whole.ToJson().dump()));
-  assert(read.Quantile(0.99) == whole.Quantile(0.99) && read.count() == whole.count());
-  // Both ends of the axis, and beyond it.
+  const LatencyHistogram read_back = LatencyHistogram::FromJson(nlohmann::json::parse(whole.ToJson().dump()));
+  assert(read_back.Quantile(0.99) == whole.Quantile(0.99) && read_back.count() == whole.count());
+  // Values at both ends of the axis, and values outside it.
   for (const double us : {10.0, 11.0, 1e3, 1e6, 599e6}) {
     LatencyHistogram one;
     for (const double factor : {1.0, 1.003, 1.003, 1.006}) one.Add(us * factor);
@@ -70,13 +70,15 @@
   assert(!RatioInterval(a, zero));
 }
 
+// A scenario with a class "a" with an objective of 100 ms, and a class "p" that may not be repeated.
 Scenario TwoClasses() {
   return ScenarioFromJson(nlohmann::json::parse(
       R"({"targets":["127.0.0.1:1"],"classes":[{"name":"a","deadline_ms":1000,"aim_ms":100},
           {"name":"p","deadline_ms":1000,"repeat":"never"}]})"));
 }
 
-MessageRecord Sent(std::int64_t number, int message_class, std::int16_t status) {
+// A message that was intended `number` ms after second 1, and got its response 530 us after that.
+MessageRecord SentMessage(std::int64_t number, int message_class, std::int16_t status) {
   MessageRecord record;
   record.planned = {number, number * 1000, message_class, 3, 10, 0};
   record.intended_us = 1'000'000 + number * 1000;
@@ -93,7 +95,8 @@
   return record;
 }
 
-Observation Saw(ObservationKind kind, std::int64_t number, std::int64_t after_us, int submission = 0) {
+// An observation `after_us` after the message's intended time. Message 9 is not idempotent.
+Observation Observed(ObservationKind kind, std::int64_t number, std::int64_t after_us, int submission = 0) {
   const SubmissionId id{7, number, submission, 3,
                         number == 9 ? Idempotency::kNotIdempotent : Idempotency::kIdempotent};
   return {kind, 1'000'000 + number * 1000 + after_us, ToText(id)};
@@ -101,55 +104,59 @@
 
 void EachMessageHasOneFinalOutcome() {
   std::vector<MessageRecord> records;
-  for (int i = 0; i < 10; ++i) records.push_back(Sent(i, i == 9 ? 1 : 0, 202));
-  records[0] = Sent(0, 0, 429);
-  records[1] = Sent(1, 0, 500);
-  records[2] = Sent(2, 0, 0);
+  for (int i = 0; i < 10; ++i) records.push_back(SentMessage(i, i == 9 ? 1 : 0, 202));
+  records[0] = SentMessage(0, 0, 429);
+  records[1] = SentMessage(1, 0, 500);
+  records[2] = SentMessage(2, 0, 0);
   records[3].sent_us = kNever;
   records[3].responded_us = kNever;
   records[3].accepted_us = kNever;
-  std::vector<Observation> seen = {
-      Saw(ObservationKind::kDelivered, 4, 50'000),      Saw(ObservationKind::kDelivered, 5, 150'000),
-      Saw(ObservationKind::kUndeliverable, 6, 900'000), Saw(ObservationKind::kDeferred, 7, 500'000),
-      Saw(ObservationKind::kDelivered, 9, 10'000),      Saw(ObservationKind::kDelivered, 8, 10, 1),
-      Saw(ObservationKind::kDelivered, 8, 10, 1)};
-  const auto at = [&](const RunSummary& a, FinalOutcome f) {
-    return a.outcomes[static_cast<std::size_t>(f)];
+  std::vector<Observation> observations = {Observed(ObservationKind::kDelivered, 4, 50'000),
+                                           Observed(ObservationKind::kDelivered, 5, 150'000),
+                                           Observed(ObservationKind::kUndeliverable, 6, 900'000),
+                                           Observed(ObservationKind::kDeferred, 7, 500'000),
+                                           Observed(ObservationKind::kDelivered, 9, 10'000),
+                                           Observed(ObservationKind::kDelivered, 8, 10, 1),
+                                           Observed(ObservationKind::kDelivered, 8, 10, 1)};
+  const auto count = [&](const RunSummary& totals, FinalOutcome outcome) {
+    return totals.outcomes[static_cast<std::size_t>(outcome)];
   };
-  RunSummary a = Summarize(TwoClasses(), records, seen, true, 1'100'000, 7);
-  assert(at(a, FinalOutcome::kRejected) == 1 && at(a, FinalOutcome::kFailed) == 1 &&
-         at(a, FinalOutcome::kUnanswered) == 1 && at(a, FinalOutcome::kUnsent) == 1);
-  assert(at(a, FinalOutcome::kWithinObjective) == 2 && at(a, FinalOutcome::kLate) == 1 &&
-         at(a, FinalOutcome::kUndeliverable) == 1 && at(a, FinalOutcome::kDeferred) == 1);
-  assert(at(a, FinalOutcome::kPending) == 1 && a.violation_count == 0 && a.abandoned_observations == 2 &&
-         a.offered == 10);
-  // After its deadline a message is lost; deliveries of an abandoned submission don't count.
-  a = Summarize(TwoClasses(), records, seen, true, 9'000'000, 7);
-  assert(at(a, FinalOutcome::kLost) == 1 && a.violations.front().rule == "lost");
-  seen.push_back(Saw(ObservationKind::kUndeliverable, 4, 60'000));
-  seen.push_back(Saw(ObservationKind::kEffect, 9, 60'000));
-  seen.push_back(Saw(ObservationKind::kEffect, 9, 70'000));
-  seen.push_back({ObservationKind::kDelivered, 5, "somebody else's"});
-  a = Summarize(TwoClasses(), records, seen, true, 1'100'000, 7);
-  assert(a.violation_count == 2 && a.foreign_observations == 1);
-  a = Summarize(TwoClasses(), records, {}, false, 9'000'000, 7);
-  assert(at(a, FinalOutcome::kNotObserved) == 6 && a.violation_count == 0);
-  assert(a.response_corrected.min() == 530 && a.response_as_sent.min() == 500 && a.lag.max() == 20 &&
-         a.buckets.size() == 1);
+  RunSummary summary = Summarize(TwoClasses(), records, observations, true, 1'100'000, 7);
+  assert(count(summary, FinalOutcome::kRejected) == 1 && count(summary, FinalOutcome::kFailed) == 1 &&
+         count(summary, FinalOutcome::kUnanswered) == 1 && count(summary, FinalOutcome::kUnsent) == 1);
+  assert(count(summary, FinalOutcome::kWithinObjective) == 2 && count(summary, FinalOutcome::kLate) == 1 &&
+         count(summary, FinalOutcome::kUndeliverable) == 1 && count(summary, FinalOutcome::kDeferred) == 1);
+  assert(count(summary, FinalOutcome::kPending) == 1 && summary.violation_count == 0 &&
+         summary.abandoned_observations == 2 && summary.offered == 10);
+  // A message without an outcome after its deadline is lost. Deliveries of an abandoned submission don't
+  // count.
+  summary = Summarize(TwoClasses(), records, observations, true, 9'000'000, 7);
+  assert(count(summary, FinalOutcome::kLost) == 1 && summary.violations.front().rule == "lost");
+  observations.push_back(Observed(ObservationKind::kUndeliverable, 4, 60'000));
+  observations.push_back(Observed(ObservationKind::kEffect, 9, 60'000));
+  observations.push_back(Observed(ObservationKind::kEffect, 9, 70'000));
+  observations.push_back({ObservationKind::kDelivered, 5, "of another client"});
+  summary = Summarize(TwoClasses(), records, observations, true, 1'100'000, 7);
+  assert(summary.violation_count == 2 && summary.foreign_observations == 1);
+  summary = Summarize(TwoClasses(), records, {}, false, 9'000'000, 7);
+  assert(count(summary, FinalOutcome::kNotObserved) == 6 && summary.violation_count == 0);
+  assert(summary.response_corrected.min() == 530 && summary.response_as_sent.min() == 500 &&
+         summary.lag.max() == 20 && summary.buckets.size() == 1);
 }
 
 void ResultsAreReadBackAndCompared() {
   std::vector<MessageRecord> records;
-  for (int i = 0; i < 50; ++i) records.push_back(Sent(i, 0, 202));
+  for (int i = 0; i < 50; ++i) records.push_back(SentMessage(i, 0, 202));
   RunRecords run;
   run.run = 7;
   run.ended_us = 5'000'000;
   run.records = records;
   run.threads = {{1, 0.1, 0.5, 1}};
   const RunResult result = MakeResult("x", TwoClasses(), run, {}, false);
-  assert(result.invalid_reasons.size() == 2);  // half of the time without a core, and a jump of the clock
-  const RunResult read = ResultFromJson(nlohmann::json::parse(ToJson(result).dump()));
-  assert(ToJson(read) == ToJson(result));
+  // A thread waited for a core half of the time, and its clock jumped.
+  assert(result.invalid_reasons.size() == 2);
+  const RunResult read_back = ResultFromJson(nlohmann::json::parse(ToJson(result).dump()));
+  assert(ToJson(read_back) == ToJson(result));
   nlohmann::json broken = ToJson(result);
   broken["fates"].erase("late");
   assert(!ErrorOf([&] { ResultFromJson(broken); }).empty());
@@ -157,8 +164,8 @@
   slower.summary.response_corrected.Add(900'000);
   slower.summary.response_corrected.Add(900'000);
   const auto verdict = [](const nlohmann::json& comparison, const std::string& metric) {
-    for (const auto& f : comparison["figures"]) {
-      if (f["figure"] == metric) return f["verdict"].get<std::string>();
+    for (const auto& row : comparison["figures"]) {
+      if (row["figure"] == metric) return row["verdict"].get<std::string>();
     }
     return std::string("none");
   };
@@ -172,8 +179,8 @@
   assert(verdict(Compare({result}, {slower}), "answer p99, ms") == "one run is too few to tell");
 }
 
-// Runs a script of calls against a checker. Times are in milliseconds; the dispatcher may have two calls at
-// once.
+// A checker, and helpers to report calls to it. Times are in milliseconds. The dispatcher may have two
+// concurrent calls.
 class CheckerHarness {
  public:
   CheckerHarness() : checker(TwoConcurrentCalls()) {}
@@ -208,7 +215,8 @@
 
 constexpr const char* kNoViolation = "0";
 
-// The rule that the script violates, or how many if that isn't one.
+// Runs the script on a new checker. Returns the name of the violated rule, or the number of violations if it
+// isn't one.
 template <typename Script>
 std::string ViolatedRule(Script script) {
   CheckerHarness harness;
@@ -217,7 +225,7 @@
   return checker.count() == 1 ? checker.violations()[0].rule : std::to_string(checker.count());
 }
 
-// In each of these, a violation is reported by its name, and the nearest script without one is not.
+// Each of the following tests has scripts that violate a rule, and similar scripts that just keep it.
 
 void CheckerFindsConcurrentCopiesAndTooManyCalls() {
   assert(ViolatedRule([](CheckerHarness& h) {
@@ -258,7 +266,8 @@
          }) == kNoViolation);
 }
 
-// A wait binds the whole destination, from 100 ms after its announcement, and no other destination.
+// An announced wait applies to all endpoints of the destination from 100 ms after its announcement, and to no
+// other destination.
 void CheckerFindsCallsBeforeAWaitIsOver() {
   assert(ViolatedRule([](CheckerHarness& h) {
            h.AnnounceWait();
@@ -337,7 +346,7 @@
          imported.messages[1].destination == 4);
   assert(imported.messages[0].body_bytes == 100 && imported.messages[1].body_bytes == 200 &&
          imported.messages[1].message_class == 1);
-  // Malformed lines are counted, reported with line and column, and fatal if strict.
+  // Malformed lines are counted and reported with line and column. With `strict`, the first one is an error.
   const std::string bad = "time,class,to\n1,a,1\nx,a,1\n2,a\n3,\"a,1\n4,a,1\n";
   imported = Import(bad, csv);
   assert(imported.messages.size() == 2 && imported.malformed_count == 3 &&
@@ -345,9 +354,9 @@
   assert(imported.malformed_lines[1].line == 4 && imported.malformed_lines[1].column == 4 &&
          imported.malformed_lines[2].line == 5 && imported.malformed_lines[2].column == 7);
   csv.strict = true;
-  const std::string what = ErrorOf([&] { Import(bad, csv); });
-  assert(what.starts_with("line 3, column 1: expected a time"));
-  // A clock that goes back is sorted and reported.
+  const std::string error = ErrorOf([&] { Import(bad, csv); });
+  assert(error.starts_with("line 3, column 1: expected a time"));
+  // Lines whose time goes back are sorted and reported.
   csv.strict = false;
   imported = Import("time,class,to\n5,a,1\n2,a,2\n6,a,3\n", csv);
   assert(imported.out_of_order_lines == 1 && imported.max_backward_s == 3 &&
@@ -419,7 +428,7 @@
     });
   };
   assert(std::abs(search(1234, 1234).rate / 1234 - 1) < 0.05 && search(1234, 1234).rate <= 1234);
-  const RateSearchResult confirmed = search(1234, 1000);  // less is sustained for long than for short
+  const RateSearchResult confirmed = search(1234, 1000);  // a long run sustains less than a short one
   assert(confirmed.rate <= 1000 && confirmed.rate > 900 && confirmed.probes.back().seconds == 60);
   assert(search(50, 50).rate == 0 && search(1e9, 1e9).rate == 10'000);
 }
--- a/tests/loadtest/stub_test.cpp
+++ b/tests/loadtest/stub_test.cpp
@@ -1,5 +1,5 @@
-// The stub servers on sockets: the client observes each fault, the checker reports each violated rule, and a
-// clean run shows nothing.
+// Tests the stub servers on sockets: a client observes each fault, the checker reports each violated rule,
+// and a run without violations has no report.
 #undef NDEBUG
 #include <algorithm>
 #include <cassert>
@@ -19,13 +19,14 @@
 using Json = nlohmann::json;
 constexpr Duration kResponseTimeout = std::chrono::milliseconds(150);
 
-// Stub servers and a client of them on one loop.
+// Stub servers and their client on one event loop.
 struct Fixture {
   explicit Fixture(const Json& json)
       : stubs(loop, StubServerSettingsFromJson(json)),
         clients(loop,
                 {{"127.0.0.1", stubs.partners.empty() ? stubs.agent->port() : stubs.partners[0]->port()}}, 32,
                 kResponseTimeout) {}
+  // Starts a call. The loop stops when no call is in flight any more.
   void Post(const std::string& id, const std::string& key = "", const std::string& path = "/hook") {
     std::string text =
         "POST " + path + " HTTP/1.1\r\nHost: p\r\nX-Request-Id: " + id + "\r\nContent-Length: 1\r\n";
@@ -36,7 +37,7 @@
       if (--in_flight == 0) loop.Break();
     });
   }
-  // The code of one call, once it is over.
+  // Makes one call and returns its status code, or 0 without a response.
   int Call(const std::string& id, const std::string& key = "", const std::string& path = "/hook") {
     Post(id, key, path);
     loop.Run();
@@ -47,15 +48,17 @@
     timer.Schedule(d);
     loop.Run();
   }
-  // The violated rule, or how many if that isn't one.
+  // The name of the violated rule, or the number of violations if it isn't one.
   std::string ViolatedRule() const {
     const Checker& checker = stubs.checker;
     return checker.count() == 1 ? checker.violations()[0].rule : std::to_string(checker.count());
   }
+  // How often the message took effect.
   std::int64_t Effects(const std::string& id) const {
-    return std::count_if(stubs.observations.begin(), stubs.observations.end(), [&](const Observation& seen) {
-      return seen.kind == ObservationKind::kEffect && seen.id == id;
-    });
+    return std::count_if(stubs.observations.begin(), stubs.observations.end(),
+                         [&](const Observation& observation) {
+                           return observation.kind == ObservationKind::kEffect && observation.id == id;
+                         });
   }
   EventLoop loop;
   StubServerSet stubs;
@@ -78,37 +81,38 @@
 void ClientObservesEachFault() {
   struct Row {
     const char* fault;
-    int code;                // the client's response; 0: none
-    double effects_of_four;  // of four messages
+    int code;                // status code of the client's response; 0 if there is none
+    double effects_of_four;  // how often four messages take effect together
   };
   const Row table[] = {{"well", 200, 4},   {"slow", 200, 4}, {"silent", 0, 2},  {"late", 0, 4},
                        {"refuse", 503, 0}, {"full", 429, 0}, {"error", 500, 2}, {"reset", 0, 2},
                        {"half", 0, 4},     {"spoilt", 0, 4}, {"twice", 200, 8}, {"shut", 0, 0}};
   for (const Row& row : table) {
-    Fixture b(Partner({}, AlwaysFault(row.fault)));
+    Fixture fixture(Partner({}, AlwaysFault(row.fault)));
     std::int64_t effects = 0;
     for (int i = 0; i < 4; ++i) {
-      const int code = b.Call(Id(i));
+      const int code = fixture.Call(Id(i));
       if (code != row.code) std::fprintf(stderr, "%s: %d\n", row.fault, code);
       assert(code == row.code);
-      if (std::string(row.fault) == "full") b.Wait(std::chrono::milliseconds(70));
+      if (std::string(row.fault) == "full") fixture.Wait(std::chrono::milliseconds(70));
     }
-    b.Wait(std::chrono::milliseconds(80));
-    for (int i = 0; i < 4; ++i) effects += b.Effects(Id(i));
-    assert(static_cast<double>(effects) == row.effects_of_four && b.stubs.checker.count() == 0);
+    fixture.Wait(std::chrono::milliseconds(80));
+    for (int i = 0; i < 4; ++i) effects += fixture.Effects(Id(i));
+    assert(static_cast<double>(effects) == row.effects_of_four && fixture.stubs.checker.count() == 0);
   }
-  // Paused: accepted by the kernel, and answered once it is over.
-  Fixture b(Partner({}, {{{"fault", "pause"}, {"for_ms", 120}}}));
-  assert(b.Call(Id(1)) == 200 && NowUs() - b.stubs.started_us() >= 119'000);
-  assert(b.Call(Id(2), "", "/other") == 404);
+  // While the server pauses, the kernel accepts a connection, and the response comes after the pause.
+  Fixture fixture(Partner({}, {{{"fault", "pause"}, {"for_ms", 120}}}));
+  assert(fixture.Call(Id(1)) == 200 && NowUs() - fixture.stubs.started_us() >= 119'000);
+  assert(fixture.Call(Id(2), "", "/other") == 404);
 }
 
 void PartnerLimitsRejectCalls() {
-  const auto codes = [](Fixture& b, int count) {
-    for (int i = 0; i < count; ++i) b.Post(Id(100 + i));
-    b.loop.Run();
+  // Starts `count` calls at once and counts their responses by status code.
+  const auto codes = [](Fixture& fixture, int count) {
+    for (int i = 0; i < count; ++i) fixture.Post(Id(100 + i));
+    fixture.loop.Run();
     std::map<int, int> by_code;
-    for (const int code : b.codes) ++by_code[code];
+    for (const int code : fixture.codes) ++by_code[code];
     return by_code;
   };
   const Json slow = {{"kind", "constant"}, {"value", 30}};
@@ -139,92 +143,97 @@
 
 void CheckerReportsEachViolatedRule() {
   const auto run = [](const Json& json, auto script) {
-    Fixture b(json);
-    script(b);
-    return b.ViolatedRule();
+    Fixture fixture(json);
+    script(fixture);
+    return fixture.ViolatedRule();
   };
   const Json slow = {{"service_ms", {{"kind", "constant"}, {"value", 30}}}};
-  assert(run(Partner(slow), [](Fixture& b) { b.Post(Id(1)), b.Post(Id(1)), b.loop.Run(); }) == "second copy");
-  assert(run(Partner(), [](Fixture& b) { b.Call(Id(1, Idempotency::kIdempotent, 8)); }) ==
+  assert(run(Partner(slow), [](Fixture& fixture) {
+           fixture.Post(Id(1)), fixture.Post(Id(1)), fixture.loop.Run();
+         }) == "second copy");
+  assert(run(Partner(), [](Fixture& fixture) { fixture.Call(Id(1, Idempotency::kIdempotent, 8)); }) ==
          "wrong destination");
-  assert(run(Partner(slow), [](Fixture& b) {
-           for (int i = 0; i < 5; ++i) b.Post(Id(i));
-           b.loop.Run();
+  assert(run(Partner(slow), [](Fixture& fixture) {
+           for (int i = 0; i < 5; ++i) fixture.Post(Id(i));
+           fixture.loop.Run();
          }) == "beyond slots");
-  assert(run(Partner({}, AlwaysFault("refuse")), [](Fixture& b) {
-           for (int i = 0; i < 7; ++i) b.Call(Id(1));
+  assert(run(Partner({}, AlwaysFault("refuse")), [](Fixture& fixture) {
+           for (int i = 0; i < 7; ++i) fixture.Call(Id(1));
          }) == "too many attempts");
   const Json announced_wait = {{{"fault", "full"}, {"ms", 400}, {"for_ms", 30}}};
-  assert(run(Partner({}, announced_wait), [](Fixture& b) {
-           b.Call(Id(1)), b.Wait(std::chrono::milliseconds(150)), b.Call(Id(2));
+  assert(run(Partner({}, announced_wait), [](Fixture& fixture) {
+           fixture.Call(Id(1)), fixture.Wait(std::chrono::milliseconds(150)), fixture.Call(Id(2));
          }) == "wait not kept");
-  assert(run(Partner({}, AlwaysFault("error")), [](Fixture& b) {
-           b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent));
+  assert(run(Partner({}, AlwaysFault("error")), [](Fixture& fixture) {
+           fixture.Call(Id(1, Idempotency::kNotIdempotent)), fixture.Call(Id(1, Idempotency::kNotIdempotent));
          }) == "forbidden repeat");
-  assert(run(Partner({}, AlwaysFault("silent")), [](Fixture& b) {
-           b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent));
+  assert(run(Partner({}, AlwaysFault("silent")), [](Fixture& fixture) {
+           fixture.Call(Id(1, Idempotency::kNotIdempotent)), fixture.Call(Id(1, Idempotency::kNotIdempotent));
          }) == "forbidden repeat");
-  assert(run(Partner({}, AlwaysFault("reset")), [](Fixture& b) {
+  assert(run(Partner({}, AlwaysFault("reset")), [](Fixture& fixture) {
            const std::string id = Id(1, Idempotency::kIdempotentWithKey);
-           b.Call(id, "k"), b.Call(id, "k"), b.Wait(std::chrono::milliseconds(470)), b.Call(id, "k");
+           fixture.Call(id, "k"), fixture.Call(id, "k"), fixture.Wait(std::chrono::milliseconds(470)),
+               fixture.Call(id, "k");
          }) == "repeat window over");
-  assert(run(Partner(), [](Fixture& b) {
-           b.Call(Id(1, Idempotency::kNotIdempotent)), b.Call(Id(1, Idempotency::kNotIdempotent));
+  assert(run(Partner(), [](Fixture& fixture) {
+           fixture.Call(Id(1, Idempotency::kNotIdempotent)), fixture.Call(Id(1, Idempotency::kNotIdempotent));
          }) != "0");
-  // A clean run, with everything that is allowed.
-  assert(run(Partner(slow, AlwaysFault("error")), [](Fixture& b) {
+  // Allowed repeats and concurrent calls are no violations.
+  assert(run(Partner(slow, AlwaysFault("error")), [](Fixture& fixture) {
            const std::string keyed = Id(1, Idempotency::kIdempotentWithKey), free = Id(2),
                              never = Id(3, Idempotency::kNotIdempotent);
-           b.Call(keyed, "k"), b.Call(keyed, "k"), b.Call(free), b.Call(free), b.Call(never);
-           for (int i = 10; i < 14; ++i) b.Post(Id(i));
-           b.loop.Run();
+           fixture.Call(keyed, "k"), fixture.Call(keyed, "k"), fixture.Call(free), fixture.Call(free),
+               fixture.Call(never);
+           for (int i = 10; i < 14; ++i) fixture.Post(Id(i));
+           fixture.loop.Run();
          }) == "0");
 }
 
 void AgentSendsChangesAndReceivesNotices() {
   Json json = Partner();
   json["agent"] = Json::object();
-  Fixture b(json);
+  Fixture fixture(json);
   std::string announced;
-  b.stubs.agent->on_state_announced = [&](const std::string& uid, const std::string& state) {
+  fixture.stubs.agent->on_state_announced = [&](const std::string& uid, const std::string& state) {
     announced += uid + " " + state + "\n";
   };
-  HttpClientPool agent(b.loop, {{"127.0.0.1", b.stubs.agent->port()}}, 4, kResponseTimeout);
-  const auto ask = [&](const std::string& head, const std::string& body) {
+  HttpClientPool agent(fixture.loop, {{"127.0.0.1", fixture.stubs.agent->port()}}, 4, kResponseTimeout);
+  const auto request = [&](const std::string& head, const std::string& body) {
     int code = -1;
     agent.Send(
         head + " HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
         [&](const Reply& reply) {
           code = reply.code;
-          b.loop.Break();
+          fixture.loop.Break();
         });
-    b.loop.Run();
+    fixture.loop.Run();
     return code;
   };
-  assert(ask("GET /v1/servers", "") == 200);
-  assert(ask("POST /v1/notices",
-             "{\"id\":\"a\",\"status\":\"undeliverable\"}\n{\"id\":\"b\",\"status\":\"deferred\"}\n") == 204);
-  assert(ask("POST /v1/notices", "no notice\n") == 400 && b.stubs.agent->malformed == 1);
-  assert(ask("GET /other", "") == 404);
-  const auto& seen = b.stubs.observations;
-  assert(seen.size() == 2 && seen[0].kind == ObservationKind::kUndeliverable &&
-         seen[1].kind == ObservationKind::kDeferred);
-  b.stubs.agent->SetState("p", "terminating");  // without a watch
+  assert(request("GET /v1/servers", "") == 200);
+  assert(request("POST /v1/notices",
+                 "{\"id\":\"a\",\"status\":\"undeliverable\"}\n{\"id\":\"b\",\"status\":\"deferred\"}\n") ==
+         204);
+  assert(request("POST /v1/notices", "no notice\n") == 400 && fixture.stubs.agent->malformed == 1);
+  assert(request("GET /other", "") == 404);
+  const auto& observations = fixture.stubs.observations;
+  assert(observations.size() == 2 && observations[0].kind == ObservationKind::kUndeliverable &&
+         observations[1].kind == ObservationKind::kDeferred);
+  fixture.stubs.agent->SetState("p", "terminating");  // not announced, because no client watches
   assert(announced.empty());
-  b.stubs.agent->faults.silent = true;
-  assert(ask("GET /v1/servers", "") == 0);
-  b.stubs.agent->faults = {};
+  fixture.stubs.agent->faults.silent = true;
+  assert(request("GET /v1/servers", "") == 0);
+  fixture.stubs.agent->faults = {};
   agent.Send("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\nHost: a\r\n\r\n", [](const Reply&) {});
-  while (!b.stubs.agent->watch) b.Wait(std::chrono::milliseconds(1));
-  b.stubs.agent->SetState("p", "in_service");
+  while (!fixture.stubs.agent->watch) fixture.Wait(std::chrono::milliseconds(1));
+  fixture.stubs.agent->SetState("p", "in_service");
   assert(announced == "p in_service\n");
-  b.stubs.agent->faults.late_ms = 5;
-  b.stubs.agent->SetState("p", "terminating");
+  fixture.stubs.agent->faults.late_ms = 5;
+  fixture.stubs.agent->SetState("p", "terminating");
   assert(announced == "p in_service\n");
-  while (announced == "p in_service\n") b.Wait(std::chrono::milliseconds(1));
-  b.stubs.agent->faults = {.lost = true};
-  b.stubs.agent->SetState("p", "in_service");
-  b.Wait(std::chrono::milliseconds(20));
+  while (announced == "p in_service\n") fixture.Wait(std::chrono::milliseconds(1));
+  fixture.stubs.agent->faults = {.lost = true};
+  fixture.stubs.agent->SetState("p", "in_service");
+  fixture.Wait(std::chrono::milliseconds(20));
   assert(announced == "p in_service\np terminating\n");
 }
 
