--- a/src/loadtest/stub/agent.cpp
+++ b/src/loadtest/stub/agent.cpp
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-// Of the empty lines that keep a watch alive, as the protocol demands.
+// The protocol demands an empty line at this interval, which shows the client that the watch is alive.
 constexpr Duration kHeartbeatInterval = std::chrono::seconds(2);
 
 Json EndpointToJson(const ListedEndpoint& endpoint) {
@@ -27,10 +27,10 @@
 
 std::string ToJson(const ListedEndpoint& endpoint) { return EndpointToJson(endpoint).dump(); }
 
-Agent::Agent(EventLoop& loop, const Address& at)
+Agent::Agent(EventLoop& loop, const Address& listen_address)
     : loop_(loop),
       heartbeat_timer_(loop, [this] { SendHeartbeat(); }),
-      listener_(loop, at, [this](const auto& call) { OnRequest(call); }) {
+      listener_(loop, listen_address, [this](const auto& call) { OnRequest(call); }) {
   heartbeat_timer_.Schedule(kHeartbeatInterval);
 }
 Agent::~Agent() = default;
--- a/src/loadtest/stub/checker.cpp
+++ b/src/loadtest/stub/checker.cpp
@@ -19,7 +19,8 @@
 std::int64_t Checker::OnCallStarted(std::int64_t now_us, const CallInfo& call) {
   MessageState& message = messages_[call.id];
   if (message.in_flight > 0) {
-    AddViolation("second copy", call.id, "called at " + call.endpoint + " while another call of it was out");
+    AddViolation("second copy", call.id,
+                 "called at " + call.endpoint + " while another call of the message was in flight");
   }
   if (++message.calls > rules_.max_attempts) {
     AddViolation("too many attempts", call.id,
@@ -31,14 +32,14 @@
   const int in_flight = ++in_flight_by_dispatcher_[call.dispatcher];
   max_in_flight_ = std::max(max_in_flight_, in_flight);
   if (rules_.max_concurrent_calls > 0 && in_flight > rules_.max_concurrent_calls) {
-    AddViolation("beyond slots", call.id,
-                 fmt::format("{} calls out of at most {}", in_flight, rules_.max_concurrent_calls));
+    AddViolation(
+        "beyond slots", call.id,
+        fmt::format("{} calls in flight, at most {} are allowed", in_flight, rules_.max_concurrent_calls));
   }
   in_flight_calls_[next_call_number_] = {call, now_us};
   return next_call_number_++;
 }
 
-// Whether the endpoint may be called at all, now.
 void Checker::CheckTarget(std::int64_t now_us, const CallInfo& call) {
   if (call.message_destination && *call.message_destination != call.destination) {
     AddViolation("wrong destination", call.id,
@@ -51,31 +52,30 @@
   });
   if (violated != waits.end()) {
     AddViolation("wait not kept", call.id,
-                 fmt::format("destination {} was called {:.0f} ms before its wait was over", call.destination,
-                             Milliseconds(violated->until_us - now_us)));
+                 fmt::format("destination {} was called {:.0f} ms before its announced wait ended",
+                             call.destination, Milliseconds(violated->until_us - now_us)));
   }
   const auto draining = draining_since_us_.find(call.endpoint);
   if (draining != draining_since_us_.end() && now_us - draining->second > rules_.drain_grace_us) {
     AddViolation("drain not kept", call.id,
-                 fmt::format("{} was called {:.0f} ms after it was told draining", call.endpoint,
+                 fmt::format("{} was called {:.0f} ms after its draining was announced", call.endpoint,
                              Milliseconds(now_us - draining->second)));
   }
 }
 
-// Whether the message may be called again.
 void Checker::CheckRepeat(std::int64_t now_us, const CallInfo& call, const MessageState& message) {
   const auto& executed_us = message.may_have_executed_us;
   if (call.idempotency == Idempotency::kNotIdempotent && executed_us) {
-    AddViolation("forbidden repeat", call.id, "called again, though it may have run and may not be repeated");
+    AddViolation("forbidden repeat", call.id, "called again, although it may have run and is not idempotent");
   }
   if (call.idempotency == Idempotency::kIdempotentWithKey && executed_us &&
       now_us - *executed_us > rules_.deduplication_window_us) {
-    AddViolation(
-        "repeat window over", call.id,
-        fmt::format("called again {:.0f} ms after it may have run", Milliseconds(now_us - *executed_us)));
+    AddViolation("repeat window over", call.id,
+                 fmt::format("called again {:.0f} ms after a call that may have run",
+                             Milliseconds(now_us - *executed_us)));
   }
   if (message.delivered && call.idempotency == Idempotency::kNotIdempotent) {
-    AddViolation("delivered again", call.id, "called again after it was answered as delivered");
+    AddViolation("delivered again", call.id, "called again after a call got a response with status 200");
   }
 }
 
--- a/src/loadtest/stub/frontend.cpp
+++ b/src/loadtest/stub/frontend.cpp
@@ -7,7 +7,7 @@
 namespace sagetally::loadtest {
 namespace {
 
-// The ids of all messages in a request of either protocol.
+// Returns the ids of all messages in a request of the platform's protocol or of CloudEvents.
 std::vector<std::string> SubmittedIds(const Call& call) {
   if (const std::string id = call.Header("X-Request-Id"); !id.empty()) return {id};
   if (const std::string id = call.Header("ce-id"); !id.empty()) return {id};
@@ -21,11 +21,11 @@
 
 }  // namespace
 
-StubFrontend::StubFrontend(EventLoop& loop, const Address& at, const FaultTimeline& timeline, Random random,
-                           std::int64_t started_us)
+StubFrontend::StubFrontend(EventLoop& loop, const Address& listen_address, const FaultTimeline& timeline,
+                           Random random, std::int64_t started_us)
     : timeline_(timeline),
       random_(random),
-      listener_(loop, at, [this](const std::shared_ptr<Call>& call) { OnRequest(call); }),
+      listener_(loop, listen_address, [this](const std::shared_ptr<Call>& call) { OnRequest(call); }),
       fault_schedule_(loop, listener_, timeline, kUid, 0, started_us) {}
 
 bool StubFrontend::AnswerWithFault(Call& call, const FaultSpan& fault) {
--- a/src/loadtest/stub/frontend.h
+++ b/src/loadtest/stub/frontend.h
@@ -1,5 +1,6 @@
-// A stub of a whole dispatcher, as a target for the load generator: accepts every message unless its timeline
-// has a fault. What it accepts counts as delivered. Lives on one event loop; no threads.
+// A stub of a whole dispatcher, which serves as a target for the load generator. It accepts every message,
+// unless the fault timeline demands a fault for the request. An accepted message counts as delivered. All
+// calls and callbacks run on the thread of the event loop.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_FRONTEND_H_
 
@@ -15,23 +16,25 @@
 
 class StubFrontend {
  public:
-  // The name by which timelines address it.
+  // The endpoint name of the frontend in fault timelines.
   static constexpr const char* kUid = "front";
 
-  // `timeline` outlives the frontend; `started_us` is its time 0.
-  StubFrontend(EventLoop& loop, const Address& at, const FaultTimeline& timeline, Random random,
+  // `timeline` outlives the frontend. `started_us` is the timeline's time 0, on the monotonic clock. Throws
+  // std::runtime_error if the frontend can't listen.
+  StubFrontend(EventLoop& loop, const Address& listen_address, const FaultTimeline& timeline, Random random,
                std::int64_t started_us);
 
   std::uint16_t port() const { return listener_.port(); }
   Listener& listener() { return listener_; }
 
-  // Called for each accepted message.
+  // Called with the submission id of each accepted message, before the response is written. A message with
+  // Fault::kDoubleExecution is passed twice.
   std::function<void(const std::string& id)> on_accepted;
-  std::int64_t requests = 0;
+  std::int64_t requests = 0;  // number of received requests
 
  private:
   void OnRequest(const std::shared_ptr<Call>& call);
-  // Returns false if the fault leaves the call to be accepted.
+  // Applies the fault to the response. Returns false if the call is to be accepted all the same.
   static bool AnswerWithFault(Call& call, const FaultSpan& fault);
 
   const FaultTimeline& timeline_;
--- a/src/loadtest/stub/listener.cpp
+++ b/src/loadtest/stub/listener.cpp
@@ -18,14 +18,14 @@
 
 namespace http = boost::beast::http;
 
-// One accepted connection; reads one request at a time.
+// One accepted connection. It reads the next request after the response to the previous one is complete.
 class ListenerConnection {
  public:
   ListenerConnection(Listener& listener, evutil_socket_t fd)
       : listener_(listener),
         buffers_(bufferevent_socket_new(listener.loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE)) {
-    const int on = 1;
-    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    const int enabled = 1;
+    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     bufferevent_setcb(buffers_.get(), OnReadable, OnWritten, OnEvent, this);
     bufferevent_enable(buffers_.get(), EV_READ | EV_WRITE);
   }
@@ -33,7 +33,7 @@
   ListenerConnection(const ListenerConnection&) = delete;
   ListenerConnection& operator=(const ListenerConnection&) = delete;
 
-  // Closes the socket and tells the handler of a call that has no response yet.
+  // Closes the socket. If a call has no complete response yet, its `on_gone` is called.
   void Detach() {
     if (!buffers_) return;
     buffers_.reset();
@@ -43,7 +43,7 @@
     }
   }
   void Write(const std::string& text) { bufferevent_write(buffers_.get(), text.data(), text.size()); }
-  // The response is written; the next request may be read.
+  // Ends the current call after its response is complete, and lets the next request be read.
   void CompleteCall() {
     call_->connection_ = nullptr;
     call_->on_gone = nullptr;
@@ -55,8 +55,8 @@
     if (evbuffer_get_length(bufferevent_get_output(buffers_.get())) == 0) listener_.Remove(*this);
   }
   void Reset() {
-    const linger none{1, 0};
-    ::setsockopt(bufferevent_getfd(buffers_.get()), SOL_SOCKET, SO_LINGER, &none, sizeof none);
+    const linger zero_linger{1, 0};  // makes the close send a TCP RST
+    ::setsockopt(bufferevent_getfd(buffers_.get()), SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
     listener_.Remove(*this);
   }
   void Pause(bool paused) {
@@ -171,8 +171,11 @@
   if (!gone()) connection_->Reset();
 }
 
-Listener::Listener(EventLoop& loop, const Address& at, Handler handler)
-    : loop_(loop), at_(at), handler_(std::move(handler)), cleanup_timer_(loop, [this] { removed_.clear(); }) {
+Listener::Listener(EventLoop& loop, const Address& listen_address, Handler handler)
+    : loop_(loop),
+      listen_address_(listen_address),
+      handler_(std::move(handler)),
+      cleanup_timer_(loop, [this] { removed_.clear(); }) {
   Listen();
 }
 Listener::~Listener() = default;
@@ -180,18 +183,20 @@
 void Listener::Listen() {
   sockaddr_in address{};
   address.sin_family = AF_INET;
-  address.sin_port = htons(at_.port);
-  if (::inet_pton(AF_INET, at_.host.c_str(), &address.sin_addr) != 1) {
-    throw std::runtime_error("no address: " + at_.host);
+  address.sin_port = htons(listen_address_.port);
+  if (::inet_pton(AF_INET, listen_address_.host.c_str(), &address.sin_addr) != 1) {
+    throw std::runtime_error("not an IPv4 address: " + listen_address_.host);
   }
   listener_.reset(evconnlistener_new_bind(
       loop_.base(), OnAccepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
       SOMAXCONN, reinterpret_cast<const sockaddr*>(&address), sizeof address));
-  if (!listener_) throw std::runtime_error("can't listen at " + at_.host + ":" + std::to_string(at_.port));
+  if (!listener_)
+    throw std::runtime_error("can't listen at " + listen_address_.host + ":" +
+                             std::to_string(listen_address_.port));
   socklen_t size = sizeof address;
   ::getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &size);
   port_ = ntohs(address.sin_port);
-  at_.port = port_;
+  listen_address_.port = port_;
 }
 
 void Listener::OnAccepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
--- a/src/loadtest/stub/listener.h
+++ b/src/loadtest/stub/listener.h
@@ -1,6 +1,7 @@
-// An HTTP/1.1 listener for stub servers: passes on each request, and lets its response be late, malformed,
-// truncated or reset. Made to provoke failures, not for speed or for hostile clients. Lives on one event
-// loop; no threads.
+// An HTTP/1.1 listener for stub servers. It passes each request to a handler, which can send the response
+// late, malformed or truncated, or reset the connection. The listener serves to provoke failures: it is
+// neither made for speed nor protected against hostile clients. All calls and callbacks run on the thread of
+// the event loop.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_LISTENER_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_LISTENER_H_
 
@@ -20,8 +21,8 @@
 
 class ListenerConnection;
 
-// One request, until its response is written or its connection has ended. Handlers may keep it as long as
-// they like.
+// One request and its response. Handlers may keep the object after the response was written or the connection
+// has ended.
 class Call {
  public:
   using Headers = std::vector<std::pair<std::string, std::string>>;
@@ -31,26 +32,26 @@
   std::string body;
   Headers headers;
 
-  // The first such header, whatever its case; empty if absent.
+  // Returns the value of the first header with this name, ignoring case, or an empty string.
   std::string Header(const char* name) const;
 
-  // Whether the connection has ended, or the response was written.
+  // Returns whether the connection has ended or the response was written.
   bool gone() const { return connection_ == nullptr; }
 
-  // All of these return false, and do nothing, if the call is gone.
-  // Writes a whole response.
+  // The functions that return bool do nothing and return false if the call is gone.
+  // Writes a whole response with the body `text` and the further headers `more`.
   bool Answer(int code, const std::string& text = "", const Headers& more = {});
-  // Chunked responses, which stay open: the head, a chunk, the end.
+  // Write a chunked response: first its head, then any number of chunks, and at last its end.
   bool StartChunks();
   bool Chunk(const std::string& text);
   bool EndChunks();
-  // Writes bytes as they are. The connection stays open and waits for the rest of the response.
+  // Writes bytes unchanged. The response stays open, so that more bytes may follow.
   bool Raw(const std::string& bytes);
 
-  void Close();  // once all that was written has been sent
-  void Reset();  // at once, with RST
+  void Close();  // closes the connection once all written bytes have been sent
+  void Reset();  // resets the connection at once, with a TCP RST
 
-  // Called once if the connection ends before the response.
+  // Called once if the connection ends before the response is complete.
   std::function<void()> on_gone;
 
  private:
@@ -62,8 +63,9 @@
  public:
   using Handler = std::function<void(std::shared_ptr<Call>)>;
 
-  // Port 0: any. Throws std::runtime_error if it can't listen.
-  Listener(EventLoop& loop, const Address& at, Handler handler);
+  // `handler` is called for each request. Port 0 lets the kernel choose a port. Throws std::runtime_error if
+  // the listener can't listen.
+  Listener(EventLoop& loop, const Address& listen_address, Handler handler);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -71,14 +73,16 @@
   std::uint16_t port() const { return port_; }
   std::size_t connections() const { return connections_.size(); }
 
-  // Further connections are closed as they come.
+  // While this number of connections is open, each new one is closed as soon as it is accepted.
   std::size_t max_connections = 100'000;
 
-  // If not listening, the kernel refuses new connections and open ones are reset. The port stays the same.
+  // With false, the kernel refuses new connections and open connections are reset. With true, the listener
+  // listens again on the same port.
   void SetListening(bool is_listening);
   bool is_listening() const { return listener_ != nullptr; }
 
-  // While paused, connections are neither accepted nor read; what came meanwhile is read afterwards.
+  // While the listener is paused, connections are neither accepted nor read. Connections and bytes that
+  // arrive meanwhile are handled afterwards.
   void SetPaused(bool paused);
 
  private:
@@ -88,13 +92,14 @@
   void Remove(ListenerConnection& connection);
 
   EventLoop& loop_;
-  Address at_;
+  Address listen_address_;
   Handler handler_;
   std::unique_ptr<evconnlistener, Free<evconnlistener_free>> listener_;
   std::uint16_t port_ = 0;
   bool paused_ = false;
   std::map<ListenerConnection*, std::unique_ptr<ListenerConnection>> connections_;
-  std::vector<std::unique_ptr<ListenerConnection>> removed_;  // freed once libevent has left their callbacks
+  // Removed connections, freed after libevent's callbacks have returned.
+  std::vector<std::unique_ptr<ListenerConnection>> removed_;
   Timer cleanup_timer_;
 };
 
--- a/src/loadtest/stub/listener_fault_schedule.cpp
+++ b/src/loadtest/stub/listener_fault_schedule.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Beyond this a span has no end; a timer couldn't wait so long.
+// A change that is later than this is the end of a span without an end. No timer is set for it, because a
+// timer can't wait so long.
 constexpr double kMaxTimerMs = 1e12;
 
 }  // namespace
@@ -32,7 +33,7 @@
 void ListenerFaultSchedule::ApplyFaults() {
   const double now_ms = NowMs();
   bool is_paused = false;
-  bool is_shut = false;
+  bool refuses_connections = false;
   double next_change_ms = HUGE_VAL;
   for (const FaultSpan& span : timeline_.spans()) {
     if (!span.AffectsListener()) continue;
@@ -43,12 +44,12 @@
     if (span.fault == Fault::kPause) {
       is_paused = true;
     } else {
-      is_shut = true;
+      refuses_connections = true;
     }
   }
-  if (listener_.is_listening() == is_shut) {
-    listener_.SetListening(!is_shut);
-    if (!is_shut) listening_since_us_ = NowUs();
+  if (listener_.is_listening() == refuses_connections) {
+    listener_.SetListening(!refuses_connections);
+    if (!refuses_connections) listening_since_us_ = NowUs();
   }
   listener_.SetPaused(is_paused);
   if (next_change_ms < kMaxTimerMs) {
--- a/src/loadtest/stub/listener_fault_schedule.h
+++ b/src/loadtest/stub/listener_fault_schedule.h
@@ -1,5 +1,6 @@
-// Pauses and shuts the listener of a stub server as its fault timeline says, waking up for each change. Lives
-// on one event loop; no threads.
+// Applies the faults of a fault timeline that affect a whole listener: it pauses the listener or stops it
+// from listening, and wakes up at each time at which this changes. All calls and callbacks run on the thread
+// of the event loop.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_LISTENER_FAULT_SCHEDULE_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_LISTENER_FAULT_SCHEDULE_H_
 
@@ -12,13 +13,14 @@
 
 class ListenerFaultSchedule {
  public:
-  // The references outlive the schedule. `endpoint`, `destination`: by which the timeline addresses the
-  // listener. `started_us`: time 0 of the timeline, on the monotonic clock.
+  // The references outlive the schedule. The timeline selects the listener by `endpoint` and `destination`.
+  // `started_us` is the timeline's time 0, on the monotonic clock.
   ListenerFaultSchedule(EventLoop& loop, Listener& listener, const FaultTimeline& timeline,
                         std::string endpoint, int destination, std::int64_t started_us);
 
-  double NowMs() const;  // since the timeline's time 0
-  // When the listener last began to listen, on the monotonic clock.
+  // Returns the milliseconds since the timeline's time 0.
+  double NowMs() const;
+  // Returns when the listener last began to listen, in microseconds of the monotonic clock.
   std::int64_t listening_since_us() const { return listening_since_us_; }
 
  private:
--- a/src/loadtest/stub/partner.cpp
+++ b/src/loadtest/stub/partner.cpp
@@ -12,7 +12,7 @@
   Identity identity;
   std::string key;
   FaultSpan fault;
-  std::int64_t checker_number = -1;  // by which the checker knows the call
+  std::int64_t checker_number = -1;  // identifies the call in the checker
   bool is_ended = false;
 };
 
@@ -43,7 +43,7 @@
   };
 }
 Partner::~Partner() {
-  // Connections end now, and their calls with them: nobody is to hear of that.
+  // The connections and their calls end now. The owner of the callbacks must not be called any more.
   on_effect = nullptr;
   on_delivered = nullptr;
 }
@@ -155,7 +155,7 @@
 void Partner::StartWork(const PendingCallPtr& pending) {
   ++active_calls_;
   double ms = settings_.service_ms.Draw(random_);
-  if (pending->fault.fault == Fault::kSlow) ms = std::max(ms, 1.0) * pending->fault.times;
+  if (pending->fault.fault == Fault::kSlow) ms = std::max(ms, 1.0) * pending->fault.slowdown_factor;
   if (static_cast<double>(NowUs() - fault_schedule_.listening_since_us()) / 1000 < settings_.warm_up_ms) {
     ms *= settings_.warm_up_slowdown;
   }
@@ -181,12 +181,12 @@
 }
 
 void Partner::ForgetOldKeys(std::int64_t now_us) {
-  const auto memory_us = static_cast<std::int64_t>(settings_.key_retention_ms * 1000);
+  const auto retention_us = static_cast<std::int64_t>(settings_.key_retention_ms * 1000);
   while (!executed_keys_by_age_.empty()) {
     const ExecutedKey& oldest = executed_keys_by_age_.front();
-    if (oldest.at_us + memory_us > now_us) return;
+    if (oldest.executed_us + retention_us > now_us) return;
     const auto found = executed_keys_.find(oldest.key);
-    if (found != executed_keys_.end() && found->second == oldest.at_us) executed_keys_.erase(found);
+    if (found != executed_keys_.end() && found->second == oldest.executed_us) executed_keys_.erase(found);
     executed_keys_by_age_.pop_front();
   }
 }
--- a/src/loadtest/stub/partner.h
+++ b/src/loadtest/stub/partner.h
@@ -1,6 +1,6 @@
-// A stub of a partner's endpoint: works on calls with a capacity, a queue and rate limits, drops repeats of
-// idempotency keys, fails as its timeline says, and reports all that it sees to a Checker. Lives on one event
-// loop; no threads.
+// A stub of a partner's endpoint. It executes calls with a limited capacity, a queue and rate limits, does
+// not execute repeated idempotency keys again, fails as its fault timeline demands, and reports each call and
+// effect to a Checker. All calls and callbacks run on the thread of the event loop.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_PARTNER_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_PARTNER_H_
 
@@ -24,21 +24,24 @@
   std::string uid = "s-0";
   Address listen = {"127.0.0.1", 0};
   int destination = 0;
-  int capacity = 0;     // calls worked on at once; 0: no limit
-  int queue_limit = 0;  // calls that wait; further ones get 503
+  int capacity = 0;     // calls executed concurrently; 0 means no limit
+  int queue_limit = 0;  // calls that wait for capacity; further calls are rejected with 503
   Distribution service_ms = Distribution::Constant(0);
-  double rate = 0;               // calls a second, by token bucket; 0: no limit
-  double burst = 10;             // size of the token bucket
-  int max_calls_per_window = 0;  // in any `window_ms`; 0: no limit
+  double rate = 0;               // calls per second, limited by a token bucket; 0 means no limit
+  double burst = 10;             // size of the token bucket, in calls
+  int max_calls_per_window = 0;  // calls within any `window_ms`; 0 means no limit
   double window_ms = 1000;
-  bool announces_waits = true;  // limits answer with 429 and X-Retry-In-Ms; else with 503
+  // Whether calls beyond a rate limit are rejected with 429 and X-Retry-In-Ms, rather than with 503.
+  bool announces_waits = true;
   std::size_t max_connections = 100'000;
-  double warm_up_ms = 0;             // after each start
-  double warm_up_slowdown = 4;       // by which work takes longer while warming up
-  double key_retention_ms = 10'000;  // repeats of an idempotency key are answered and not executed again
+  double warm_up_ms = 0;        // duration of the warm-up each time that the partner begins to listen
+  double warm_up_slowdown = 4;  // factor by which the service time is longer during the warm-up
+  // Within this time after its execution, a repeated idempotency key gets a response without being executed
+  // again.
+  double key_retention_ms = 10'000;
 };
 
-// What the partner knows of a call's message.
+// What the partner knows about the message of a call. Absent values are not checked.
 struct Identity {
   std::string id;
   std::optional<int> message_destination;
@@ -46,13 +49,13 @@
   std::string dispatcher;
 };
 
-// From the submission id in X-Request-Id.
+// Reads the identity from the submission id in the header X-Request-Id.
 Identity IdentifyBySubmissionId(const Call& call);
 
 class Partner {
  public:
-  // `timeline` and `checker` outlive the partner; `started_us` is time 0 of the timeline. Throws
-  // std::runtime_error if it can't listen.
+  // `timeline` and `checker` outlive the partner. `started_us` is the timeline's time 0, on the monotonic
+  // clock. Throws std::runtime_error if the partner can't listen.
   Partner(EventLoop& loop, PartnerSettings settings, const FaultTimeline& timeline, Checker& checker,
           Random random, std::int64_t started_us);
   ~Partner();
@@ -63,38 +66,44 @@
   std::uint16_t port() const { return listener_.port(); }
   Listener& listener() { return listener_; }
 
-  // Replaceable: how a call is identified, and which fault it gets (by default the timeline's).
+  // Callers may replace these functions, which identify the message of a call and choose its fault. By
+  // default the fault is drawn from the timeline.
   std::function<Identity(const Call&)> identify = IdentifyBySubmissionId;
   std::function<FaultSpan(const Call&)> choose_fault;
 
-  // Called with the message's id when it takes effect, and when 200 is written.
+  // Called with the message's id each time that the message takes effect, and each time that its call gets a
+  // response with status 200.
   std::function<void(const std::string& id)> on_effect;
   std::function<void(const std::string& id)> on_delivered;
 
+  // Numbers of calls so far.
   std::int64_t calls = 0;
   std::int64_t delivered = 0;
   std::int64_t rejected_calls = 0;
-  std::int64_t dropped_repeats = 0;  // of idempotency keys
+  std::int64_t dropped_repeats = 0;  // not executed, because the idempotency key was executed before
 
  private:
   struct PendingCall;
   using PendingCallPtr = std::shared_ptr<PendingCall>;
   struct ExecutedKey {
-    std::int64_t at_us = 0;
+    std::int64_t executed_us = 0;
     std::string key;
   };
 
   void OnRequest(const std::shared_ptr<Call>& call);
   void ApplyFault(const PendingCallPtr& pending);
-  // Works on the call, queues it or rejects it.
+  // Executes the call, queues it or rejects it.
   void Admit(const PendingCallPtr& pending);
   void StartWork(const PendingCallPtr& pending);
   void FinishWork(const PendingCallPtr& pending);
-  // The wait that the rate limits demand; none: the call was counted and may start.
+  // Returns the wait that the rate limits demand. If they demand none, counts the call against them and
+  // returns std::nullopt.
   std::optional<double> RequiredWaitMs();
   void RecordEffect(const PendingCall& pending);
   void ForgetOldKeys(std::int64_t now_us);
+  // A `wait_ms` over 0 is announced in X-Retry-In-Ms.
   void Reject(const PendingCallPtr& pending, int status, double wait_ms);
+  // Reports the end of the call to the checker, once.
   void EndCall(const PendingCallPtr& pending, CallOutcome outcome, std::int64_t wait_us = 0);
   void RunAfter(double ms, std::function<void()> action);
   double NowMs() const;
@@ -108,13 +117,14 @@
   std::deque<PendingCallPtr> queue_;
   double tokens_;
   double tokens_updated_ms_ = 0;
-  std::deque<double> window_starts_ms_;  // of the calls in the last `window_ms`
-  // Of the faults after which a client can't know, every second one is executed.
+  std::deque<double> window_starts_ms_;  // start times of the calls in the last `window_ms`
+  // Whether the last call with an ambiguous fault was executed. After such a fault the client can't know
+  // whether its call was executed, and every second of these calls is.
   bool executes_ambiguous_ = false;
-  std::map<std::string, std::int64_t> executed_keys_;  // with the time of the execution
+  std::map<std::string, std::int64_t> executed_keys_;  // time of the execution in microseconds, by key
   std::deque<ExecutedKey> executed_keys_by_age_;
   std::map<std::int64_t, std::unique_ptr<Timer>> timers_;
-  std::vector<std::unique_ptr<Timer>> expired_timers_;  // freed once their own code has returned
+  std::vector<std::unique_ptr<Timer>> expired_timers_;  // freed after their callbacks have returned
   std::int64_t next_timer_ = 0;
   Timer cleanup_timer_;
   Listener listener_;
--- a/src/loadtest/stub/registry.cpp
+++ b/src/loadtest/stub/registry.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-Registry::Registry(EventLoop& loop, const Address& at)
-    : listener_(loop, at, [this](const std::shared_ptr<Call>& call) { OnRequest(*call); }) {}
+Registry::Registry(EventLoop& loop, const Address& listen_address)
+    : listener_(loop, listen_address, [this](const std::shared_ptr<Call>& call) { OnRequest(*call); }) {}
 
 void Registry::AddChange(const std::string& app, const std::string& instance) {
   changes_.push_back({app, instance});
--- a/src/loadtest/stub/registry.h
+++ b/src/loadtest/stub/registry.h
@@ -1,6 +1,6 @@
-// A stub of Eureka's registry, as far as its clients here use it: registration, renewal and removal of
-// instances, full lists and deltas (github.com/Netflix/eureka/wiki/Eureka-REST-operations). Lives on one
-// event loop; no threads.
+// A stub of a Eureka service registry. It implements the operations that sagetally uses: registration,
+// renewal and removal of instances, full lists and deltas
+// (github.com/Netflix/eureka/wiki/Eureka-REST-operations). All calls run on the thread of the event loop.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_REGISTRY_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_REGISTRY_H_
 
@@ -15,21 +15,24 @@
 
 class Registry {
  public:
-  // Port 0: any. Throws std::runtime_error if it can't listen.
-  explicit Registry(EventLoop& loop, const Address& at = {"127.0.0.1", 0});
+  // Port 0 lets the kernel choose a port. Throws std::runtime_error if the registry can't listen.
+  explicit Registry(EventLoop& loop, const Address& listen_address = {"127.0.0.1", 0});
 
   std::uint16_t port() const { return listener_.port(); }
 
-  // Registers an instance. `more`: further JSON members of the instance, with a leading comma.
+  // Registers an instance of the application `app`. `more` holds further JSON members of the instance and
+  // starts with a comma.
   void Put(const std::string& app, const std::string& id, std::uint16_t port, const std::string& more = "");
   void Remove(const std::string& app, const std::string& id);
   std::size_t InstanceCount(const std::string& app) const;
 
-  std::vector<std::string> requests;  // "METHOD target" of all requests; empty unless `keep_asked`
+  std::vector<std::string> requests;  // "METHOD target" of each request, if `keep_requests` is set
   bool keep_requests = true;
-  bool forgetful = false;  // answers the next renewal with 404
-  bool silent = false;     // answers nothing
-  bool stale = false;      // answers with the full list as it was when it became so, as after a restart
+  bool forgetful = false;  // The next renewal gets the status 404.
+  bool silent = false;     // Requests get no response.
+  // Full lists stay as they were at the first list request after `stale` was set, as after a restart of the
+  // registry.
+  bool stale = false;
 
  private:
   struct Change {
@@ -46,7 +49,7 @@
   std::string DeltaJson() const;
 
   std::map<InstanceKey, std::string> instances_;  // JSON without its closing brace
-  std::vector<Change> changes_;                   // the newest kMaxChanges
+  std::vector<Change> changes_;                   // the last kMaxChanges changes
   std::string stale_list_;
   Listener listener_;
 };
--- a/src/loadtest/stub/sink.cpp
+++ b/src/loadtest/stub/sink.cpp
@@ -4,8 +4,8 @@
 
 namespace sagetally::loadtest {
 
-Sink::Sink(EventLoop& loop, const Address& at)
-    : listener_(loop, at, [this](const std::shared_ptr<Call>& call) { OnRequest(*call); }) {}
+Sink::Sink(EventLoop& loop, const Address& listen_address)
+    : listener_(loop, listen_address, [this](const std::shared_ptr<Call>& call) { OnRequest(*call); }) {}
 
 void Sink::OnRequest(Call& call) {
   int status = 204;
--- a/src/loadtest/stub/stub_server_set.cpp
+++ b/src/loadtest/stub/stub_server_set.cpp
@@ -7,7 +7,8 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr const char* kPartnerApplication = "PARTNERS";  // under which partners are registered
+constexpr const char* kPartnerApplication =
+    "PARTNERS";  // application of the partners in the service registry
 
 }  // namespace
 
--- a/src/loadtest/stub/stub_server_set.h
+++ b/src/loadtest/stub/stub_server_set.h
@@ -1,6 +1,6 @@
 // A set of stub servers on one event loop: partners, an agent, a service registry, an event sink and a
-// frontend, with one checker and one fault timeline for all of them. Not thread-safe; StubServerThread runs
-// one beside a load.
+// frontend. They share one checker and one fault timeline. The set is not thread-safe. StubServerThread runs
+// one on its own thread while the load generator runs in the same process.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SET_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SET_H_
 
@@ -21,11 +21,12 @@
 
 class StubServerSet {
  public:
-  // Starts all servers of `settings`. Throws std::runtime_error if one can't listen.
+  // Starts the servers that `settings` demand. Throws std::runtime_error if one can't listen.
   StubServerSet(EventLoop& loop, const StubServerSettings& settings);
   ~StubServerSet();
 
-  // The servers; null or empty if not started. The checker outlives those that report to it.
+  // The servers. A server that was not started is null. The checker is declared first, so that it outlives
+  // the servers that report to it.
   Checker checker;
   std::vector<std::unique_ptr<Partner>> partners;
   std::unique_ptr<Agent> agent;
@@ -33,14 +34,14 @@
   std::unique_ptr<Sink> sink;
   std::unique_ptr<StubFrontend> frontend;
 
-  // Takes each observation; if unset, they are collected in `observations`.
+  // Called for each observation. If it is unset, observations are collected in `observations`.
   std::function<void(const Observation&)> on_observation;
   std::vector<Observation> observations;
 
-  // Time 0 of the timeline, in microseconds of the monotonic clock.
+  // Returns the timeline's time 0, in microseconds of the monotonic clock.
   std::int64_t started_us() const { return started_us_; }
 
-  // The partners' entries in the endpoint list.
+  // Returns the entries of the partners in the endpoint list.
   std::vector<ListedEndpoint> ListedEndpoints() const;
 
  private:
--- a/src/loadtest/stub/stub_server_settings.cpp
+++ b/src/loadtest/stub/stub_server_settings.cpp
@@ -13,7 +13,7 @@
 using Json = nlohmann::json;
 
 constexpr const char* kAnyPort = "127.0.0.1:0";
-// Added to the deduplication window, for calls that cross its end.
+// Added to the deduplication window, because a call that is sent before the window's end may arrive after it.
 constexpr std::int64_t kWindowToleranceUs = 50'000;
 
 PartnerSettings PartnerFromJson(const Json& json, std::size_t number) {
--- a/src/loadtest/stub/stub_server_settings.h
+++ b/src/loadtest/stub/stub_server_settings.h
@@ -1,6 +1,6 @@
-// Settings of a set of stub servers, read from a JSON file (deploy/schema/standin.schema.json) with single
-// settings overridden by flags and variables. The codec in stub_server_settings.cpp is the only place that
-// knows the file's keys.
+// The settings of a set of stub servers. They are read from a JSON file (deploy/schema/standin.schema.json);
+// command line flags and environment variables override single settings. Only stub_server_settings.cpp knows
+// the keys of the file.
 #ifndef SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SETTINGS_H_
 #define SAGETALLY_SRC_LOADTEST_STUB_STUB_SERVER_SETTINGS_H_
 
@@ -17,35 +17,40 @@
 
 namespace sagetally::loadtest {
 
-// A change that the agent announces.
+// A change of an endpoint's state that the agent announces at a given time.
 struct EndpointStateChange {
-  double at_ms = 0;  // since the start of the servers
+  double at_ms = 0;  // milliseconds since the start of the servers
   std::string uid;
   std::string state;
 };
 
 struct StubServerSettings {
-  std::uint64_t seed = 1;  // of all random numbers
+  std::uint64_t seed = 1;  // seeds all random numbers of the servers
   Rules rules;
   std::vector<PartnerSettings> partners;
   FaultTimeline timeline;
-  // Where the others listen; none: not started.
+  // The listen addresses of the other servers. A server without an address is not started.
   std::optional<Address> agent;
   std::optional<Address> registry;
   std::optional<Address> sink;
   std::optional<Address> frontend;
   AgentFaults agent_faults;
   std::vector<EndpointStateChange> state_changes;
-  std::function<Identity(const Call&)> identify;  // how partners identify calls; empty: by submission id
-  bool serve_partners = true;                     // else partners are only listed, and run in another process
+  // Identifies the message of a call to a partner. If it is empty, the submission id identifies the message.
+  std::function<Identity(const Call&)> identify;
+  // Whether the partners are started. Otherwise they are only listed, because they run in another process.
+  bool serve_partners = true;
 };
 
+// Returns the JSON schema of the file.
 nlohmann::json StubServerSchema();
 
-// Throws std::runtime_error that begins with the JSON pointer of the wrong value, and says what was expected.
+// Validates `json` against the schema and converts it. The message of a thrown std::runtime_error begins with
+// the JSON pointer of the wrong value and says what was expected.
 StubServerSettings StubServerSettingsFromJson(const nlohmann::json& json);
 
-// Reads `path` (empty: an empty file) with `overrides` applied. Errors name the file too.
+// Reads the file and applies `overrides`. An empty `path` stands for an empty object. Throws
+// std::runtime_error whose message begins with the path.
 StubServerSettings ReadStubServerSettings(const std::string& path, const Overrides& overrides);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/stub/stub_server_thread.cpp
+++ b/src/loadtest/stub/stub_server_thread.cpp
@@ -6,7 +6,9 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr const char* kPlannerApplication = "SAGETALLY";  // under which planners register
+constexpr const char* kPlannerApplication =
+    "SAGETALLY";  // application of the planners in the service registry
+// The interval at which the loop's thread checks for Stop and counts the registered planners.
 constexpr Duration kPollInterval = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -23,7 +25,7 @@
 StubServerThread::~StubServerThread() { Stop(); }
 
 void StubServerThread::Run(const StubServerSettings& settings) {
-  try {  // an address may be in use: the constructor throws the error on the calling thread
+  try {  // Starting fails if an address is in use. The constructor throws the error on the calling thread.
     loop_ = std::make_unique<EventLoop>();
     stubs_ = std::make_unique<StubServerSet>(*loop_, settings);
   } catch (const std::exception& error) {
--- a/src/loadtest/stub/timeline.cpp
+++ b/src/loadtest/stub/timeline.cpp
@@ -6,12 +6,12 @@
 namespace sagetally::loadtest {
 namespace {
 
-// Names in timelines, by Fault.
+// The names of faults in JSON, indexed by Fault.
 constexpr const char* kFaultNames[] = {"well",  "slow",   "silent", "late",  "refuse", "full", "error",
                                        "reset", "spoilt", "half",   "twice", "pause",  "shut"};
 
-// Of a span that doesn't say how long it lasts.
-constexpr double kWithoutEndMs = 1e15;
+// The duration of a span whose JSON has no duration.
+constexpr double kUnlimitedDurationMs = 1e15;
 
 }  // namespace
 
@@ -30,12 +30,12 @@
     FaultSpan span;
     span.fault = FaultNamed(json.at("fault").get<std::string>()).value();
     span.from_ms = json.value("at_ms", 0.0);
-    span.for_ms = json.value("for_ms", kWithoutEndMs);
+    span.for_ms = json.value("for_ms", kUnlimitedDurationMs);
     span.endpoint = json.value("endpoint", "");
     if (json.contains("destination")) span.destination = json["destination"].get<int>();
     span.share = json.value("share", span.share);
     span.ms = json.value("ms", span.ms);
-    span.times = json.value("times", span.times);
+    span.slowdown_factor = json.value("times", span.slowdown_factor);
     spans.push_back(span);
   }
   return FaultTimeline(std::move(spans));
@@ -50,7 +50,7 @@
                     {"endpoint", span.endpoint},
                     {"share", span.share},
                     {"ms", span.ms},
-                    {"times", span.times}});
+                    {"times", span.slowdown_factor}});
     if (span.destination) list.back()["destination"] = *span.destination;
   }
   return list;
