--- a/src/loadtest/load/client.cpp
+++ b/src/loadtest/load/client.cpp
@@ -22,7 +22,7 @@
 
 namespace http = boost::beast::http;
 
-// Seconds of the header; 0 if absent, unreadable or a day or more.
+// Returns the seconds of the header Retry-After, or 0 if it is absent, malformed, or a day or more.
 double RetryAfterSeconds(const http::fields& fields) {
   constexpr double kSecondsPerDay = 86400;
   const auto value = fields["Retry-After"];
@@ -33,21 +33,21 @@
 
 }  // namespace
 
-// One connection. A failure is always reported from the event loop, never from within Send.
+// One connection. A failure is reported from the event loop, never from within Send.
 class ClientConnection {
  public:
-  ClientConnection(HttpClientPool& clients, const Address& to)
+  ClientConnection(HttpClientPool& clients, const Address& target)
       : clients_(clients),
         read_event_(event_new(clients.loop_.base(), socket_.get(), EV_READ | EV_PERSIST, OnReadable, this)),
         write_event_(event_new(clients.loop_.base(), socket_.get(), EV_WRITE, OnWritable, this)),
         response_timer_(clients.loop_, [this] { Finish({.timed_out = !failed_}, false); }) {
     if (socket_.get() < 0) return;
-    const int on = 1;
-    ::setsockopt(socket_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    const int enabled = 1;
+    ::setsockopt(socket_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     sockaddr_in address{};
     address.sin_family = AF_INET;
-    address.sin_port = htons(to.port);
-    ::inet_pton(AF_INET, to.host.c_str(), &address.sin_addr);
+    address.sin_port = htons(target.port);
+    ::inet_pton(AF_INET, target.host.c_str(), &address.sin_addr);
     const int result = ::connect(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
     failed_ = result != 0 && errno != EINPROGRESS;
     connecting_ = result != 0;
@@ -66,7 +66,7 @@
     parser_->eager(true);
     if (clients_.response_timeout_.count() > 0) response_timer_.Schedule(clients_.response_timeout_);
     if (socket_.get() < 0 || failed_) {
-      response_timer_.Schedule(Duration(0));  // reports the failure from the loop
+      response_timer_.Schedule(Duration(0));  // reports the failure from the event loop
       return;
     }
     if (connecting_) {
@@ -95,23 +95,27 @@
     std::array<char, 16 * 1024> bytes;
     const auto received = ::recv(socket_.get(), bytes.data(), bytes.size(), 0);
     if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (received <= 0 || !busy()) return OnConnectionLost();  // closed, or bytes without a request
+    if (received <= 0 || !busy())
+      return OnConnectionLost();  // the server closed, or sent bytes without a request
     received_bytes_ = true;
     if (!parser_->is_done()) {
       boost::system::error_code error;
-      partial_.append(bytes.data(), static_cast<std::size_t>(received));
-      const std::size_t consumed = parser_->put(boost::asio::buffer(partial_.data(), partial_.size()), error);
-      partial_.erase(0, consumed);
+      unparsed_.append(bytes.data(), static_cast<std::size_t>(received));
+      const std::size_t consumed =
+          parser_->put(boost::asio::buffer(unparsed_.data(), unparsed_.size()), error);
+      unparsed_.erase(0, consumed);
       if (error && error != http::error::need_more) return OnConnectionLost();
     }
     if (!parser_->is_done()) return;
     const auto& response = parser_->get();
     const int status = std::max(0, static_cast<int>(response.result_int()));
-    const bool keep_alive = response.keep_alive() && partial_.empty();
+    const bool keep_alive = response.keep_alive() && unparsed_.empty();
     Finish({status, false, RetryAfterSeconds(response)}, keep_alive);
   }
 
-  // A request that crosses the close of an idle connection is sent once more on a new one.
+  // If the server closed a reused connection before it sent any byte of the response, it is
+  // assumed to have closed the idle connection while the request was on its way. The request is then sent
+  // once more on a new connection.
   void OnConnectionLost() {
     if (busy() && is_reused_ && !is_resend_ && !received_bytes_) {
       ++clients_.resent_requests_;
@@ -129,14 +133,14 @@
     response_timer_.Stop();
     const HttpClientPool::ResponseHandler on_response = std::exchange(on_response_, nullptr);
     is_reused_ = true;
-    partial_.clear();
+    unparsed_.clear();
     if (!keep_alive) Disconnect();
     clients_.Release(*this, keep_alive);
     if (on_response) on_response(reply);
     if (clients_.on_connection_free) clients_.on_connection_free();
   }
 
-  // The other side sees the end at once; the socket itself is freed later.
+  // Ends the TCP connection at once. The socket is closed later, when the object is freed.
   void Disconnect() {
     response_timer_.Stop();
     event_del(read_event_.get());
@@ -157,14 +161,14 @@
   EventPtr write_event_;
   Timer response_timer_;
   std::string request_;
-  std::string partial_;  // received and not yet parsed
+  std::string unparsed_;  // received bytes that are not parsed yet
   std::size_t written_ = 0;
   HttpClientPool::ResponseHandler on_response_;
   std::optional<http::response_parser<http::string_body>> parser_;
   bool connecting_ = false;
-  bool failed_ = false;     // to connect
-  bool is_reused_ = false;  // a request was completed on it before
-  bool is_resend_ = false;  // the request was sent on another connection before
+  bool failed_ = false;     // connecting failed
+  bool is_reused_ = false;  // an earlier request was completed on this connection
+  bool is_resend_ = false;  // the current request was sent on another connection before
   bool received_bytes_ = false;
 };
 
--- a/src/loadtest/load/distribution.cpp
+++ b/src/loadtest/load/distribution.cpp
@@ -17,13 +17,13 @@
 namespace math = boost::math;
 namespace draw = boost::random;
 
-// A visitor made of one lambda for each alternative.
+// Combines one lambda for each alternative of a variant into a visitor.
 template <typename... F>
 struct Overloaded : F... {
   using F::operator()...;
 };
 template <typename... F>
-Overloaded(F...) -> Overloaded<F...>;  // implied since C++20, but clang before 17 lacks it
+Overloaded(F...) -> Overloaded<F...>;  // C++20 deduces this, but clang does so only since version 17
 
 double PositiveMember(const nlohmann::json& json, const char* key) {
   const double value = json.at(key).get<double>();
@@ -80,7 +80,8 @@
     }
     throw std::runtime_error("kind: expected a distribution, found '" + kind + "'");
   } catch (const nlohmann::json::exception& error) {
-    throw std::runtime_error(std::string("a distribution lacks a key: ") + error.what());
+    throw std::runtime_error(std::string("a key of the distribution is missing or has the wrong type: ") +
+                             error.what());
   }
 }
 
--- a/src/loadtest/load/distribution.h
+++ b/src/loadtest/load/distribution.h
@@ -1,5 +1,6 @@
-// Distributions of non-negative numbers: spacings, service times, body sizes. Drawn with Boost.Random,
-// described by Boost.Math. Immutable; may be shared by threads, each with a Random of its own.
+// Probability distributions of non-negative numbers, such as arrival spacings, service times and body sizes.
+// Boost.Random draws the numbers, and Boost.Math computes means, variances and cumulative probabilities. A
+// distribution is immutable, and threads may share it if each of them draws with a Random of its own.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_DISTRIBUTION_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_DISTRIBUTION_H_
 
@@ -16,7 +17,7 @@
 
 namespace sagetally::loadtest {
 
-// The distribution of one value.
+// A distribution whose draws all have the same value.
 struct ConstantValue {
   double value = 0;
 };
@@ -31,18 +32,19 @@
   static Distribution Constant(double value) { return Distribution(ConstantValue{value}); }
   static Distribution Exponential(double mean) { return Distribution(boost::math::exponential(1 / mean)); }
   static Distribution Uniform(double from, double to);
-  // `cv`: coefficient of variation, the standard deviation over the mean.
+  // `cv` is the coefficient of variation, which is the standard deviation divided by the mean.
   static Distribution Lognormal(double mean, double cv);
   static Distribution Gamma(double mean, double shape);
-  static Distribution Pareto(double mean, double alpha);  // alpha > 1
+  static Distribution Pareto(double mean, double alpha);  // requires alpha > 1, so that there is a mean
   static Distribution Weibull(double mean, double shape);
-  // From the scenario's form, such as {"kind":"gamma","mean":3,"shape":2}. Throws std::runtime_error that
-  // says what was expected.
+  // Reads the form that scenarios use, such as {"kind":"gamma","mean":3,"shape":2}. The message of a thrown
+  // std::runtime_error says what was expected.
   static Distribution FromJson(const nlohmann::json& json);
 
   double Draw(Random& random) const;
   double Mean() const;
-  double Variance() const;  // infinite for a Pareto distribution with alpha up to 2
+  double Variance() const;  // infinite for a Pareto distribution with alpha of at most 2
+  // Returns the probability that a draw is at most `x`.
   double Cdf(double x) const;
 
  private:
--- a/src/loadtest/load/generator_monitor.cpp
+++ b/src/loadtest/load/generator_monitor.cpp
@@ -13,7 +13,7 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr std::int64_t kJumpUs = 50'000;
+constexpr std::int64_t kClockJumpThresholdUs = 50'000;
 
 double CpuSeconds() {
   rusage usage{};
@@ -22,7 +22,8 @@
          static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec) / 1e6;
 }
 
-double RunQueueSeconds() {  // second field: nanoseconds spent waiting on a run queue
+// The second field of the file holds the nanoseconds for which the thread waited on a run queue.
+double RunQueueSeconds() {
   std::ifstream file("/proc/thread-self/schedstat");
   std::int64_t running = 0, waiting = 0;
   file >> running >> waiting;
@@ -44,14 +45,14 @@
 
 void GeneratorMonitor::Sample() {
   const std::int64_t offset = OffsetUs();
-  if (std::abs(offset - offset_us_) > kJumpUs) ++jumps_;
+  if (std::abs(offset - offset_us_) > kClockJumpThresholdUs) ++clock_jumps_;
   offset_us_ = offset;
 }
 
 SenderThreadReport GeneratorMonitor::Report() {
   Sample();
   return {static_cast<double>(NowUs() - start_us_) / 1e6, CpuSeconds() - cpu_seconds_,
-          RunQueueSeconds() - run_queue_seconds_, jumps_};
+          RunQueueSeconds() - run_queue_seconds_, clock_jumps_};
 }
 
 std::vector<std::string> FindInvalidityReasons(const ValidityLimits& limits, const LatencyHistogram& lag,
@@ -62,7 +63,7 @@
       lag.count() == 0 ? 0 : static_cast<double>(late) / static_cast<double>(lag.count());
   if (late_fraction > limits.late_fraction) {
     reasons.push_back(
-        fmt::format("{:.1f}% of the sends went out over {} ms behind their intent ({:.1f}% may)",
+        fmt::format("{:.1f}% of the sends were over {} ms later than intended ({:.1f}% are allowed)",
                     late_fraction * 100, limits.lag_ms, limits.late_fraction * 100));
   }
   for (std::size_t i = 0; i < threads.size(); ++i) {
@@ -70,11 +71,12 @@
     const double run_queue_fraction =
         thread.wall_seconds > 0 ? thread.run_queue_seconds / thread.wall_seconds : 0;
     if (thread.wall_seconds > 0 && run_queue_fraction > limits.run_queue_fraction) {
-      reasons.push_back(fmt::format("sending thread {} waited for a core {:.0f}% of the time ({:.0f}% may)",
-                                    i, run_queue_fraction * 100, limits.run_queue_fraction * 100));
+      reasons.push_back(
+          fmt::format("sending thread {} waited for a core {:.0f}% of the time ({:.0f}% is allowed)", i,
+                      run_queue_fraction * 100, limits.run_queue_fraction * 100));
     }
     if (thread.clock_jumps > 0) {
-      reasons.push_back(fmt::format("the machine's clock jumped {} times", thread.clock_jumps));
+      reasons.push_back(fmt::format("the system clock jumped {} times", thread.clock_jumps));
     }
   }
   return reasons;
--- a/src/loadtest/load/generator_monitor.h
+++ b/src/loadtest/load/generator_monitor.h
@@ -1,5 +1,5 @@
-// Monitors the load generator itself: a sending thread's CPU time, how long it waited for a core, and clock
-// jumps.
+// Monitors the load generator itself: the CPU time of each sending thread, the time for which it waited for a
+// core, and jumps of the system clock. The results show whether the generator distorted a measurement.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_GENERATOR_MONITOR_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_GENERATOR_MONITOR_H_
 
@@ -13,33 +13,36 @@
 
 class LatencyHistogram;
 
+// What a sending thread used while it ran.
 struct SenderThreadReport {
   double wall_seconds = 0;
   double cpu_seconds = 0;
-  double run_queue_seconds =
-      0;                // waited for a core, from the kernel's scheduler; 0 if it doesn't report that
-  int clock_jumps = 0;  // of the calendar clock against the monotonic one, by over 50 ms
+  // The time for which the thread waited for a core, as the kernel's scheduler reports it. It is 0 if the
+  // kernel doesn't report it.
+  double run_queue_seconds = 0;
+  // How often the system clock moved against the monotonic clock by more than 50 ms between two samples.
+  int clock_jumps = 0;
 };
 
-// Monitors the thread that creates it; all calls come from that thread.
+// Monitors the thread that creates it. That thread makes all calls.
 class GeneratorMonitor {
  public:
   GeneratorMonitor();
-  // Looks for a clock jump since the last sample.
+  // Checks whether the system clock has jumped since the last sample.
   void Sample();
-  // Since creation.
+  // Takes a sample and returns the totals since the monitor was created.
   SenderThreadReport Report();
 
  private:
   std::int64_t start_us_;
-  std::int64_t offset_us_;  // of the calendar clock from the monotonic one
+  std::int64_t offset_us_;  // of the system clock from the monotonic clock, at the last sample
   double cpu_seconds_;
   double run_queue_seconds_;
-  int jumps_ = 0;
+  int clock_jumps_ = 0;
 };
 
-// Why the generator itself distorted a run; empty if it did not. `lag`: of each send behind its intended
-// time.
+// Returns the reasons why the generator itself distorted a run, or nothing if it did not. `lag` holds the
+// delay of each send after its intended time, in microseconds.
 std::vector<std::string> FindInvalidityReasons(const ValidityLimits& limits, const LatencyHistogram& lag,
                                                const std::vector<SenderThreadReport>& threads);
 
--- a/src/loadtest/load/import.cpp
+++ b/src/loadtest/load/import.cpp
@@ -17,15 +17,15 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr std::size_t kMaxRecordedLines = 10;
+constexpr std::size_t kMaxRecordedMalformedLines = 10;
 constexpr std::size_t kMaxClasses = 250;
-constexpr double kMaxTimeS = 1e11;
+constexpr double kMaxAbsoluteTimeSeconds = 1e11;
 constexpr int kMaxBodyBytes = 65536;
-constexpr std::uint64_t kClients = 1'000'000;  // into which client names are hashed
+constexpr std::uint64_t kClientCount = 1'000'000;  // client names are hashed to this number of clients
 constexpr const char* kClassNameBytes = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-";
 
-// A line's parts; those that the trace doesn't have are empty.
-struct Entry {
+// The properties of a message, as text from one line. Properties that the trace doesn't have are empty.
+struct TraceEntry {
   double at_s = 0;
   std::string message_class;
   std::string destination;
@@ -46,13 +46,13 @@
   return fmt::format("line {}, column {}: expected {}", malformed.line, malformed.column, malformed.expected);
 }
 
-// Reads entries from lines of one format.
+// Parses the lines of a trace in one of the formats.
 class EntryReader {
  public:
   explicit EntryReader(const ImportOptions& options) : options_(options) {}
 
-  // None for a CSV file's first line. Throws LineError.
-  std::optional<Entry> Read(const std::string& line) {
+  // Returns nothing for the first line of a CSV file, which names the columns. Throws LineError.
+  std::optional<TraceEntry> Read(const std::string& line) {
     switch (options_.format) {
       case TraceFormat::kCsv:
         if (header_.empty()) {
@@ -69,7 +69,7 @@
   }
 
  private:
-  // The column's place in a CSV line; none if there is no such column.
+  // Returns the index of the column in a CSV line, or nothing if there is no such column.
   std::optional<std::size_t> ColumnIndex(const std::string& name) const {
     const auto found = std::find(header_.begin(), header_.end(), name);
     if (found == header_.end()) return std::nullopt;
@@ -80,7 +80,7 @@
     header_ = ParseCsvLine(line);
     const auto time = ColumnIndex(options_.columns.time);
     if (!time) {
-      throw std::runtime_error("the first line names no column '" + options_.columns.time + "' for the time");
+      throw std::runtime_error("the first line has no column '" + options_.columns.time + "' for the time");
     }
     time_index_ = *time;
     class_index_ = ColumnIndex(options_.columns.message_class);
@@ -89,16 +89,17 @@
     client_index_ = ColumnIndex(options_.columns.client);
   }
 
-  Entry ReadCsv(const std::string& line) const {
+  TraceEntry ReadCsv(const std::string& line) const {
     const std::vector<std::string> fields = ParseCsvLine(line);
     if (fields.size() != header_.size()) {
       throw LineError(line.size() + 1,
                       fmt::format("{} fields as in the first line, found {}", header_.size(), fields.size()));
     }
-    const auto field = [&](const std::optional<std::size_t>& index) {
+    const auto field_at = [&](const std::optional<std::size_t>& index) {
       return index ? fields[*index] : std::string();
     };
-    Entry entry{0, field(class_index_), field(destination_index_), field(bytes_index_), field(client_index_)};
+    TraceEntry entry{0, field_at(class_index_), field_at(destination_index_), field_at(bytes_index_),
+                     field_at(client_index_)};
     try {
       entry.at_s = ParseTime(fields[time_index_], options_.time_unit_s);
     } catch (const LineError& error) {
@@ -109,7 +110,7 @@
     return entry;
   }
 
-  Entry ReadJson(const std::string& line) const {
+  TraceEntry ReadJson(const std::string& line) const {
     nlohmann::json json;
     try {
       json = nlohmann::json::parse(line);
@@ -117,21 +118,21 @@
       throw LineError(error.byte, "JSON");
     }
     if (!json.is_object()) throw LineError(1, "an object");
-    const auto member = [&](const std::string& key) {
+    const auto read_member = [&](const std::string& key) {
       const auto found = json.find(key);
       if (found == json.end() || found->is_null()) return std::string();
       return found->is_string() ? found->get<std::string>() : found->dump();
     };
-    const std::string time = member(options_.columns.time);
+    const std::string time = read_member(options_.columns.time);
     if (time.empty()) throw LineError(1, "the key '" + options_.columns.time + "'");
-    return {ParseTime(time, options_.time_unit_s), member(options_.columns.message_class),
-            member(options_.columns.destination), member(options_.columns.bytes),
-            member(options_.columns.client)};
+    return {ParseTime(time, options_.time_unit_s), read_member(options_.columns.message_class),
+            read_member(options_.columns.destination), read_member(options_.columns.bytes),
+            read_member(options_.columns.client)};
   }
 
-  Entry ReadCombined(const std::string& line) const {
+  TraceEntry ReadCombined(const std::string& line) const {
     const CombinedLine parts = ParseCombinedLine(line);
-    Entry entry;
+    TraceEntry entry;
     entry.at_s = ParseTime(parts.time, options_.time_unit_s);
     entry.client = parts.host;
     const std::size_t path = parts.request.find('/');
@@ -145,7 +146,7 @@
   }
 
   const ImportOptions& options_;
-  std::vector<std::string> header_;  // of a CSV file
+  std::vector<std::string> header_;  // column names of a CSV file; empty before its first line
   std::size_t time_index_ = 0;
   std::optional<std::size_t> class_index_;
   std::optional<std::size_t> destination_index_;
@@ -165,7 +166,7 @@
       ++result_.line_count;
       if (!line.empty() && line.back() == '\r') line.pop_back();
       if (line.empty()) continue;
-      try {  // a malformed line is counted; the next one may be well-formed
+      try {  // A malformed line is counted, because the next one may be well-formed.
         if (const auto entry = reader_.Read(line)) AddMessage(*entry);
       } catch (const LineError& error) {
         AddMalformedLine({result_.line_count, static_cast<std::int64_t>(error.column), error.what()});
@@ -183,7 +184,8 @@
  private:
   void AddMalformedLine(const MalformedLine& malformed) {
     ++result_.malformed_count;
-    if (result_.malformed_lines.size() < kMaxRecordedLines) result_.malformed_lines.push_back(malformed);
+    if (result_.malformed_lines.size() < kMaxRecordedMalformedLines)
+      result_.malformed_lines.push_back(malformed);
     if (options_.strict) throw std::runtime_error(Describe(malformed));
   }
 
@@ -191,7 +193,8 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), options_.seed);
   }
 
-  // The index of a class, which is added if it is new and all classes are welcome; else the first.
+  // Returns the index of a class. A new class is added if all classes are accepted and its name is usable;
+  // otherwise the index is that of the first class.
   std::int32_t ClassIndex(const std::string& name) {
     const auto found = std::find(result_.classes.begin(), result_.classes.end(), name);
     if (found != result_.classes.end()) return static_cast<std::int32_t>(found - result_.classes.begin());
@@ -205,7 +208,7 @@
     return static_cast<std::int32_t>(result_.classes.size()) - 1;
   }
 
-  std::int32_t DestinationOf(const Entry& entry) const {
+  std::int32_t DestinationOf(const TraceEntry& entry) const {
     if (options_.destinations > 0) {
       const auto destinations = static_cast<std::uint64_t>(options_.destinations);
       return static_cast<std::int32_t>(Hash(entry.destination) % destinations);
@@ -213,9 +216,9 @@
     return std::max(0, ParseInteger(entry.destination).value_or(0));
   }
 
-  void AddMessage(const Entry& entry) {
-    if (!std::isfinite(entry.at_s) || std::abs(entry.at_s) > kMaxTimeS) {
-      throw LineError(1, "a time within reason");
+  void AddMessage(const TraceEntry& entry) {
+    if (!std::isfinite(entry.at_s) || std::abs(entry.at_s) > kMaxAbsoluteTimeSeconds) {
+      throw LineError(1, "a time between -1e11 and 1e11 seconds");
     }
     PlannedMessage message;
     message.at_us = std::llround(entry.at_s * 1e6);
@@ -223,7 +226,7 @@
     message.destination = DestinationOf(entry);
     const auto bytes = ParseInteger(entry.bytes);
     message.body_bytes = bytes ? std::clamp(*bytes, 1, kMaxBodyBytes) : options_.bytes;
-    message.client = static_cast<std::int32_t>(Hash(entry.client) % kClients);
+    message.client = static_cast<std::int32_t>(Hash(entry.client) % kClientCount);
     if (message.at_us < latest_us_) {
       ++result_.out_of_order_lines;
       const double backward_s = static_cast<double>(latest_us_ - message.at_us) / 1e6;
@@ -233,10 +236,11 @@
     result_.messages.push_back(message);
   }
 
-  // How often a message is offered by the rate scale; a fraction is drawn.
+  // Returns how often a message is offered according to the rate scale. The fractional part of the scale is
+  // the probability of one more copy.
   int DrawCopies() {
-    constexpr double kRounding = 1e-9;
-    const auto whole = static_cast<int>(std::floor(options_.rate_scale + kRounding));
+    constexpr double kRoundingTolerance = 1e-9;
+    const auto whole = static_cast<int>(std::floor(options_.rate_scale + kRoundingTolerance));
     const bool has_extra = boost::random::uniform_01<>()(random_) < options_.rate_scale - whole;
     return whole + (has_extra ? 1 : 0);
   }
--- a/src/loadtest/load/import.h
+++ b/src/loadtest/load/import.h
@@ -1,5 +1,5 @@
-// Imports recorded traces of other programs as plans: CSV, JSON lines, and access logs in the combined
-// format.
+// Converts recorded traces of other programs to plans. The input is CSV, JSON lines, or an access log in the
+// combined format. Used by the command `trace import`.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_IMPORT_H_
 
@@ -13,8 +13,9 @@
 
 enum class TraceFormat { kCsv, kJsonLines, kCombined };
 
-// The columns (CSV) or keys (JSON lines) that hold the parts of a message. Access logs have fixed ones: the
-// first part of the path is the class, the host is the client.
+// The names of the columns (CSV) or keys (JSON lines) that hold the properties of a message. They do not
+// apply to access logs, where the first part of the path is the class, the whole path is the destination and
+// the host is the client.
 struct TraceColumns {
   std::string time = "time";
   std::string message_class = "class";
@@ -26,19 +27,24 @@
 struct ImportOptions {
   TraceFormat format = TraceFormat::kCsv;
   TraceColumns columns;
-  double time_unit_s = 1;  // of times that are plain numbers
-  double time_scale = 1;   // 2: twice as slow
-  double rate_scale = 1;   // 0.5: every second message, drawn; 3: each three times, spread to the next
-  double from_s = 0;       // of the scaled trace; what is before is cut off
-  double to_s = 0;         // of the scaled trace; 0: to its end
-  std::vector<std::string> classes;  // known ones; others become the first. Empty: all are known
-  int destinations = 0;              // over 0: names and numbers are hashed into so many
-  int bytes = 200;                   // where the trace has none
-  std::uint64_t seed = 1;            // of draws, and of the hash that hides clients and destinations
-  bool strict = false;               // the first malformed line ends the import
+  double time_unit_s = 1;  // unit of times that are plain numbers, in seconds
+  double time_scale = 1;   // Times are multiplied by this; 2 makes the trace twice as slow.
+  // The mean number of copies of each message. 0.5 keeps half of the messages, chosen at random. 3 offers
+  // each message three times, and spreads the copies over the time until the next message.
+  double rate_scale = 1;
+  double from_s = 0;  // Earlier messages of the scaled trace are dropped, and this becomes its time 0.
+  double to_s = 0;    // Messages of the scaled trace from this time on are dropped; 0 keeps all.
+  // The known classes. Messages of other classes get the first one. If this is empty, all classes are
+  // accepted.
+  std::vector<std::string> classes;
+  // If this is over 0, names and numbers of destinations are hashed to so many destinations.
+  int destinations = 0;
+  int bytes = 200;         // body size of messages for which the trace has none
+  std::uint64_t seed = 1;  // seeds the draws, and the hash that hides the names of clients and destinations
+  bool strict = false;     // The first malformed line ends the import with an error.
 };
 
-// Where a line is malformed; both numbers count from 1.
+// Describes where a line is malformed and what was expected there. Both numbers count from 1.
 struct MalformedLine {
   std::int64_t line = 0;
   std::int64_t column = 0;
@@ -47,18 +53,18 @@
 };
 
 struct ImportResult {
-  std::vector<PlannedMessage> messages;  // in order of time, from 0
+  std::vector<PlannedMessage> messages;  // in order of time, which starts at 0
   std::vector<std::string> classes;
   std::int64_t line_count = 0;
   std::int64_t malformed_count = 0;
-  std::vector<MalformedLine> malformed_lines;  // the first ten
-  std::int64_t out_of_order_lines = 0;         // earlier than a line before them; they are sorted
-  double max_backward_s = 0;                   // the longest step back in time
+  std::vector<MalformedLine> malformed_lines;  // the first ten malformed lines
+  std::int64_t out_of_order_lines = 0;  // lines that are earlier than a line before them; they are sorted
+  double max_backward_s = 0;            // largest difference by which such a line is earlier
 };
 
-// Client and destination names are hashed with the seed: none is found in the result. Throws
-// std::runtime_error that names line and column if a line is malformed and `strict` is set, or if no line can
-// be read.
+// Imports all lines of `in`. Names of clients and destinations are hashed with the seed, so that the result
+// holds none of them. Throws std::runtime_error that names line and column if a line is malformed and
+// `strict` is set, or if no line can be read.
 ImportResult ImportTrace(std::istream& in, const ImportOptions& options);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/plan.cpp
+++ b/src/loadtest/load/plan.cpp
@@ -14,15 +14,14 @@
 namespace x3 = boost::spirit::x3;
 
 constexpr double kMaxBodyBytes = 65536;
-constexpr std::int32_t kHotClient = 0;
+constexpr std::int32_t kHotClient = 0;  // the number of the client that Scenario::hot_client describes
 
 Distribution SpacingFromJson(const nlohmann::json& arrivals) {
   const std::string process = arrivals.value("process", "poisson");
   if (process == "constant") return Distribution::Constant(1);
   if (process == "poisson") return Distribution::Exponential(1);
   if (!arrivals.contains("spacing")) {
-    throw std::runtime_error(
-        "/arrivals/spacing: expected a distribution for a renewal process, found nothing");
+    throw std::runtime_error("/arrivals/spacing: expected a distribution for a renewal process, found none");
   }
   const Distribution spacing = Distribution::FromJson(arrivals["spacing"]);
   if (!(spacing.Mean() > 0)) throw std::runtime_error("/arrivals/spacing: expected a mean over 0");
@@ -36,14 +35,14 @@
   return weights;
 }
 
-// Weights of Zipf's law.
+// Returns the relative frequencies of `count` ranks by Zipf's law.
 std::vector<double> ZipfWeights(int count, double exponent) {
   std::vector<double> weights;
   for (int rank = 1; rank <= count; ++rank) weights.push_back(std::pow(rank, -exponent));
   return weights;
 }
 
-// From the first letter of its name, as ids have it.
+// Submission ids hold the first letter of the idempotency's name.
 Idempotency IdempotencyFromCode(char code) {
   if (code == 'n') return Idempotency::kNotIdempotent;
   if (code == 'k') return Idempotency::kIdempotentWithKey;
@@ -96,7 +95,7 @@
         static_cast<std::size_t>(client_draw / hot->fraction * static_cast<double>(hot_destinations_.size()));
     message.destination = hot_destinations_[index];
   } else if (hot && scenario_.client_count > 1 && message.client == kHotClient) {
-    message.client = kHotClient + 1;  // else the hot client would send more than its fraction
+    message.client = kHotClient + 1;  // otherwise the hot client would send more than its fraction
   }
   return message;
 }
@@ -147,12 +146,12 @@
   if (const auto separator = text.rfind('|'); separator != text.npos) text.remove_prefix(separator + 1);
   SubmissionId id;
   char idempotency_code = 0;
-  const auto to = [](auto& out) { return [&out](auto& context) { out = x3::_attr(context); }; };
+  const auto store_in = [](auto& out) { return [&out](auto& context) { out = x3::_attr(context); }; };
   const x3::int_parser<std::int64_t, 10, 1, 18> number;
   const x3::uint_parser<std::uint32_t, 16, 8, 8> run;
-  const auto grammar = x3::lit('L') >> run[to(id.run)] >> '-' >> number[to(id.number)] >> '-' >>
-                       x3::int_[to(id.submission)] >> '-' >> x3::int_[to(id.destination)] >> '-' >>
-                       x3::char_("fkn")[to(idempotency_code)] >> x3::eoi;
+  const auto grammar = x3::lit('L') >> run[store_in(id.run)] >> '-' >> number[store_in(id.number)] >> '-' >>
+                       x3::int_[store_in(id.submission)] >> '-' >> x3::int_[store_in(id.destination)] >>
+                       '-' >> x3::char_("fkn")[store_in(idempotency_code)] >> x3::eoi;
   if (!x3::parse(text.begin(), text.end(), grammar) || id.number < 0 || id.submission < 0) {
     return std::nullopt;
   }
--- a/src/loadtest/load/plan.h
+++ b/src/loadtest/load/plan.h
@@ -1,5 +1,5 @@
-// The plan of a run: each message with its intended time, drawn from a scenario and a seed alone. One thread
-// draws it and passes it to the senders; see run.h.
+// The plan of a run: each message with its intended time. The plan depends only on the scenario and its seed,
+// not on the responses of the target. One thread draws it and passes it to the senders, see run.h.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_PLAN_H_
 
@@ -17,8 +17,8 @@
 namespace sagetally::loadtest {
 
 struct PlannedMessage {
-  std::int64_t number = 0;         // identifies the message through all its submissions
-  std::int64_t at_us = 0;          // intended, from the start of the run
+  std::int64_t number = 0;         // identifies the message in all its submissions
+  std::int64_t at_us = 0;          // intended time since the start of the run
   std::int32_t message_class = 0;  // index into Scenario::classes
   std::int32_t destination = 0;
   std::int32_t body_bytes = 0;
@@ -26,18 +26,18 @@
   bool operator==(const PlannedMessage&) const = default;
 };
 
-// Where the messages of a run come from.
+// A source of the messages of a run: a drawn plan or a recorded trace.
 class PlanSource {
  public:
   virtual ~PlanSource() = default;
-  // The messages in order of intended time; none once the run's time is over.
+  // Returns the next message in order of intended time, or nothing once the run's time is over.
   virtual std::optional<PlannedMessage> Next() = 0;
 };
 
-// Draws messages from a scenario and its seed. Equal scenarios give equal plans.
+// Draws the messages from a scenario and its seed. Equal scenarios give equal plans.
 class Plan : public PlanSource {
  public:
-  // Throws std::runtime_error that begins with the JSON pointer of a wrong value.
+  // The message of a thrown std::runtime_error begins with the JSON pointer of the wrong value.
   explicit Plan(const Scenario& scenario);
   std::optional<PlannedMessage> Next() override;
 
@@ -50,7 +50,8 @@
 
   const Scenario scenario_;
   const Distribution sizes_;
-  // A stream for each purpose, so that a change of one draw leaves the others as they are.
+  // Each purpose has its own stream, so that a changed number of draws for one purpose doesn't change the
+  // draws for the others.
   Random class_random_;
   Random destination_random_;
   Random size_random_;
@@ -66,21 +67,22 @@
   std::priority_queue<PlannedMessage, std::vector<PlannedMessage>, IsLater> burst_messages_;
 };
 
-// Identifies a submission on the wire. It carries all that a stub server needs to check a call: the run, the
-// message and which of its submissions this is, its destination and its idempotency.
+// Identifies a submission on the wire. The id holds everything that a stub server needs to check a call: the
+// run, the message, the number of the submission, the destination and the idempotency.
 struct SubmissionId {
   std::uint32_t run = 0;
-  std::int64_t number = 0;  // of the message
-  int submission = 0;       // from 0
+  std::int64_t number = 0;  // number of the message
+  int submission = 0;       // number of the submission, which counts from 0
   int destination = 0;
   Idempotency idempotency = Idempotency::kIdempotent;
   bool operator==(const SubmissionId&) const = default;
 };
 
-// Such as "L5be2a07c-1234-0-7-n".
+// Returns the id as text, such as "L5be2a07c-1234-0-7-n".
 std::string ToText(const SubmissionId& id);
 
-// None if `text` is no such id. Skips what a CloudEvents frontend puts in front: the event's source and '|'.
+// Parses the text of an id. A CloudEvents frontend puts the event's source and '|' in front of it, which are
+// skipped. Returns nothing if `text` holds no valid id.
 std::optional<SubmissionId> ParseSubmissionId(std::string_view text);
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/rate.cpp
+++ b/src/loadtest/load/rate.cpp
@@ -10,9 +10,9 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr double kForever = std::numeric_limits<double>::infinity();
+constexpr double kInfiniteSeconds = std::numeric_limits<double>::infinity();
 
-// Ends in a segment that lasts forever, or repeats.
+// A curve of given segments, which either repeats or ends in a segment that lasts forever.
 class PiecewiseRate : public RateCurve {
  public:
   PiecewiseRate(std::vector<RateSegment> segments, bool repeats)
@@ -28,33 +28,34 @@
   std::size_t next_segment_ = 0;
 };
 
+// A curve that alternates between a low and a high rate.
 class TwoStateRate : public RateCurve {
  public:
   TwoStateRate(double low, double high, double low_mean_s, double high_mean_s, Random random)
       : low_(low),
         high_(high),
-        low_stay_(Distribution::Exponential(low_mean_s)),
-        high_stay_(Distribution::Exponential(high_mean_s)),
+        low_duration_(Distribution::Exponential(low_mean_s)),
+        high_duration_(Distribution::Exponential(high_mean_s)),
         random_(random) {}
   RateSegment Next() override {
     is_high_ = !is_high_;
     const double rate = is_high_ ? high_ : low_;
-    return {(is_high_ ? high_stay_ : low_stay_).Draw(random_), rate, rate};
+    return {(is_high_ ? high_duration_ : low_duration_).Draw(random_), rate, rate};
   }
 
  private:
   const double low_;
   const double high_;
-  const Distribution low_stay_;
-  const Distribution high_stay_;
+  const Distribution low_duration_;   // in seconds
+  const Distribution high_duration_;  // in seconds
   Random random_;
-  bool is_high_ = true;  // so that the first segment is low
+  bool is_high_ = true;  // Next() toggles this first, so that the first segment is low.
 };
 
 }  // namespace
 
 std::unique_ptr<RateCurve> ConstantRate(double rate) {
-  return std::make_unique<PiecewiseRate>(std::vector<RateSegment>{{kForever, rate, rate}}, false);
+  return std::make_unique<PiecewiseRate>(std::vector<RateSegment>{{kInfiniteSeconds, rate, rate}}, false);
 }
 
 std::unique_ptr<RateCurve> SteppedRate(std::vector<RatePoint> points) {
@@ -63,12 +64,12 @@
   for (std::size_t i = 0; i < points.size(); ++i) {
     const RatePoint& point = points[i];
     if (point.at_s < last_s || point.rate < 0) {
-      throw std::runtime_error("rate points: expected rising times, no rate below 0");
+      throw std::runtime_error("rate points: expected ascending times and no rate below 0");
     }
     if (i == 0 && point.at_s > 0) segments.push_back({point.at_s, point.rate, point.rate});
     last_s = point.at_s;
     if (i + 1 == points.size()) {
-      segments.push_back({kForever, point.rate, point.rate});
+      segments.push_back({kInfiniteSeconds, point.rate, point.rate});
       continue;
     }
     const RatePoint& next = points[i + 1];
@@ -83,11 +84,11 @@
 std::unique_ptr<RateCurve> DailyRate(std::vector<double> weights, double day_s, double mean) {
   const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
   if (weights.empty() || !(sum > 0) || !(day_s > 0)) {
-    throw std::runtime_error("daily rate: expected weights with a sum over 0, and a day over 0");
+    throw std::runtime_error("daily rate: expected weights with a sum over 0 and a day longer than 0 s");
   }
   std::vector<RateSegment> segments;
   const auto parts = static_cast<double>(weights.size());
-  const double scale = mean * parts / sum;  // linear segments between the weights keep their mean
+  const double scale = mean * parts / sum;  // linear segments between the weights don't change the mean
   for (std::size_t i = 0; i < weights.size(); ++i) {
     segments.push_back({day_s / parts, weights[i] * scale, weights[(i + 1) % weights.size()] * scale});
   }
@@ -128,15 +129,15 @@
       segment_(rate_->Next()) {}
 
 double Arrivals::Next() {
-  double remaining = spacing_.Draw(random_) * scale_;  // area under the curve up to the arrival
+  double remaining = spacing_.Draw(random_) * scale_;  // area under the rate curve from here to the arrival
   while (true) {
     const bool is_last = !std::isfinite(segment_.seconds);
     const double slope = is_last ? 0 : (segment_.to - segment_.from) / segment_.seconds;
     const double rate = segment_.from + slope * seconds_into_segment_;
     const double seconds_left = segment_.seconds - seconds_into_segment_;
-    if (is_last && rate <= 0) return kForever;
+    if (is_last && rate <= 0) return kInfiniteSeconds;
     if (is_last || remaining <= seconds_left * (rate + segment_.to) / 2) {
-      // Solves rate * t + slope * t^2 / 2 = remaining, in the form without cancellation.
+      // Solves rate * t + slope * t^2 / 2 = remaining for t, in the form that avoids numeric cancellation.
       const double root = std::sqrt(std::max(0.0, rate * rate + 2 * slope * remaining));
       const double seconds = rate + root > 0 ? 2 * remaining / (rate + root) : 0;
       seconds_into_segment_ = std::min(seconds_into_segment_ + seconds, segment_.seconds);
--- a/src/loadtest/load/run.cpp
+++ b/src/loadtest/load/run.cpp
@@ -13,12 +13,13 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr std::int64_t kReservedDescriptors = 64;
+constexpr std::int64_t kReservedDescriptors = 64;  // descriptors besides those of the connections
 constexpr auto kFeedRetryInterval = std::chrono::milliseconds(1);
 constexpr auto kProgressInterval = std::chrono::milliseconds(100);
-constexpr std::int64_t kStartDelayUs = 50'000;  // for threads to start, and for the plan to get ahead
+constexpr std::int64_t kStartDelayUs =
+    50'000;  // lets the threads start and the first messages of the plan be drawn
 
-// Distributes the plan over the senders, round robin by message number.
+// Draws the plan and passes its messages to the senders in turn, by message number.
 class PlanDistributor {
  public:
   PlanDistributor(const Scenario& scenario, std::vector<std::unique_ptr<PlanFeed>>& feeds,
@@ -26,7 +27,8 @@
       : scenario_(scenario), feeds_(feeds), stop_(stop), source_(OpenPlanSource(scenario)) {
     if (!record.empty()) writer_ = std::make_unique<TraceWriter>(record, scenario);
   }
-  // An error ends the other threads too, and is rethrown on the calling one.
+  // Runs on a thread of its own. An error ends the plan, so that the senders end too, and is thrown by
+  // Rethrow.
   void Run() {
     try {
       Distribute();
@@ -44,8 +46,9 @@
     std::int64_t count = 0;
     while (const auto planned = source_->Next()) {
       if (++count > scenario_.max_messages) {
-        throw std::runtime_error("the plan holds more than max_messages (" +
-                                 std::to_string(scenario_.max_messages) + "): raise it, or offer less");
+        throw std::runtime_error("the plan has more messages than max_messages (" +
+                                 std::to_string(scenario_.max_messages) +
+                                 "): raise it, or offer fewer messages");
       }
       if (writer_) writer_->Write(*planned);
       auto& queue = feeds_[static_cast<std::size_t>(planned->number) % feeds_.size()]->queue;
@@ -66,7 +69,7 @@
 
 using Senders = std::vector<std::unique_ptr<Sender>>;
 
-// One sender for each feed; they share the connections evenly.
+// Creates a sender for each feed. The senders share the connections evenly.
 Senders MakeSenders(const Scenario& scenario, const std::vector<std::unique_ptr<PlanFeed>>& feeds,
                     const RunRecords& run, Progress& progress, const std::atomic<bool>& stop) {
   Senders senders;
@@ -93,16 +96,16 @@
 void EnsureDescriptorLimit(std::int64_t count) {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
-  const auto need = static_cast<rlim_t>(count + kReservedDescriptors);
-  if (limit.rlim_cur < need && limit.rlim_max >= need) {
-    limit.rlim_cur = need;
+  const auto required = static_cast<rlim_t>(count + kReservedDescriptors);
+  if (limit.rlim_cur < required && limit.rlim_max >= required) {
+    limit.rlim_cur = required;
     ::setrlimit(RLIMIT_NOFILE, &limit);
     ::getrlimit(RLIMIT_NOFILE, &limit);
   }
-  if (limit.rlim_cur < need) {
+  if (limit.rlim_cur < required) {
     throw std::runtime_error(
-        "connections: " + std::to_string(count) + " need " + std::to_string(need) +
-        " descriptors, and this process may have " + std::to_string(limit.rlim_max) +
+        "connections: " + std::to_string(count) + " need " + std::to_string(required) +
+        " descriptors, and the limit of this process is " + std::to_string(limit.rlim_max) +
         " (ulimit -n); ask for at most " +
         std::to_string(static_cast<std::int64_t>(limit.rlim_max) - kReservedDescriptors) +
         " connections or raise the limit");
@@ -125,7 +128,7 @@
   for (int i = 0; i < scenario.threads; ++i) feeds.push_back(std::make_unique<PlanFeed>());
   PlanDistributor distributor(scenario, feeds, options.record, stop);
   RunRecords run;
-  // Not from the seed: a target must not take the messages of two runs for the same.
+  // It is not drawn from the seed, because a target must not take the messages of two runs for duplicates.
   run.run = std::random_device()();
   run.start_us = NowUs() + kStartDelayUs;
   Progress progress;
--- a/src/loadtest/load/run.h
+++ b/src/loadtest/load/run.h
@@ -1,5 +1,5 @@
-// A whole run of the load generator: one thread draws the plan, others send it, everything is recorded.
-// Called by the commands `load`, `limit` and `try`.
+// A whole run of the load generator. One thread draws the plan, other threads send its messages, and each
+// message is recorded. Called by the commands `load`, `limit` and `try`.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_RUN_H_
 
@@ -14,32 +14,37 @@
 namespace sagetally::loadtest {
 
 struct RunOptions {
-  std::string record;          // a file for the plan as it was offered, see trace.h; empty: none
-  std::function<bool()> stop;  // returns true to interrupt the run; called a few times a second
-  // Called a few times a second, as `stop` on the calling thread. `seconds`: since the run's start.
+  // The file to which the offered plan is written, see trace.h. If it is empty, the plan is not written.
+  std::string record;
+  // Returns true to interrupt the run. It is called about ten times per second on the thread that called
+  // RunLoad.
+  std::function<bool()> stop;
+  // Called about ten times per second on the thread that called RunLoad. `seconds` is the time since the
+  // run's start.
   std::function<void(double seconds, const Progress&)> progress;
 };
 
+// What was recorded in a run. Times are in microseconds of the monotonic clock.
 struct RunRecords {
-  std::uint32_t run = 0;  // random; tells the submissions of this run from all others
+  std::uint32_t run = 0;  // random number that distinguishes the submissions of this run from those of others
   std::int64_t start_us = 0;
-  std::int64_t ended_us = 0;  // when observation stopped
-  bool partial = false;       // interrupted before its end
+  std::int64_t ended_us = 0;  // when all senders had ended
+  bool partial = false;       // whether the run was interrupted
   std::int64_t opened_connections = 0;
-  std::int64_t plan_underruns = 0;
+  std::int64_t plan_underruns = 0;  // see Sender::plan_underruns
   std::vector<MessageRecord> records;
   std::vector<SenderThreadReport> threads;
 };
 
-// The plan of `scenario`: drawn, or read from its trace.
+// Returns the plan of `scenario`, which is read from its trace or, if it has none, drawn.
 std::unique_ptr<PlanSource> OpenPlanSource(const Scenario& scenario);
 
-// Raises the soft limit of open files to `count` connections if need be. Throws std::runtime_error that names
-// the limits if that is not allowed.
+// Raises the soft limit of open files if it is too low for `count` connections. Throws std::runtime_error
+// that names the limits if the hard limit is too low.
 void EnsureDescriptorLimit(std::int64_t count);
 
 // Runs the load and returns once it is over. Throws std::runtime_error if the scenario needs more connections
-// or memory than allowed, or if its trace can't be read.
+// than the process may open or more messages than its max_messages, or if its trace can't be read.
 RunRecords RunLoad(const Scenario& scenario, const RunOptions& options = RunOptions());
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/scenario.cpp
+++ b/src/loadtest/load/scenario.cpp
@@ -11,7 +11,8 @@
 
 using Json = nlohmann::json;
 
-// Prefixes errors that the schema can't express with the JSON pointer they belong to.
+// Calls `read` and puts the JSON pointer in front of the messages of its errors, for rules that the schema
+// can't express.
 template <typename F>
 auto WithPointer(const std::string& pointer, F read) {
   try {
@@ -82,7 +83,7 @@
   return limits;
 }
 
-// How the clients send, wait and submit again.
+// Reads the settings by which the clients send, wait for responses and submit again.
 void ReadClientSettings(const Json& json, Scenario& scenario) {
   const bool cloud_events = json.value("front", std::string("platform")) == "events";
   scenario.protocol = cloud_events ? TargetProtocol::kCloudEvents : TargetProtocol::kPlatform;
@@ -148,7 +149,7 @@
   try {
     return Json::parse(file);
   } catch (const Json::parse_error& error) {
-    throw std::runtime_error(path + ": no JSON: " + error.what());
+    throw std::runtime_error(path + ": invalid JSON: " + error.what());
   }
 }
 
--- a/src/loadtest/load/sender.cpp
+++ b/src/loadtest/load/sender.cpp
@@ -7,9 +7,10 @@
 namespace sagetally::loadtest {
 namespace {
 
+// The interval at which an empty feed is checked for new messages.
 constexpr Duration kPlanPollInterval = std::chrono::microseconds(200);
 constexpr Duration kMonitorInterval = std::chrono::milliseconds(50);
-constexpr int kMaxSendsPerTurn = 256;  // before the loop may read responses again
+constexpr int kMaxSendsPerTurn = 256;  // sends before the event loop may read responses again
 
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
@@ -66,7 +67,7 @@
   loop_.Run();
   thread_report_ = monitor.Report();
   monitor_ = nullptr;
-  // Messages without a response have waited for it until now at least.
+  // A message without a response has waited for it until now, and its latency is at least that time.
   const std::int64_t now_us = NowUs();
   for (MessageRecord& record : records_) {
     if (record.sent_us != kNever && record.responded_us == kNever) record.responded_us = now_us;
@@ -149,7 +150,7 @@
   if (!clients_.busy() && queued_.empty()) return SendNow(std::move(records));
   const auto count = static_cast<std::int64_t>(records.size());
   if (queued_messages_ + count > scenario_.max_queued_messages) {
-    return;  // their records show that they were not sent
+    return;  // The records of these messages show that they were not sent.
   }
   queued_messages_ += count;
   queued_.push_back(std::move(records));
@@ -197,7 +198,7 @@
   record.last_status = static_cast<std::int16_t>(reply.code);
   last_unanswered_[index] = reply.code == 0;
   if (reply.code == kAccepted || reply.code == kOk) {
-    // CloudEvents have one id for all submissions.
+    // All submissions of a CloudEvent have the same id, which holds the submission number 0.
     const int submission = scenario_.protocol == TargetProtocol::kCloudEvents ? 0 : record.submissions - 1;
     record.accepted_us = now_us;
     record.accepted_submission = static_cast<std::int8_t>(submission);
@@ -214,10 +215,11 @@
 
 bool Sender::MayResubmit(const MessageRecord& record, const Reply& reply, double delay_ms,
                          std::int64_t now_us) const {
-  // A CloudEvent keeps its id, so that one that was perhaps accepted (504) may be submitted again too.
-  const bool is_repeatable =
+  // The status 504 means that the message may have been accepted. A CloudEvent keeps its id in all
+  // submissions, so that it may be submitted again even then.
+  const bool is_resubmittable_timeout =
       reply.code == kGatewayTimeout && scenario_.protocol == TargetProtocol::kCloudEvents;
-  const bool is_harmless = IsRejection(reply) || reply.code == 0 || is_repeatable;
+  const bool is_harmless = IsRejection(reply) || reply.code == 0 || is_resubmittable_timeout;
   return is_harmless && record.submissions <= scenario_.max_resubmissions &&
          RemainingMs(record, now_us) > delay_ms;
 }
--- a/src/loadtest/load/sender.h
+++ b/src/loadtest/load/sender.h
@@ -1,6 +1,6 @@
-// One sending thread of an open-loop load: sends each planned message at its intended time, whatever became
-// of those before it, and submits messages again as the protocol's clients do. Used by RunLoad, a Sender for
-// each thread.
+// A sending thread of an open-loop load. It sends each planned message at its intended time, whether or not
+// earlier messages have got their responses, and submits messages again as the protocol's clients do. RunLoad
+// creates a Sender for each of its threads.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_SENDER_H_
 
@@ -21,36 +21,39 @@
 // The queue from the thread that draws the plan to one that sends.
 struct PlanFeed {
   boost::lockfree::spsc_queue<PlannedMessage, boost::lockfree::capacity<16384>> queue;
-  std::atomic<bool> done = false;  // nothing more will be added
+  std::atomic<bool> done = false;  // set after the last message was added
 };
 
-// Counts of messages; written by the senders, read by any thread.
+// Counts of messages. The senders write them, and any thread may read them.
 struct Progress {
   std::atomic<std::int64_t> offered = 0;
-  std::atomic<std::int64_t> sent = 0;  // submissions
+  std::atomic<std::int64_t> sent = 0;  // counts submissions
   std::atomic<std::int64_t> accepted = 0;
   std::atomic<std::int64_t> rejected = 0;
-  std::atomic<std::int64_t> unanswered = 0;
+  std::atomic<std::int64_t> unanswered = 0;  // given up without an acceptance or a rejection
 };
 
 class Sender {
  public:
-  // All references outlive the sender. `start_us`: the run's start on the monotonic clock.
+  // All references outlive the sender. `run` identifies the run in submission ids. `start_us` is the run's
+  // start on the monotonic clock. The sender ends soon after `stop` is set.
   Sender(const Scenario& scenario, int connections, PlanFeed& feed, std::uint32_t run, std::int64_t start_us,
          Progress& progress, const std::atomic<bool>& stop);
 
-  // Sends on the calling thread until all messages have their response, `drain_s` have passed after the
-  // scenario's last second, or `stop` is set.
+  // Sends on the calling thread until each message is finished, `drain_s` has passed after the scenario's
+  // last second, or `stop` is set.
   void Run();
 
-  // The results; valid once Run has returned.
+  // The results. They are valid after Run has returned.
   const std::vector<MessageRecord>& records() const { return records_; }
   const SenderThreadReport& thread_report() const { return thread_report_; }
-  std::int64_t plan_underruns() const { return plan_underruns_; }  // times that the feed was empty too early
+  std::int64_t plan_underruns() const {
+    return plan_underruns_;
+  }  // how often the feed was empty before its end
   std::int64_t opened_connections() const { return clients_.opened_connections(); }
 
  private:
-  // Messages are named by the index of their record.
+  // Indices into `records_`, which identify messages.
   using RecordIndices = std::vector<std::size_t>;
 
   struct Retry {
@@ -59,7 +62,7 @@
     bool operator>(const Retry& other) const { return at_us > other.at_us; }
   };
 
-  // Sends all that is due, and sets the timer for what comes next.
+  // Sends the due resubmissions and messages, and sets the timer for the next ones.
   void ProcessDueWork();
   void ScheduleNextWork();
   void StartNextMessage();
@@ -89,16 +92,16 @@
   Timer batch_timer_;
   Timer monitor_timer_;
   std::vector<MessageRecord> records_;
-  std::vector<bool> last_unanswered_;  // by record: whether the last submission got no response
-  std::optional<PlannedMessage> next_message_;
-  std::deque<RecordIndices> queued_;  // requests that wait for a connection
+  std::vector<bool> last_unanswered_;           // whether the last submission got no response, by record
+  std::optional<PlannedMessage> next_message_;  // taken from the feed and not due yet
+  std::deque<RecordIndices> queued_;            // requests that wait for a connection
   std::int64_t queued_messages_ = 0;
   std::int64_t requests_in_flight_ = 0;
   std::int64_t plan_underruns_ = 0;
   RecordIndices open_batch_;
   std::priority_queue<Retry, std::vector<Retry>, std::greater<>> retries_;
   SenderThreadReport thread_report_;
-  GeneratorMonitor* monitor_ = nullptr;  // while Run runs
+  GeneratorMonitor* monitor_ = nullptr;  // set while Run runs
 };
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/load/trace.cpp
+++ b/src/loadtest/load/trace.cpp
@@ -35,7 +35,7 @@
 
 void TraceWriter::Close() {
   file_.close();
-  if (!file_) throw std::runtime_error(path_ + ": can't be written to its end");
+  if (!file_) throw std::runtime_error(path_ + ": could not be written completely");
 }
 
 TraceReader::TraceReader(const std::string& path, const Scenario& scenario)
@@ -47,7 +47,7 @@
   const auto header = nlohmann::json::parse(line, nullptr, false);
   if (!header.is_object() || header.value("trace", "") != "sagetally" || header.value("version", 0) != 1) {
     throw std::runtime_error(path +
-                             ":1: expected the head of a trace; import foreign ones with "
+                             ":1: expected the header of a trace; import traces of other programs with "
                              "`sagetally-loadtest trace import`");
   }
 }
@@ -72,7 +72,7 @@
   const auto class_name = json.at("class").get<std::string>();
   const auto found = std::find(classes_.begin(), classes_.end(), class_name);
   if (found == classes_.end()) {
-    throw std::runtime_error("class '" + class_name + "' is none of the scenario's");
+    throw std::runtime_error("the scenario has no class '" + class_name + "'");
   }
   PlannedMessage message;
   message.at_us = json.at("at_us");
--- a/src/loadtest/load/trace.h
+++ b/src/loadtest/load/trace.h
@@ -1,5 +1,6 @@
-// Traces: plans in files, recorded by a run or imported from other programs. One JSON value a line; the first
-// is the header with the format's version and the classes, each further one a message.
+// Traces, which are plans in files. They are recorded by a run or imported from other programs. Each line
+// holds a JSON value: the first line is the header with the format's version and the classes, and each
+// further line is a message.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_TRACE_H_
 
@@ -12,14 +13,16 @@
 
 namespace sagetally::loadtest {
 
+// Writes a trace. Not thread-safe.
 class TraceWriter {
  public:
-  // Throws std::runtime_error if the file can't be opened.
+  // Creates or replaces the file and writes the header. Throws std::runtime_error if the file can't be
+  // opened.
   TraceWriter(const std::string& path, const Scenario& scenario);
   TraceWriter(const std::string& path, const std::vector<std::string>& classes);
 
   void Write(const PlannedMessage& message);
-  // Throws std::runtime_error if the file is incomplete.
+  // Closes the file. Throws std::runtime_error if not everything could be written.
   void Close();
 
  private:
@@ -28,8 +31,8 @@
   std::vector<std::string> classes_;
 };
 
-// Reads the messages of a trace up to the scenario's seconds. The trace's classes must be among the
-// scenario's. Throws std::runtime_error that names file and line.
+// Reads the messages of a trace that are earlier than the end of the scenario's `seconds`. The classes of
+// these messages must be among the scenario's. Errors are std::runtime_error and name file and line.
 class TraceReader : public PlanSource {
  public:
   TraceReader(const std::string& path, const Scenario& scenario);
--- a/src/loadtest/load/wire.cpp
+++ b/src/loadtest/load/wire.cpp
@@ -7,7 +7,7 @@
 namespace sagetally::loadtest {
 namespace {
 
-// The bytes are the same for each message, so that a body costs the generator no more than a copy.
+// All bodies are prefixes of the same bytes, so that a body costs the generator only a copy.
 std::string_view Body(const PlannedMessage& message) {
   static const std::string kBytes = [] {
     std::string bytes(65536, ' ');
@@ -32,7 +32,7 @@
   if (submission.message_class->idempotency == Idempotency::kIdempotentWithKey) {
     text += "Idempotency-Key: " + IdempotencyKey(run, message) + "\r\n";
   }
-  if (submission.number > 0) text += submission.after_no_answer ? "X-Retry: again\r\n" : "X-Retry: 1\r\n";
+  if (submission.number > 0) text += submission.previous_unanswered ? "X-Retry: again\r\n" : "X-Retry: 1\r\n";
   text += "\r\n";
   text += Body(message);
   return text;
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-std::string IdOf(const Scenario& scenario, std::uint32_t run, const Submission& submission) {
+std::string SubmissionIdText(const Scenario& scenario, std::uint32_t run, const Submission& submission) {
   return ToText({run, submission.message->number,
                  scenario.protocol == TargetProtocol::kCloudEvents ? 0 : submission.number,
                  submission.message->destination, submission.message_class->idempotency});
@@ -81,7 +81,7 @@
 std::string RequestText(const Scenario& scenario, std::uint32_t run,
                         std::span<const Submission> submissions) {
   const Submission& first = submissions.front();
-  const std::string id = IdOf(scenario, run, first);
+  const std::string id = SubmissionIdText(scenario, run, first);
   if (scenario.protocol == TargetProtocol::kPlatform) return PlatformRequest(run, id, first);
   if (scenario.event_mode == CloudEventsMode::kBinary) return BinaryEventRequest(run, id, first);
   const bool is_batched = scenario.event_mode == CloudEventsMode::kBatched;
@@ -89,7 +89,7 @@
   if (is_batched) {
     nlohmann::json batch = nlohmann::json::array();
     for (const Submission& submission : submissions) {
-      batch.push_back(EventJson(run, IdOf(scenario, run, submission), submission));
+      batch.push_back(EventJson(run, SubmissionIdText(scenario, run, submission), submission));
     }
     body = batch.dump();
   } else {
--- a/src/loadtest/load/wire.h
+++ b/src/loadtest/load/wire.h
@@ -1,4 +1,5 @@
-// Encodes submissions as HTTP requests, for both protocols of the targets.
+// Encodes submissions as HTTP requests, for both ingress protocols of the targets. The functions have no
+// state.
 #ifndef SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
 #define SAGETALLY_SRC_LOADTEST_LOAD_WIRE_H_
 
@@ -13,16 +14,18 @@
 struct Submission {
   const PlannedMessage* message = nullptr;
   const MessageClass* message_class = nullptr;
-  int number = 0;                // 0: the first
-  bool after_no_answer = false;  // the one before got no response, rather than a rejection
-  double remaining_ms = 0;       // until the message's deadline
+  int number = 0;  // counts from 0
+  // Whether the previous submission got no response, rather than a rejection.
+  bool previous_unanswered = false;
+  double remaining_ms = 0;  // time until the message's deadline
 };
 
-// The id under which a message is submitted: on the platform's protocol a new one for each submission, as
-// CloudEvent the same for all.
-std::string IdOf(const Scenario& scenario, std::uint32_t run, const Submission& submission);
+// Returns the id under which a message is submitted. On the platform's protocol each submission has a new id.
+// All submissions of a CloudEvent have the same id.
+std::string SubmissionIdText(const Scenario& scenario, std::uint32_t run, const Submission& submission);
 
-// The bytes of one request. Batched CloudEvents may carry several submissions, all others carry the first.
+// Returns the bytes of one request. A batch of CloudEvents carries all `submissions`, any other request
+// carries only the first.
 std::string RequestText(const Scenario& scenario, std::uint32_t run, std::span<const Submission> submissions);
 
 }  // namespace sagetally::loadtest
