--- a/src/loadtest/cli.cpp
+++ b/src/loadtest/cli.cpp
@@ -7,7 +7,7 @@
 namespace sagetally::loadtest {
 namespace {
 
-constexpr int kWrongUsage = 2;
+constexpr int kUsageErrorExitCode = 2;
 
 }  // namespace
 
@@ -21,12 +21,12 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kWrongUsage;
+    return app.exit(error) == 0 ? 0 : kUsageErrorExitCode;
   }
   for (const Command& command : commands) {
     if (command.app->parsed()) return command.run();
   }
-  return kWrongUsage;  // unreachable: one subcommand is required
+  return kUsageErrorExitCode;  // unreachable, because CLI11 requires one subcommand
 }
 
 }  // namespace sagetally::loadtest
--- a/src/loadtest/clock.h
+++ b/src/loadtest/clock.h
@@ -1,5 +1,4 @@
-// The clock of runs and observations: microseconds of the machine's monotonic clock, which all its processes
-// share.
+// The clock of runs and observations. Any thread may read it.
 #ifndef SAGETALLY_SRC_LOADTEST_CLOCK_H_
 #define SAGETALLY_SRC_LOADTEST_CLOCK_H_
 
@@ -8,6 +7,8 @@
 
 namespace sagetally::loadtest {
 
+// Returns the time of the machine's monotonic clock in microseconds. All processes of the machine share this
+// clock, so that their times can be compared.
 inline std::int64_t NowUs() {
   const auto now = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
--- a/src/loadtest/interrupt.h
+++ b/src/loadtest/interrupt.h
@@ -1,5 +1,5 @@
-// Ctrl-C and SIGTERM as a condition to poll: the signals are blocked, so that a run is interrupted only where
-// it can end in order.
+// Turns SIGINT (Ctrl-C) and SIGTERM into a condition that a command polls. The signals are blocked meanwhile,
+// so that a run ends only at a point where it can shut down gracefully.
 #ifndef SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
 #define SAGETALLY_SRC_LOADTEST_INTERRUPT_H_
 
@@ -10,7 +10,8 @@
 
 class Interrupt {
  public:
-  // Blocks the signals; created before any thread starts, so that threads inherit that.
+  // Blocks the signals. It must be created before any other thread, so that all threads inherit the signal
+  // mask.
   Interrupt() {
     ::sigemptyset(&signals_);
     ::sigaddset(&signals_, SIGINT);
@@ -20,7 +21,7 @@
   ~Interrupt() { ::pthread_sigmask(SIG_UNBLOCK, &signals_, nullptr); }
   Interrupt(const Interrupt&) = delete;
   Interrupt& operator=(const Interrupt&) = delete;
-  // Whether one of the signals has come so far.
+  // Returns whether one of the signals has been received so far.
   bool Requested() {
     const timespec no_wait{};
     if (!requested_) requested_ = ::sigtimedwait(&signals_, nullptr, &no_wait) > 0;
--- a/src/loadtest/main.cpp
+++ b/src/loadtest/main.cpp
@@ -1,4 +1,5 @@
-// sagetally-loadtest: offers load to sagetally, runs stub servers around it, and reports on both.
+// sagetally-loadtest offers load to sagetally, runs stub servers in place of its partners and services, and
+// reports the results.
 #include <csignal>
 #include <exception>
 #include <iostream>
--- a/src/loadtest/schemas.h
+++ b/src/loadtest/schemas.h
@@ -1,4 +1,4 @@
-// The JSON schemas of the load tool's files (deploy/schema/), compiled in by CMake.
+// The JSON schemas of the load test tool's files. CMake generates their definitions from deploy/schema/.
 #ifndef SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
 #define SAGETALLY_SRC_LOADTEST_SCHEMAS_H_
 
