--- a/src/loadtest/stub/registry.cpp
+++ b/src/loadtest/stub/registry.cpp
@@ -85,7 +85,7 @@
   if (call.method == "POST") {
     OnRegistration(call, app);
   } else if (call.method == "PUT") {
-    const bool is_known = !std::exchange(forgetful, false) && instances_.contains({app, id});
+    const bool is_known = !std::exchange(rejects_next_renewal, false) && instances_.contains({app, id});
     call.Answer(is_known ? 200 : 404);
   } else {
     Remove(app, id);
--- a/src/loadtest/stub/registry.h
+++ b/src/loadtest/stub/registry.h
@@ -28,8 +28,8 @@
 
   std::vector<std::string> requests;  // "METHOD target" of each request, if `keep_requests` is set
   bool keep_requests = true;
-  bool forgetful = false;  // The next renewal gets the status 404.
-  bool silent = false;     // Requests get no response.
+  bool rejects_next_renewal = false;  // The next renewal gets the status 404.
+  bool silent = false;                // Requests get no response.
   // Full lists stay as they were at the first list request after `stale` was set, as after a restart of the
   // registry.
   bool stale = false;
--- a/tests/app/roles_test.cpp
+++ b/tests/app/roles_test.cpp
@@ -164,7 +164,8 @@
 
 void PlannerShutdownMovesItsDestinationsAndRegistryOutageKeepsTheList() {
   ForwarderAndPlanners nodes(2);
-  nodes.registry->forgetful = true;  // rejects a renewal, after which the planner must register again
+  nodes.registry->rejects_next_renewal =
+      true;  // rejects a renewal, after which the planner must register again
   const auto count_registrations = [&] {
     return std::count_if(nodes.registry->requests.begin(), nodes.registry->requests.end(),
                          [](const std::string& request) { return request.starts_with("POST"); });
