--- a/tests/handover/upgrade_test.cpp
+++ b/tests/handover/upgrade_test.cpp
@@ -26,7 +26,7 @@
 // A serving process, its predecessors, the partner that it delivers to, and clients that submit messages.
 struct UpgradeScenario : World {
   UpgradeScenario(std::string program, std::uint64_t seed)
-      : World(/*endpoint_count=*/0, /*max_concurrent_calls=*/24, /*max_pending_messages=*/150),
+      : World(/*endpoint_count=*/0, /*concurrent_calls=*/24, /*pending_messages=*/150),
         program(std::move(program)),
         partner(loop, seed, 10s),
         seed(seed) {
--- a/tests/pipeline/pipeline_node.h
+++ b/tests/pipeline/pipeline_node.h
@@ -129,7 +129,7 @@
 
 // A configuration whose endpoint list has one endpoint, of destination 7.
 inline Config ConfigWithOneEndpoint() {
-  World world(/*endpoint_count=*/0, /*max_concurrent_calls=*/4, /*max_pending_messages=*/40);
+  World world(/*endpoint_count=*/0, /*concurrent_calls=*/4, /*pending_messages=*/40);
   world.ports = {9};
   return ParseConfig(world.ConfigText(), [](const char*) { return nullptr; });
 }
