--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -209,8 +209,9 @@
       events.clear();
       return StartPolicy(node, body);
     }
-    if (!policies_.contains(node))
+    if (!policies_.contains(node)) {
       Malformed("event for dispatcher '" + node + "', which has not been started");
+    }
     if (kind == "Retire") {
       events.clear();
       policies_.erase(node);
